--- a/clayplank-forward/src/admit.rs
+++ b/clayplank-forward/src/admit.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request in: its whole body, its route and its account.
+//! Admits callers' requests: reads the complete body and finds the route and the account.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,33 +13,34 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
+use crate::buffer_quota::BufferPermit;
 use crate::call::Call;
 use crate::clock::{millis, now_ms};
 use crate::entry::Entry;
-use crate::facts::RequestFacts;
-use crate::held_bytes::Held;
+use crate::quarantine::Passage;
 use crate::refusal::{AnswerBody, Refusal};
-use crate::suspicion::Passage;
+use crate::request_metadata::RequestFacts;
 
-/// When to come back if the host has no confirmed plan, in ms: after a restart of all
-/// keepers, an election and the first heartbeats of upstreams. Callers come back once
-/// or twice, so an early time is worse than a late one.
+/// Retry time sent to callers while the host has no confirmed plan, in ms. It covers an election
+/// and the first heartbeats of upstreams after a restart of all keepers. Callers retry only once or
+/// twice, so a time that is too short is worse than one that is too long.
 const NO_PLAN_RETRY_MS: u64 = 2_500;
 
-/// A host that has just started lets its callers wait for its first plan for so long: after a
-/// loss of power all come back at once, most of them for the last time, and keepers elect a
+/// Maximum time for which a newly started host lets callers wait for its first plan. After a power
+/// failure all callers return at once, most of them for their last attempt, and the keepers elect a
 /// leader within about this time.
-const FIRST_PLAN_WAIT: Duration = Duration::from_millis(800);
+const FIRST_PLAN_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// When to come back if this host holds as much as it may, in ms: others are done with by then, and
-/// the balancer may choose another host.
-const HELD_RETRY_MS: u64 = 500;
+/// Retry time sent to callers when this host buffers as many bytes as allowed, in ms. By then other
+/// requests have finished, and the load balancer may choose another host.
+const BUFFER_FULL_RETRY_MS: u64 = 500;
 
-/// When to come back if this host is stopping, in ms: the balancer sends the caller to another.
-const CLOSED_RETRY_MS: u64 = 50;
+/// Retry time sent to callers while this host shuts down, in ms; the load balancer routes the retry
+/// to another host.
+const SHUTDOWN_RETRY_MS: u64 = 50;
 
 impl Entry {
-    /// Answers a request of a caller.
+    /// Handles a caller's request and returns the response.
     pub async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let arrived = Instant::now();
         let guard = self.gate.enter();
@@ -56,18 +57,19 @@
                     closed = self.gate.is_closed(),
                     waited_ms = arrived.elapsed().as_millis() as u64;
                     "Refused at the door");
-                self.figures.count("none", refusal.as_str());
+                self.metrics.count("none", refusal.as_str());
                 return refusal.to_response();
             }
         };
         if call.route.kind.is_stream() {
             crate::stream::run(call, guard).await
         } else {
-            crate::plain::run(call, guard).await
+            crate::unary::run(call, guard).await
         }
     }
 
-    /// Finds the route and the account, and reads the body.
+    /// Finds the route and the account, reads the body, and checks whether the request is
+    /// quarantined.
     async fn admit(
         self: &Arc<Self>,
         arrived: Instant,
@@ -76,17 +78,17 @@
         body: Incoming,
     ) -> Result<Call, Refusal> {
         if self.gate.is_closed() {
-            return Err(Refusal::NotRun { retry_after_ms: CLOSED_RETRY_MS });
+            return Err(Refusal::NotRun { retry_after_ms: SHUTDOWN_RETRY_MS });
         }
-        self.gate.wait_for_first_plan(FIRST_PLAN_WAIT).await;
+        self.gate.wait_for_first_plan(FIRST_PLAN_TIMEOUT).await;
         let no_plan = Refusal::NoPlan { retry_after_ms: NO_PLAN_RETRY_MS };
         let limits = self.gate.plan().ok_or(no_plan)?.plan().limits.clone();
-        let patience = millis(limits.read_timeout_ms);
-        let mut held = Held::default();
-        let read = self.read_body(body, limits.max_body_bytes as usize, &mut held);
-        let read = clayplank_clock::timeout(patience, read).await;
+        let timeout = millis(limits.read_timeout_ms);
+        let mut buffer_permit = BufferPermit::default();
+        let read = self.read_body(body, limits.max_body_bytes as usize, &mut buffer_permit);
+        let read = clayplank_clock::timeout(timeout, read).await;
         let body = read.map_err(|_| Refusal::TooSlow)??;
-        // The plan counts that is in force once the request is whole.
+        // Uses the plan that is in force once the request has been received completely.
         let plan = self.gate.plan().ok_or(no_plan)?;
         if !self.gate.is_confirmed() {
             return Err(no_plan);
@@ -94,9 +96,9 @@
         let path = head.uri.path();
         let route = plan.find_route(&facts.host, path).ok_or(Refusal::NoRoute)?.clone();
         let (account, rank) = find_account(&plan, &route, &facts)?;
-        let caller = caller(account.as_deref(), &facts);
+        let caller = caller_name(account.as_deref(), &facts);
         let fingerprint = fingerprint(&head, &facts, &caller, &body);
-        let is_trial = self.let_in(&facts.attempt_id, fingerprint).await?;
+        let is_trial = self.check_quarantine(&facts.attempt_id, fingerprint).await?;
         let draw = rand::random::<f64>();
         let service = plan.choose_target(&route, draw).ok_or(Refusal::NoRoute)?.to_owned();
         let limit_ms = facts.deadline_ms.unwrap_or(u64::MAX).min(route.time_limit_ms);
@@ -109,17 +111,17 @@
             fingerprint,
             head,
             body,
-            _held: held,
+            _buffer_permit: buffer_permit,
             route,
             service,
             is_engine,
             account,
             rank,
             arrived,
-            waits_since: None,
+            last_event_at: None,
             deadline: arrived + millis(limit_ms),
             tried: Vec::new(),
-            unfit_helpers: Vec::new(),
+            failed_helpers: Vec::new(),
             sent_count: 0,
             may_have_run: false,
             is_answered: false,
@@ -127,12 +129,12 @@
         })
     }
 
-    /// Reads a whole body, up to a limit, and counts it.
+    /// Reads a complete body of at most `max_bytes` and counts it towards the buffer quota.
     async fn read_body(
         &self,
         mut body: Incoming,
         max_bytes: usize,
-        held: &mut Held,
+        buffer_permit: &mut BufferPermit,
     ) -> Result<Bytes, Refusal> {
         let mut read = BytesMut::new();
         while let Some(frame) = body.frame().await {
@@ -143,35 +145,36 @@
             if read.len() + bytes.len() > max_bytes {
                 return Err(Refusal::TooLarge);
             }
-            if !self.held_bytes.try_hold(held, bytes.len()) {
-                return Err(Refusal::NotRun { retry_after_ms: HELD_RETRY_MS });
+            if !self.buffer_quota.try_acquire(buffer_permit, bytes.len()) {
+                return Err(Refusal::NotRun { retry_after_ms: BUFFER_FULL_RETRY_MS });
             }
             read.extend_from_slice(bytes);
         }
         Ok(read.freeze())
     }
 
-    /// Refuses a request that is held back, unless this host may try it; returns whether it does.
-    async fn let_in(
+    /// Rejects a quarantined request unless this host may try it once; returns whether this is such
+    /// a trial.
+    async fn check_quarantine(
         &self,
         attempt_id: &str,
         fingerprint: RequestFingerprint,
     ) -> Result<bool, Refusal> {
-        match self.suspicion.let_through(fingerprint).await {
+        match self.quarantine.let_through(fingerprint).await {
             Ok(passage) => Ok(passage == Passage::Trial),
             Err(retry_after_ms) => {
                 log::info!(target: "forward",
                     request = attempt_id, fingerprint:% = fingerprint;
-                    "Does not send a request that is held back");
-                Err(Refusal::HeldBack { retry_after_ms })
+                    "Does not send a request that is buffer_permit back");
+                Err(Refusal::Quarantined { retry_after_ms })
             }
         }
     }
 }
 
-/// The account; callers without one are told apart by a digest of the key that they send, if any: the
-/// key itself must not stand in logs.
-fn caller(account: Option<&str>, facts: &RequestFacts) -> String {
+/// Returns the account's name. Callers without an account are told apart by a digest of their key,
+/// if they send one: the key itself must not appear in logs.
+fn caller_name(account: Option<&str>, facts: &RequestFacts) -> String {
     match (account, facts.key.as_deref()) {
         (Some(account), _) => account.to_owned(),
         (None, Some(key)) => {
--- a/clayplank-forward/src/answer.rs
+++ b/clayplank-forward/src/answer.rs
@@ -1,31 +1,32 @@
-//! Whether an answer is what the upstream made of this request.
+//! Checks whether a response is the upstream's answer to the request that was sent.
 
 use http::response::Parts;
 use http::{HeaderMap, StatusCode, header};
 
-use crate::facts::text;
 use crate::names::HeaderNames;
+use crate::request_metadata::header_text;
 
-/// What the head of an answer says.
+/// Classification of a response by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// It is the upstream's answer to this request.
-    Own,
-    /// The request was not run.
+    /// The upstream's answer to this request.
+    Valid,
+    /// The upstream states that it did not run the request.
     NotRun,
-    /// Another life of an upstream has the address; the request was not run.
+    /// Another incarnation of the upstream uses the address; the request was not run.
     Replaced,
-    /// It is an answer to something else, or not whole: nothing is known of the request.
+    /// The response belongs to another request or is incomplete; whether the request ran is
+    /// unknown.
     Foreign,
 }
 
-/// Reads the head of an answer.
-pub(crate) fn judge(head: &Parts, names: &HeaderNames, attempt_id: &str) -> Verdict {
+/// Classifies a response by its head.
+pub(crate) fn classify_head(head: &Parts, names: &HeaderNames, attempt_id: &str) -> Verdict {
     let headers = &head.headers;
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         return Verdict::Replaced;
     }
-    let echoed = text(headers, &names.attempt_id);
+    let echoed = header_text(headers, &names.attempt_id);
     if echoed.is_some_and(|echoed| echoed != attempt_id) {
         return Verdict::Foreign;
     }
@@ -37,35 +38,35 @@
     if head.status.is_success() && (is_encoded || !is_marked) {
         return Verdict::Foreign;
     }
-    Verdict::Own
+    Verdict::Valid
 }
 
-/// What an answer tells of the requests that its upstream takes, over all hosts.
+/// Rate limit that a response states for its upstream, over all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum NamedLimit {
-    /// Any number.
+pub(crate) enum StatedLimit {
+    /// No limit is stated.
     None,
-    /// So many a second.
+    /// Maximum number of requests per second.
     PerSecond(f64),
-    /// Something that is no rate.
+    /// The header's value is not a valid rate.
     Unreadable,
 }
 
-/// The limit that an answer names.
-pub(crate) fn scan_limit(headers: &HeaderMap, names: &HeaderNames) -> NamedLimit {
+/// Parses the rate limit that a response states.
+pub(crate) fn parse_limit(headers: &HeaderMap, names: &HeaderNames) -> StatedLimit {
     let Some(value) = headers.get(&names.limit) else {
-        return NamedLimit::None;
+        return StatedLimit::None;
     };
     let rate = value.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok());
     match rate {
-        Some(rate) if rate.is_finite() && rate >= 0.0 => NamedLimit::PerSecond(rate),
-        Some(_) | None => NamedLimit::Unreadable,
+        Some(rate) if rate.is_finite() && rate >= 0.0 => StatedLimit::PerSecond(rate),
+        Some(_) | None => StatedLimit::Unreadable,
     }
 }
 
-/// Requests running and waiting, as an answer tells.
-pub(crate) fn scan_load(headers: &HeaderMap, names: &HeaderNames) -> Option<(u64, u64)> {
-    let mut parts = text(headers, &names.load)?.split(',');
+/// Parses the numbers of running and waiting requests that a response states.
+pub(crate) fn parse_load(headers: &HeaderMap, names: &HeaderNames) -> Option<(u64, u64)> {
+    let mut parts = header_text(headers, &names.load)?.split(',');
     let running = parts.next()?.trim().parse().ok()?;
     let waiting = parts.next()?.trim().parse().ok()?;
     Some((running, waiting))
--- a/clayplank-forward/src/attempt.rs
+++ b/clayplank-forward/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: sends a request to an upstream, and judges the head of its answer.
+//! One attempt: sends a request to an upstream and classifies the head of the response.
 
 use std::time::Duration;
 
@@ -9,49 +9,50 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 
-use crate::answer::{NamedLimit, Verdict, judge, scan_limit, scan_load};
+use crate::answer::{StatedLimit, Verdict, classify_head, parse_limit, parse_load};
 use crate::call::Call;
 use crate::choice::Chosen;
 use crate::clock::now_ms;
 use crate::exchange::{Connection, ExchangeError, exchange};
-use crate::facts::text;
-use crate::headers::{Told, for_upstream};
+use crate::headers::{UpstreamHeaders, upstream_headers};
 use crate::load::{LoadGuard, Outcome};
+use crate::request_metadata::header_text;
 
-/// The least urgent rank that engines know.
+/// Highest rank (the least urgent) that engines accept.
 const MAX_RANK: u8 = 9;
 
-/// When to come back to upstreams that were full, in ms.
+/// Retry time sent to callers if the upstreams are full, in ms.
 pub(crate) const BUSY_RETRY_MS: u64 = 700;
 
-/// How one attempt ended, as far as the head of its answer.
+/// Result of an attempt, up to the head of the response.
 pub(crate) enum Attempt {
-    /// The upstream's own answer.
+    /// The upstream's answer to the request.
     Answered(Box<Response<Incoming>>, Connection, LoadGuard),
-    /// It was not run there.
+    /// The upstream did not run the request.
     NotRun,
-    /// It may have run there.
-    Lost,
+    /// No valid answer came; the upstream may have run the request.
+    MayHaveRun,
 }
 
-/// An answer up to its head.
+/// A response of which the head has been received.
 struct Answer {
     response: Response<Incoming>,
     connection: Connection,
-    /// When its request was sent.
+    /// Time at which the request was sent, in ms.
     sent_ms: u64,
 }
 
 impl Call {
-    /// Sends the request to an upstream, and judges the head of its answer.
+    /// Sends the request to an upstream and classifies the head of the response.
     pub(crate) async fn attempt(
         &mut self,
         chosen: Chosen,
         last_event_id: Option<u64>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Attempt {
-        // Others may have learned meanwhile that upstreams end under it.
-        if self.is_held_back() {
+        // Other hosts may have reported in the meantime that upstreams terminate under this
+        // request.
+        if self.is_quarantined() {
             return Attempt::NotRun;
         }
         let Chosen { record, helpers, mut load, .. } = chosen;
@@ -63,31 +64,38 @@
         self.log_limited(&upstream);
         let sent_ms = now_ms();
         let sent = exchange(record.heartbeat.address, request);
-        let sent = load.unless_replaced(clayplank_clock::timeout(patience, sent)).await;
+        let sent = load.unless_replaced(clayplank_clock::timeout(timeout, sent)).await;
         let Some(sent) = sent else {
-            return self.note_lost(&upstream, load, "lost", "another life stands in its place");
+            return self.note_unanswered(
+                &upstream,
+                load,
+                "lost",
+                "replaced by another incarnation",
+            );
         };
         match sent {
             Ok(Ok((response, connection))) => {
                 let answer = Answer { response, connection, sent_ms };
-                self.take_head(&upstream, load, answer, could_have_run)
+                self.process_head(&upstream, load, answer, could_have_run)
             }
             Ok(Err(ExchangeError::Connect(error))) => {
                 self.sent_count -= 1;
                 self.may_have_run = could_have_run;
-                load.note_outcome(Outcome::Unreached);
+                load.note_outcome(Outcome::Unreachable);
                 self.log_attempt(&upstream, "unreached", &error.to_string());
                 Attempt::NotRun
             }
             Ok(Err(ExchangeError::Failed(error))) => {
-                self.note_lost(&upstream, load, "lost", &error.to_string())
+                self.note_unanswered(&upstream, load, "lost", &error.to_string())
+            }
+            Err(_) => {
+                self.note_unanswered(&upstream, load, "silent", "no response within the time-out")
             }
-            Err(_) => self.note_lost(&upstream, load, "silent", "no answer in time"),
         }
     }
 
-    /// Judges the head of an answer.
-    fn take_head(
+    /// Classifies the head of a response and records what it states about the upstream.
+    fn process_head(
         &mut self,
         upstream: &UpstreamId,
         mut load: LoadGuard,
@@ -97,22 +105,22 @@
         let Answer { response, connection, sent_ms } = answer;
         let (head, body) = response.into_parts();
         let names = &self.entry.names;
-        if let Some((running, waiting)) = scan_load(&head.headers, names) {
+        if let Some((running, waiting)) = parse_load(&head.headers, names) {
             self.entry.directory.note_load(upstream, running, waiting);
         }
-        let verdict = judge(&head, names, &self.facts.attempt_id);
-        // Any other answer may be another upstream's.
-        if matches!(verdict, Verdict::Own | Verdict::NotRun) {
-            self.note_limit(upstream, scan_limit(&head.headers, names), sent_ms);
+        let verdict = classify_head(&head, names, &self.facts.attempt_id);
+        // Any other response may come from a different upstream.
+        if matches!(verdict, Verdict::Valid | Verdict::NotRun) {
+            self.note_limit(upstream, parse_limit(&head.headers, names), sent_ms);
         }
         match verdict {
-            Verdict::Own => {
+            Verdict::Valid => {
                 let response = Box::new(Response::from_parts(head, body));
                 Attempt::Answered(response, connection, load)
             }
             Verdict::NotRun => {
                 self.may_have_run = could_have_run;
-                let at_fault = text(&head.headers, &self.entry.names.at_fault);
+                let at_fault = header_text(&head.headers, &self.entry.names.at_fault);
                 self.note_at_fault(&mut load, at_fault.unwrap_or_default());
                 self.log_attempt(upstream, "not_run", head.status.as_str());
                 Attempt::NotRun
@@ -123,18 +131,20 @@
                 self.log_attempt(upstream, "replaced", head.status.as_str());
                 Attempt::NotRun
             }
-            Verdict::Foreign => self.note_lost(upstream, load, "foreign", head.status.as_str()),
+            Verdict::Foreign => {
+                self.note_unanswered(upstream, load, "foreign", head.status.as_str())
+            }
         }
     }
 
-    /// Takes in how many requests the upstream says that it takes, in its answer to one that was sent at
-    /// a time.
-    fn note_limit(&self, upstream: &UpstreamId, limit: NamedLimit, sent_ms: u64) {
+    /// Records the rate limit that the upstream stated in the response to a request sent at
+    /// `sent_ms`.
+    fn note_limit(&self, upstream: &UpstreamId, limit: StatedLimit, sent_ms: u64) {
         let (requests_per_s, at_ms) = match limit {
-            NamedLimit::None => (None, sent_ms),
-            NamedLimit::PerSecond(per_s) => (Some(per_s), now_ms()),
-            NamedLimit::Unreadable => {
-                log::warn!(target: "forward", upstream = upstream.as_str(); "A limit cannot be read");
+            StatedLimit::None => (None, sent_ms),
+            StatedLimit::PerSecond(per_s) => (Some(per_s), now_ms()),
+            StatedLimit::Unreadable => {
+                log::warn!(target: "forward", upstream = upstream.as_str(); "Ignored an invalid rate limit in a response");
                 return;
             }
         };
@@ -146,31 +156,33 @@
                 request = self.facts.attempt_id;
                 "An upstream's limit changed");
         }
-        // A limit is told with each answer that names it: others may have heard since that it was lifted.
-        let is_told = match noted {
+        // A limit is reported with every response that states it: other hosts may since have
+        // received a report that it was lifted.
+        let is_reported = match noted {
             Noted::Changed => true,
             Noted::Unchanged => requests_per_s.is_some(),
             Noted::Outdated(_) => false,
         };
-        if is_told {
+        if is_reported {
             self.entry.placer.note_limit(&observed);
         }
     }
 
-    /// Tells of a request that goes to an upstream which named a limit.
+    /// Logs that a request is sent to an upstream with a rate limit.
     fn log_limited(&self, upstream: &UpstreamId) {
         let limit = self.entry.directory.limit(upstream);
         let Some(limit_per_s) = limit.and_then(|limit| limit.requests_per_s) else {
             return;
         };
-        self.entry.figures.count_limited();
+        self.entry.metrics.count_limited();
         log::info!(target: "forward",
             request = self.facts.attempt_id, upstream = upstream.as_str(), limit_per_s = limit_per_s,
-            sent = self.sent_count, has_begun = self.waits_since.is_some();
+            sent = self.sent_count, has_begun = self.last_event_at.is_some();
             "Sends to an upstream with a limit");
     }
 
-    /// Blames the helper that the answer names, or else the engine that answered.
+    /// Attributes the failure to the helper that the response names, or else to the engine that
+    /// responded.
     fn note_at_fault(&mut self, load: &mut LoadGuard, at_fault: &str) {
         let id = self.entry.directory.find(at_fault);
         match id.filter(|id| load.note_helper_failed(id)) {
@@ -178,16 +190,16 @@
                 log::info!(target: "forward",
                     request = self.facts.attempt_id, upstream = helper.as_str();
                     "A helper was at fault");
-                // The engine that answered may well read the prompt with others.
+                // The engine that responded can still run the prompt with other helpers.
                 self.tried.pop();
-                self.unfit_helpers.push(helper);
+                self.failed_helpers.push(helper);
             }
             None => load.note_outcome(Outcome::Failed),
         }
     }
 
-    /// An attempt that may have run, without an answer of its own.
-    fn note_lost(
+    /// Records an attempt that got no valid answer and may have run.
+    fn note_unanswered(
         &mut self,
         upstream: &UpstreamId,
         mut load: LoadGuard,
@@ -197,11 +209,11 @@
         load.note_outcome(Outcome::Broken);
         self.note_break(upstream);
         self.log_attempt(upstream, outcome, cause);
-        Attempt::Lost
+        Attempt::MayHaveRun
     }
 
-    /// Counts an attempt before its first byte leaves: one that is dropped on its way, when a
-    /// silent stream goes on meanwhile, has been sent all the same.
+    /// Counts an attempt before its first byte is sent: an attempt that is dropped while it is
+    /// sent, because an unresponsive stream continues, counts as sent too.
     fn count_sent(&mut self) {
         self.sent_count += 1;
         self.may_have_run = true;
@@ -213,10 +225,10 @@
         helpers: &str,
         last_event_id: Option<u64>,
     ) -> Request<Full<Bytes>> {
-        let told = Told {
+        let values = UpstreamHeaders {
             account: self.account.as_deref(),
             upstream,
-            left_ms: self.left().as_millis() as u64,
+            remaining_ms: self.remaining().as_millis() as u64,
             last_event_id,
             helpers,
             rank: self.is_engine.then_some(self.rank.min(MAX_RANK)),
@@ -224,12 +236,12 @@
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = self.head.uri.clone();
-        *request.headers_mut() = for_upstream(&self.head.headers, &self.entry.names, &told);
+        *request.headers_mut() = upstream_headers(&self.head.headers, &self.entry.names, &values);
         request
     }
 
     fn log_attempt(&self, upstream: &UpstreamId, outcome: &'static str, cause: &str) {
-        self.entry.figures.count_attempt(outcome);
+        self.entry.metrics.count_attempt(outcome);
         log::info!(target: "forward",
             request = self.facts.attempt_id, route = self.route.name, upstream = upstream.as_str(),
             outcome = outcome, cause = cause, waited_ms = self.waited_ms(),
--- a/clayplank-forward/src/budget.rs
+++ b/clayplank-forward/src/budget.rs
@@ -1,29 +1,30 @@
-//! The retry budget that all hosts share: each uses its part of it.
+//! Retry budget shared by all hosts; each host uses its share of it.
 
 use std::collections::{HashMap, VecDeque};
 
-/// The shared limits, and how many hosts share them.
+/// Limits of the retry budget that the hosts share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetLimits {
-    /// Retries allowed for each first try.
+    /// Retries allowed per first attempt.
     pub ratio: f64,
-    /// Retries allowed besides, over all hosts.
+    /// Retries allowed in addition, over all hosts together.
     pub extra: f64,
-    /// The window in which both are counted.
+    /// Length of the window in which both are counted, in ms.
     pub window_ms: u64,
 }
 
 impl Default for BudgetLimits {
-    /// A fifth of the first tries, and a hundred, in ten seconds.
+    /// 20 % of the first attempts plus 100 retries, within 10 s.
     fn default() -> Self {
         Self { ratio: 0.2, extra: 100.0, window_ms: 10_000 }
     }
 }
 
-/// Hosts that are assumed to share the budget before any is known: more than a small site has.
+/// Number of hosts assumed to share the budget until it is known; more than a small site has.
 const DEFAULT_HOSTS: u64 = 20;
 
-/// Share of the budget that is used: hosts count in windows of their own.
+/// Fraction of its share of the budget that a host uses, because each host counts in its local
+/// window.
 const SAFE_SHARE: f64 = 0.8;
 
 #[derive(Debug, Default)]
@@ -42,7 +43,7 @@
     }
 }
 
-/// Counts first tries and retries by service.
+/// Counts first attempts and retries per service.
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: BudgetLimits,
@@ -51,29 +52,30 @@
 }
 
 impl RetryBudget {
-    /// A budget that is this host's alone until it learns of others.
+    /// Creates an empty budget; 20 hosts are assumed to share it until their number is set.
     pub fn new(limits: BudgetLimits) -> Self {
         Self { limits, hosts: DEFAULT_HOSTS, windows: HashMap::new() }
     }
 
-    /// Takes in changed limits; what was counted stays counted.
+    /// Sets new limits; what has been counted remains counted.
     pub fn set_limits(&mut self, limits: BudgetLimits) {
         self.limits = limits;
     }
 
-    /// Takes in how many hosts share the budget.
+    /// Sets the number of hosts that share the budget; at least 1.
     pub fn set_hosts(&mut self, hosts: u64) {
         self.hosts = hosts.max(1);
     }
 
-    /// Counts a first try.
+    /// Counts a first attempt.
     pub fn note_first_try(&mut self, now_ms: u64, service: &str) {
         let window = self.windows.entry(service.to_owned()).or_default();
         window.drop_before(now_ms.saturating_sub(self.limits.window_ms));
         window.first_tries.push_back(now_ms);
     }
 
-    /// Takes a retry out of the budget, if there is one left.
+    /// Takes one retry from the budget; `false` if none is left. At least one retry per window is
+    /// allowed.
     pub fn take_retry(&mut self, now_ms: u64, service: &str) -> bool {
         let window = self.windows.entry(service.to_owned()).or_default();
         window.drop_before(now_ms.saturating_sub(self.limits.window_ms));
--- a/clayplank-forward/src/clock.rs
+++ b/clayplank-forward/src/clock.rs
@@ -1,10 +1,10 @@
-//! Elapsed time in milliseconds.
+//! Time in milliseconds.
 
 use std::time::Duration;
 
 pub use clayplank_clock::now_ms;
 
-/// A span of milliseconds.
+/// Converts milliseconds to a duration.
 pub fn millis(span_ms: u64) -> Duration {
     Duration::from_millis(span_ms)
 }
--- a/clayplank-forward/src/directory.rs
+++ b/clayplank-forward/src/directory.rs
@@ -1,4 +1,4 @@
-//! Upstreams as this host knows them, and the choice among those of a plain service.
+//! Upstreams known to this host, and the choice of an upstream for plain services.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,26 +13,26 @@
 use tokio::sync::watch;
 
 use crate::clock::now_ms;
-use crate::seen::Seen;
+use crate::upstream_stats::UpstreamStats;
 
-/// Answers of an upstream in another data centre come this much later, in ms, in comparisons.
-const REMOTE_MS: f64 = 5.0;
+/// Latency added to upstreams in another data centre when upstreams are compared, in ms.
+const REMOTE_PENALTY_MS: f64 = 5.0;
 
-/// An upstream that left is remembered for this long, in ms: far longer than news of it may
-/// be late.
-const TOMBSTONE_MS: u64 = 120_000;
+/// Time for which a departed upstream is remembered, in ms; far longer than updates about it may be
+/// delayed.
+const TOMBSTONE_RETENTION_MS: u64 = 120_000;
 
-/// An upstream that was chosen for a request at a plain service.
+/// An upstream chosen for a request to a plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// The request counts there.
+    /// The request has been counted at this upstream.
     Counted(Record),
-    /// It names a limit: the request has to wait for its turn.
+    /// The upstream has a rate limit: the request has to wait for a permit.
     NeedsTurn(Record),
 }
 
 impl Choice {
-    /// The upstream.
+    /// Record of the chosen upstream.
     pub fn record(&self) -> &Record {
         match self {
             Self::Counted(record) | Self::NeedsTurn(record) => record,
@@ -40,23 +40,25 @@
     }
 }
 
-/// What stands behind the lock of a [`Directory`].
+/// State behind the lock of a [`Directory`].
 #[derive(Debug)]
 struct Inner {
     records: BTreeMap<UpstreamId, Record>,
-    /// When it was learned of those that left.
-    gone_at_ms: HashMap<UpstreamId, u64>,
-    /// Those in whose place another life stands, under their name or at their address: they run nothing
-    /// any more. One that only left may go on with what it has.
+    /// Times at which this host learned that upstreams had departed, in ms.
+    departed_at_ms: HashMap<UpstreamId, u64>,
+    /// Upstreams replaced by another incarnation with their name, or by another upstream at their
+    /// address: they no longer run anything. An upstream that has only departed may finish its
+    /// requests.
     replaced: HashSet<UpstreamId>,
-    seen: HashMap<UpstreamId, Seen>,
-    /// Data centres whose upstreams get nothing.
+    stats: HashMap<UpstreamId, UpstreamStats>,
+    /// Data centres whose upstreams receive no requests.
     cordoned: BTreeSet<DataCentre>,
-    /// How upstreams bear their start, by service.
+    /// Limits on requests to upstreams after their start, by service.
     cold_starts: HashMap<String, ColdStart>,
-    /// What upstreams say that they take.
+    /// Rate limits that upstreams have stated.
     limits: Limits,
-    /// This host's share of the requests that upstreams take which are cold or name a limit.
+    /// Share of this host in the requests that upstreams accept while they are cold or
+    /// rate-limited.
     share: HostShare,
 }
 
@@ -64,9 +66,9 @@
     fn default() -> Self {
         Self {
             records: BTreeMap::new(),
-            gone_at_ms: HashMap::new(),
+            departed_at_ms: HashMap::new(),
             replaced: HashSet::new(),
-            seen: HashMap::new(),
+            stats: HashMap::new(),
             cordoned: BTreeSet::new(),
             cold_starts: HashMap::new(),
             limits: Limits::new(rand::random()),
@@ -76,64 +78,68 @@
 }
 
 impl Inner {
-    /// Takes a record in, unless its upstream left or something newer is known; tells all records
-    /// that are changed by it.
-    fn take_in(&mut self, record: Record, changed: &mut Vec<Record>) {
+    /// Applies a record unless its upstream has departed or a newer record is known. Appends all
+    /// records changed by it to `changed`.
+    fn apply_record(&mut self, record: Record, changed: &mut Vec<Record>) {
         let id = record.heartbeat.id.clone();
-        let leaves = record.heartbeat.standing == Standing::Gone;
-        if let Some(held) = self.records.get(&id) {
-            let is_gone = held.heartbeat.standing == Standing::Gone;
-            let is_older = record.heartbeat.sequence < held.heartbeat.sequence;
-            if is_gone || (is_older && !leaves) {
+        let departs = record.heartbeat.standing == Standing::Gone;
+        if let Some(known) = self.records.get(&id) {
+            let is_departed = known.heartbeat.standing == Standing::Gone;
+            let is_older = record.heartbeat.sequence < known.heartbeat.sequence;
+            if is_departed || (is_older && !departs) {
                 return;
             }
         }
-        if leaves {
-            self.gone_at_ms.insert(id.clone(), now_ms());
-        } else if self.has_later_life(&record.heartbeat) {
+        if departs {
+            self.departed_at_ms.insert(id.clone(), now_ms());
+        } else if self.has_later_incarnation(&record.heartbeat) {
             return;
         } else {
-            changed.extend(self.end_former_lives(&record.heartbeat));
+            changed.extend(self.end_former_incarnations(&record.heartbeat));
         }
         let cold_left_ms = record.heartbeat.cold_left_ms as f64;
         if cold_left_ms > 0.0 {
-            self.seen
+            self.stats
                 .entry(id.clone())
                 .or_default()
                 .rate_limit
                 .note_cold(now_ms() as f64, cold_left_ms);
         }
         self.records.insert(id, record.clone());
-        self.note_successors(&record.heartbeat);
+        self.mark_replaced(&record.heartbeat);
         changed.push(record);
     }
 
-    /// Whether new work may go to an upstream.
-    fn takes_work(&self, heartbeat: &Heartbeat) -> bool {
+    /// Whether an upstream accepts new work.
+    fn accepts_work(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.standing == Standing::Ready && !self.cordoned.contains(&heartbeat.data_centre)
     }
 
-    /// The lives of an upstream that have not left.
-    fn running_lives(&self, name: &str) -> impl Iterator<Item = &Heartbeat> {
+    /// Heartbeats of the incarnations of an upstream that have not departed.
+    fn running_incarnations(&self, name: &str) -> impl Iterator<Item = &Heartbeat> {
         let without_start = self.records.get(&UpstreamId::new(name));
         let with_start = self.records.range(life_ids(name)).map(|(_, record)| record);
-        let lives = without_start.into_iter().chain(with_start).map(|record| &record.heartbeat);
-        lives.filter(|one| one.standing != Standing::Gone)
+        let incarnations =
+            without_start.into_iter().chain(with_start).map(|record| &record.heartbeat);
+        incarnations.filter(|one| one.standing != Standing::Gone)
     }
 
-    fn has_later_life(&self, heartbeat: &Heartbeat) -> bool {
-        self.running_lives(&heartbeat.name).any(|one| one.born_ms > heartbeat.born_ms)
+    fn has_later_incarnation(&self, heartbeat: &Heartbeat) -> bool {
+        self.running_incarnations(&heartbeat.name).any(|one| one.born_ms > heartbeat.born_ms)
     }
 
-    /// Ends the former lives of an upstream: a keeper that has just begun to lead may know the
-    /// later one alone, and would never say that they have ended. Returns their records.
-    fn end_former_lives(&mut self, later: &Heartbeat) -> Vec<Record> {
-        let lives = self.running_lives(&later.name);
-        let former: Vec<_> =
-            lives.filter(|one| one.born_ms < later.born_ms).map(|one| one.id.clone()).collect();
+    /// Marks earlier incarnations of an upstream as departed and returns their records. A keeper
+    /// that has just become leader may know the later incarnation only, and would never report that
+    /// the earlier ones have ended.
+    fn end_former_incarnations(&mut self, later: &Heartbeat) -> Vec<Record> {
+        let incarnations = self.running_incarnations(&later.name);
+        let former: Vec<_> = incarnations
+            .filter(|one| one.born_ms < later.born_ms)
+            .map(|one| one.id.clone())
+            .collect();
         let mut ended = Vec::new();
         for id in former {
-            self.gone_at_ms.insert(id.clone(), now_ms());
+            self.departed_at_ms.insert(id.clone(), now_ms());
             self.replaced.insert(id.clone());
             if let Some(record) = self.records.get_mut(&id) {
                 record.heartbeat.standing = Standing::Gone;
@@ -143,9 +149,10 @@
         ended
     }
 
-    /// Notes who was replaced, now that a record has changed: one that has left, where another one that takes
-    /// work has its address. A record that comes late of a former life replaces nobody.
-    fn note_successors(&mut self, changed: &Heartbeat) {
+    /// Marks upstreams as replaced after a record has changed: those that have departed and whose
+    /// address is used by another upstream that accepts work. A late record of an earlier
+    /// incarnation replaces nothing.
+    fn mark_replaced(&mut self, changed: &Heartbeat) {
         let is_in_place = |one: &Heartbeat| one.address == changed.address && one.id != changed.id;
         match changed.standing {
             Standing::Gone => {
@@ -155,64 +162,66 @@
                 }
             }
             Standing::Ready => {
-                // Those that left are few, where all upstreams are heard of at once.
-                let gone = self.gone_at_ms.keys().filter_map(|id| self.records.get(id));
-                let gone = gone.map(|record| &record.heartbeat);
-                let former = gone.filter(|one| is_in_place(one)).map(|one| one.id.clone());
+                // Departed upstreams are few, whereas the records of all upstreams may arrive at
+                // once.
+                let departed = self.departed_at_ms.keys().filter_map(|id| self.records.get(id));
+                let departed = departed.map(|record| &record.heartbeat);
+                let former = departed.filter(|one| is_in_place(one)).map(|one| one.id.clone());
                 self.replaced.extend(former);
             }
             Standing::Draining => {}
         }
     }
 
-    /// How many requests an upstream takes, as long as it is cold or names a limit.
+    /// Rate limit of an upstream, which applies while it is cold or has stated a limit.
     fn rate_limit(&self, heartbeat: &Heartbeat) -> RateLimit {
-        let seen = self.seen.get(&heartbeat.id);
-        let mut rate_limit = seen.map(|seen| seen.rate_limit).unwrap_or_default();
+        let stats = self.stats.get(&heartbeat.id);
+        let mut rate_limit = stats.map(|stats| stats.rate_limit).unwrap_or_default();
         let start = self.cold_starts.get(&heartbeat.service);
         rate_limit.set_cold_limit(start.map_or(0.0, |start| start.requests_per_s));
         rate_limit.set_named_limit(self.limits.limit_per_s(&heartbeat.id));
         rate_limit
     }
 
-    /// Whether an upstream takes one more request of this host, which decides alone.
-    fn takes_one_alone(&self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
+    /// Whether an upstream accepts one more request from this host without a permit.
+    fn accepts_without_permit(&self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
         self.rate_limit(heartbeat).may_send_alone(now_ms as f64, &heartbeat.id, &self.share)
     }
 
-    /// Whether a request waits for its turn at an upstream: the leader gives them, for all hosts. While it is
-    /// cold, hosts have a share each.
-    fn needs_turn(&self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
+    /// Whether a request needs a permit for an upstream: the upstream has stated a limit and is not
+    /// cold. The leader grants permits to all hosts; while an upstream is cold, each host uses its
+    /// share of the limit instead.
+    fn needs_permit(&self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
         let is_limited = self.limits.limit_per_s(&heartbeat.id).is_some();
         is_limited && !self.rate_limit(heartbeat).is_cold(now_ms as f64)
     }
 
-    /// Whether an upstream may take one more request of this host.
-    fn may_take_one(&self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
-        if self.needs_turn(now_ms, heartbeat) {
-            let seen = self.seen.get(&heartbeat.id);
-            seen.is_none_or(|seen| seen.next_turn_ms <= now_ms)
+    /// Whether an upstream may accept one more request from this host.
+    fn may_accept(&self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
+        if self.needs_permit(now_ms, heartbeat) {
+            let stats = self.stats.get(&heartbeat.id);
+            stats.is_none_or(|stats| stats.next_permit_ms <= now_ms)
         } else {
-            self.takes_one_alone(now_ms, heartbeat)
+            self.accepts_without_permit(now_ms, heartbeat)
         }
     }
 
     /// Counts a request at an upstream.
-    fn count(&mut self, now_ms: u64, id: &UpstreamId) {
-        let seen = self.seen.entry(id.clone()).or_default();
-        seen.in_flight += 1;
-        seen.rate_limit.note_sent_alone(now_ms as f64);
+    fn count_request(&mut self, now_ms: u64, id: &UpstreamId) {
+        let stats = self.stats.entry(id.clone()).or_default();
+        stats.in_flight += 1;
+        stats.rate_limit.note_sent_alone(now_ms as f64);
     }
 
-    /// Forgets upstreams that left long ago, and what was seen of them.
-    fn forget_gone(&mut self, now_ms: u64) {
-        let Self { records, gone_at_ms, replaced, seen, limits, .. } = self;
-        gone_at_ms.retain(|id, gone_at_ms| {
-            let is_kept = now_ms < *gone_at_ms + TOMBSTONE_MS;
+    /// Removes upstreams that departed long ago, and their statistics.
+    fn remove_departed(&mut self, now_ms: u64) {
+        let Self { records, departed_at_ms, replaced, stats, limits, .. } = self;
+        departed_at_ms.retain(|id, departed_at_ms| {
+            let is_kept = now_ms < *departed_at_ms + TOMBSTONE_RETENTION_MS;
             if !is_kept {
                 records.remove(id);
                 replaced.remove(id);
-                seen.remove(id);
+                stats.remove(id);
             }
             is_kept
         });
@@ -224,7 +233,7 @@
 #[derive(Debug, Default)]
 pub struct Directory {
     inner: Mutex<Inner>,
-    /// Raised whenever an upstream was replaced.
+    /// Notified whenever an upstream has been replaced.
     replaced: watch::Sender<()>,
 }
 
@@ -233,15 +242,15 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes changes in. A whole list does not remove what it lacks: a keeper
-    /// that has just started knows less than this host. Returns what has changed.
+    /// Applies changed records and returns those that have changed here. A complete list does not
+    /// remove upstreams that it lacks: a keeper that has just started knows fewer than this host.
     pub fn apply(&self, records: Vec<Record>) -> Vec<Record> {
         let mut inner = self.lock();
         let mut changed = Vec::new();
         let known_replaced = inner.replaced.len();
-        records.into_iter().for_each(|record| inner.take_in(record, &mut changed));
+        records.into_iter().for_each(|record| inner.apply_record(record, &mut changed));
         let is_one_replaced = inner.replaced.len() > known_replaced;
-        inner.forget_gone(now_ms());
+        inner.remove_departed(now_ms());
         drop(inner);
         if is_one_replaced {
             self.replaced.send_replace(());
@@ -249,46 +258,46 @@
         changed
     }
 
-    /// Waits until another life stands in an upstream's place: nothing more comes of what it ran.
+    /// Waits until an upstream has been replaced, after which its requests get no answer.
     pub async fn wait_until_replaced(&self, id: &UpstreamId) {
         let mut changes = self.replaced.subscribe();
         while !self.lock().replaced.contains(id) {
-            // The sender lives as long as the directory.
+            // The sender incarnations as long as the directory.
             if changes.changed().await.is_err() {
                 return std::future::pending().await;
             }
         }
     }
 
-    /// What is known, in a few numbers.
+    /// Digest of all records, by which two hosts find out where their records differ.
     pub fn digest(&self) -> Digest {
         Digest::of(self.lock().records.values())
     }
 
-    /// The heartbeats of upstreams in some buckets of the digest.
+    /// Heartbeats of the upstreams in the given buckets of the digest.
     pub fn heartbeats_in(&self, buckets: Buckets) -> Vec<Heartbeat> {
         let inner = self.lock();
         let heartbeats = inner.records.values().map(|record| &record.heartbeat);
         heartbeats.filter(|one| buckets.contains(&one.id)).cloned().collect()
     }
 
-    /// Notes that an id is no more: another life answered in its place.
+    /// Records that an id is no longer valid: another incarnation responded at its address.
     pub fn note_replaced(&self, id: &UpstreamId) {
         let mut inner = self.lock();
         if let Some(record) = inner.records.get_mut(id) {
             record.heartbeat.standing = Standing::Gone;
-            inner.gone_at_ms.insert(id.clone(), now_ms());
+            inner.departed_at_ms.insert(id.clone(), now_ms());
             inner.replaced.insert(id.clone());
         }
         drop(inner);
         self.replaced.send_replace(());
     }
 
-    /// Whether a life of an upstream has ended and another one of its service stands in its place:
-    /// under its name, or at its address.
+    /// Whether an incarnation has departed and another upstream of its service, with its name or at
+    /// its address, is ready.
     pub fn has_successor(&self, former: &Heartbeat) -> bool {
         let inner = self.lock();
-        let is_over = inner
+        let has_departed = inner
             .records
             .get(&former.id)
             .is_none_or(|record| record.heartbeat.standing == Standing::Gone);
@@ -299,45 +308,46 @@
                 && one.standing == Standing::Ready
                 && is_in_place
         };
-        is_over && inner.records.values().any(|record| follows(&record.heartbeat))
+        has_departed && inner.records.values().any(|record| follows(&record.heartbeat))
     }
 
-    /// One record.
+    /// Record of an upstream, whether or not it accepts work.
     pub fn record(&self, id: &UpstreamId) -> Option<Record> {
         self.lock().records.get(id).cloned()
     }
 
-    /// One record, if new work may go to its upstream.
+    /// Record of an upstream that accepts new work.
     pub fn usable_record(&self, id: &UpstreamId) -> Option<Record> {
         let inner = self.lock();
-        inner.records.get(id).filter(|record| inner.takes_work(&record.heartbeat)).cloned()
+        inner.records.get(id).filter(|record| inner.accepts_work(&record.heartbeat)).cloned()
     }
 
-    /// Whether an upstream stands in a data centre that is to get nothing.
+    /// Whether an upstream is in a cordoned data centre.
     pub fn is_cordoned(&self, id: &UpstreamId) -> bool {
         let inner = self.lock();
         let record = inner.records.get(id);
         record.is_some_and(|record| inner.cordoned.contains(&record.heartbeat.data_centre))
     }
 
-    /// Sends nothing more to upstreams of these data centres. Those of others that were under a cordon
-    /// pass for cold as long as after a start: they may have turned cold meanwhile.
+    /// Sets the data centres whose upstreams receive no requests. Upstreams whose cordon is lifted
+    /// are treated as cold for as long as after a start, because they may have become cold in the
+    /// meantime.
     pub fn set_cordoned(&self, cordoned: BTreeSet<DataCentre>) {
         let now_ms = now_ms() as f64;
         let mut inner = self.lock();
-        let Inner { records, seen, cordoned: held, cold_starts, .. } = &mut *inner;
+        let Inner { records, stats, cordoned: former, cold_starts, .. } = &mut *inner;
         for (id, Record { heartbeat, .. }) in records {
-            let is_back =
-                held.contains(&heartbeat.data_centre) && !cordoned.contains(&heartbeat.data_centre);
+            let is_back = former.contains(&heartbeat.data_centre)
+                && !cordoned.contains(&heartbeat.data_centre);
             if let Some(start) = cold_starts.get(&heartbeat.service).filter(|_| is_back) {
                 let lasts_ms = start.lasts_ms as f64;
-                seen.entry(id.clone()).or_default().rate_limit.note_cold(now_ms, lasts_ms);
+                stats.entry(id.clone()).or_default().rate_limit.note_cold(now_ms, lasts_ms);
             }
         }
-        *held = cordoned;
+        *former = cordoned;
     }
 
-    /// Takes in how upstreams bear their start.
+    /// Sets the limits on requests to upstreams after their start.
     pub fn set_cold_starts(&self, plan: &ServingPlan) {
         let services = plan.services.iter();
         let starts =
@@ -345,12 +355,12 @@
         self.lock().cold_starts = starts.collect();
     }
 
-    /// Takes in how many hosts may send to cold upstreams.
+    /// Sets the number of hosts that send requests to cold upstreams.
     pub fn set_hosts(&self, hosts: u64) {
         self.lock().share.hosts = hosts;
     }
 
-    /// The upstream that a text names, by its name or its address, in its newest life.
+    /// Latest incarnation of the upstream with this name or address.
     pub fn find(&self, name: &str) -> Option<UpstreamId> {
         let inner = self.lock();
         let address = name.parse().ok();
@@ -363,30 +373,38 @@
         Some(newest.id.clone())
     }
 
-    /// All records.
+    /// All records, including those of departed upstreams that are still remembered.
     pub fn records(&self) -> Vec<Record> {
         self.lock().records.values().cloned().collect()
     }
 
-    /// Chooses an upstream of a plain service. A request there counts from now on, unless it needs a turn.
-    pub fn choose(&self, service: &str, own: &DataCentre, avoid: &[UpstreamId]) -> Option<Choice> {
+    /// Chooses an upstream of a plain service. The request is counted there at once unless it needs
+    /// a permit.
+    pub fn choose(
+        &self,
+        service: &str,
+        local: &DataCentre,
+        excluded: &[UpstreamId],
+    ) -> Option<Choice> {
         let now_ms = now_ms();
         let mut inner = self.lock();
-        let seen = &inner.seen;
+        let stats = &inner.stats;
         let cost = |record: &Record| {
-            let seen = seen.get(&record.heartbeat.id).cloned().unwrap_or_default();
+            let stats = stats.get(&record.heartbeat.id).cloned().unwrap_or_default();
             let is_cold = inner.rate_limit(&record.heartbeat).is_cold(now_ms as f64);
-            let remote_ms = if record.heartbeat.data_centre == *own { 0.0 } else { REMOTE_MS };
-            // One whose heartbeats are missing may be dead: it is asked if no other is there.
-            let is_avoided = seen.is_avoided(now_ms) || record.is_silent;
-            (is_avoided, is_cold, seen.expected_ms(record.heartbeat.slots, now_ms) + remote_ms)
+            let remote_ms =
+                if record.heartbeat.data_centre == *local { 0.0 } else { REMOTE_PENALTY_MS };
+            // An upstream whose heartbeats are missing may have failed: it is chosen only if there
+            // is no other.
+            let is_avoided = stats.is_avoided(now_ms) || record.is_silent;
+            (is_avoided, is_cold, stats.expected_ms(record.heartbeat.slots, now_ms) + remote_ms)
         };
         let fit = inner.records.values().filter(|record| {
             let heartbeat = &record.heartbeat;
             heartbeat.service == service
-                && inner.takes_work(heartbeat)
-                && !avoid.contains(&heartbeat.id)
-                && inner.may_take_one(now_ms, heartbeat)
+                && inner.accepts_work(heartbeat)
+                && !excluded.contains(&heartbeat.id)
+                && inner.may_accept(now_ms, heartbeat)
         });
         let best = fit
             .map(|record| (cost(record), record))
@@ -397,88 +415,93 @@
                 },
             )
             .map(|(_, record)| record.clone())?;
-        if inner.needs_turn(now_ms, &best.heartbeat) {
+        if inner.needs_permit(now_ms, &best.heartbeat) {
             return Some(Choice::NeedsTurn(best));
         }
-        inner.count(now_ms, &best.heartbeat.id);
+        inner.count_request(now_ms, &best.heartbeat.id);
         Some(Choice::Counted(best))
     }
 
-    /// Counts a request that has a turn.
-    pub fn count_turn(&self, id: &UpstreamId) {
-        self.lock().count(now_ms(), id);
+    /// Counts a request that has got a permit.
+    pub fn count_permitted(&self, id: &UpstreamId) {
+        self.lock().count_request(now_ms(), id);
     }
 
-    /// Notes that an upstream takes no request for a while.
-    pub fn note_no_turn(&self, id: &UpstreamId, wait: Duration) {
+    /// Records that an upstream grants no permit for a while.
+    pub fn note_no_permit(&self, id: &UpstreamId, wait: Duration) {
         let wait_ms = (wait.as_millis() as u64).max(1);
-        self.lock().seen.entry(id.clone()).or_default().next_turn_ms = now_ms() + wait_ms;
+        self.lock().stats.entry(id.clone()).or_default().next_permit_ms = now_ms() + wait_ms;
     }
 
-    /// The upstream of a plain service that gives the next turn, and the least time until then.
-    pub fn soonest_turn(&self, service: &str, avoid: &[UpstreamId]) -> Option<(Record, Duration)> {
+    /// Upstream of a plain service with the earliest next permit, and the minimum time until then.
+    pub fn earliest_permit(
+        &self,
+        service: &str,
+        excluded: &[UpstreamId],
+    ) -> Option<(Record, Duration)> {
         let now_ms = now_ms();
         let inner = self.lock();
         let limited = inner.records.values().filter(|record| {
             let heartbeat = &record.heartbeat;
             heartbeat.service == service
-                && inner.takes_work(heartbeat)
-                && !avoid.contains(&heartbeat.id)
-                && inner.needs_turn(now_ms, heartbeat)
+                && inner.accepts_work(heartbeat)
+                && !excluded.contains(&heartbeat.id)
+                && inner.needs_permit(now_ms, heartbeat)
         });
-        let next_turn_ms = |record: &&Record| {
-            inner.seen.get(&record.heartbeat.id).map_or(0, |seen| seen.next_turn_ms)
+        let next_permit_ms = |record: &&Record| {
+            inner.stats.get(&record.heartbeat.id).map_or(0, |stats| stats.next_permit_ms)
         };
-        let soonest = limited.min_by_key(next_turn_ms)?;
-        let wait_ms = next_turn_ms(&soonest).saturating_sub(now_ms);
-        Some((soonest.clone(), Duration::from_millis(wait_ms)))
+        let earliest = limited.min_by_key(next_permit_ms)?;
+        let wait_ms = next_permit_ms(&earliest).saturating_sub(now_ms);
+        Some((earliest.clone(), Duration::from_millis(wait_ms)))
     }
 
-    /// Counts a request if an upstream takes one of this host, which nobody gives a turn; whether it does.
-    pub fn count_alone(&self, heartbeat: &Heartbeat) -> bool {
+    /// Counts a request if an upstream accepts it from this host without a permit; returns whether
+    /// it does.
+    pub fn count_without_permit(&self, heartbeat: &Heartbeat) -> bool {
         let now_ms = now_ms();
         let mut inner = self.lock();
-        let takes_one = inner.takes_one_alone(now_ms, heartbeat);
-        if takes_one {
-            inner.count(now_ms, &heartbeat.id);
+        let is_accepted = inner.accepts_without_permit(now_ms, heartbeat);
+        if is_accepted {
+            inner.count_request(now_ms, &heartbeat.id);
         }
-        takes_one
+        is_accepted
     }
 
-    /// Notes how a request at a plain service ended.
+    /// Records the end of a request to a plain service.
     pub fn note_end(&self, id: &UpstreamId, took_ms: u64, is_good: bool) {
         let now_ms = now_ms();
         let mut inner = self.lock();
-        inner.seen.entry(id.clone()).or_default().note_end(now_ms, took_ms, is_good);
+        inner.stats.entry(id.clone()).or_default().note_end(now_ms, took_ms, is_good);
     }
 
-    /// Notes what an upstream told of its load: running and waiting.
+    /// Records the load that an upstream reported: running and waiting requests.
     pub fn note_load(&self, id: &UpstreamId, running: u64, waiting: u64) {
         let mut inner = self.lock();
-        inner.seen.entry(id.clone()).or_default().note_load(now_ms(), running + waiting);
+        inner.stats.entry(id.clone()).or_default().note_load(now_ms(), running + waiting);
     }
 
-    /// Takes in what this host observed of an upstream's limit.
+    /// Records the limit of an upstream as observed by this host.
     pub fn note_limit(&self, observed: &ObservedLimit) -> Noted {
         self.lock().limits.note(observed)
     }
 
-    /// Takes in what another host observed of an upstream's limit.
+    /// Records the limit of an upstream as observed by another host.
     pub fn learn_limit(&self, observed: &ObservedLimit) -> Noted {
         self.lock().limits.learn(observed)
     }
 
-    /// The limit of an upstream, if it named one.
+    /// Limit of an upstream, if it has stated one.
     pub fn limit(&self, id: &UpstreamId) -> Option<ObservedLimit> {
         self.lock().limits.observed_of(id)
     }
 
-    /// The limits that are in force.
+    /// Limits in force.
     pub fn limits(&self) -> Vec<ObservedLimit> {
         self.lock().limits.observed().collect()
     }
 
-    /// How many upstreams name a limit.
+    /// Number of upstreams with a limit.
     pub fn count_limited(&self) -> usize {
         self.lock().limits.limited().count()
     }
--- a/clayplank-forward/src/entry.rs
+++ b/clayplank-forward/src/entry.rs
@@ -1,46 +1,46 @@
-//! What an entry host needs to forward requests, and how it is put together.
+//! State of an entry host that forwards requests, and its builder.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use clayplank_types::{DataCentre, HeldBack};
 
 use crate::budget::{BudgetLimits, RetryBudget};
+use crate::buffer_quota::BufferQuota;
 use crate::directory::Directory;
-use crate::ends::Ends;
-use crate::figures::Figures;
 use crate::gate::Gate;
-use crate::held_bytes::HeldBytes;
+use crate::metrics::Metrics;
 use crate::names::HeaderNames;
 use crate::placer::Placer;
+use crate::quarantine::{Judge, NoAuthority, Suspicion};
 use crate::reserve::OrderFormat;
-use crate::suspicion::{Judge, NoJudge, Suspicion};
+use crate::termination::PendingBreaks;
 
-/// Connections of callers that are open at once unless the builder says otherwise; each holds a
-/// descriptor and some memory.
-const MAX_CONNECTIONS: usize = 2_000;
+/// Default maximum number of open connections of callers; each takes a file descriptor and some
+/// memory.
+const DEFAULT_MAX_CONNECTIONS: usize = 2_000;
 
-/// Bytes of requests and answers that are held at once unless the builder says otherwise.
-const MAX_HELD_BYTES: usize = 48 << 20;
+/// Default maximum number of buffered bytes of requests and answers.
+const DEFAULT_MAX_BUFFERED_BYTES: usize = 48 << 20;
 
-/// What an entry host needs to forward requests.
+/// State that an entry host needs to forward requests.
 pub struct Entry {
-    /// Connections of callers that are open at once.
+    /// Maximum number of open connections of callers.
     pub(crate) max_connections: usize,
-    /// Bytes of requests and answers.
-    pub(crate) held_bytes: HeldBytes,
+    /// Quota of buffered bytes of requests and answers.
+    pub(crate) buffer_quota: BufferQuota,
     pub(crate) names: HeaderNames,
     pub(crate) gate: Arc<Gate>,
     pub(crate) directory: Arc<Directory>,
     pub(crate) placer: Arc<dyn Placer>,
-    /// How engines are told to hold memory; `None` where no engine can.
-    pub(crate) orders: Option<Arc<dyn OrderFormat>>,
+    /// Format of commands by which engines reserve memory; `None` if no engine supports them.
+    pub(crate) commands: Option<Arc<dyn OrderFormat>>,
     pub(crate) budget: Mutex<RetryBudget>,
-    pub(crate) figures: Figures,
+    pub(crate) metrics: Metrics,
     pub(crate) data_centre: DataCentre,
-    /// Upstreams that may have ended under requests.
-    pub(crate) ends: Ends,
-    /// Requests that end upstreams.
-    pub(crate) suspicion: Suspicion,
+    /// Broken requests whose upstreams may have terminated.
+    pub(crate) pending_breaks: PendingBreaks,
+    /// Quarantine of requests under which upstreams terminate.
+    pub(crate) quarantine: Suspicion,
 }
 
 impl std::fmt::Debug for Entry {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Builds an [`Entry`].
+/// Builder of an [`Entry`].
 #[derive(Default)]
 pub struct EntryBuilder {
     names: HeaderNames,
@@ -68,7 +68,7 @@
 }
 
 impl EntryBuilder {
-    /// Sets the names of headers.
+    /// Sets the header names.
     pub fn names(mut self, names: HeaderNames) -> Self {
         self.names = names;
         self
@@ -80,37 +80,38 @@
         self
     }
 
-    /// Sets how engines are told to hold memory.
+    /// Sets the format of commands by which engines reserve memory.
     pub fn orders(mut self, orders: Arc<dyn OrderFormat>) -> Self {
         self.orders = Some(orders);
         self
     }
 
-    /// Sets where the host stands.
+    /// Sets the data centre of this host.
     pub fn data_centre(mut self, data_centre: DataCentre) -> Self {
         self.data_centre = data_centre;
         self
     }
 
-    /// Sets who decides which requests are held back; without one, none is.
+    /// Sets the authority that decides which requests are quarantined; without one, none are.
     pub fn judge(mut self, judge: Arc<dyn Judge>) -> Self {
         self.judge = Some(judge);
         self
     }
 
-    /// Sets how many connections of callers are open at once.
+    /// Sets the maximum number of open connections of callers.
     pub fn max_connections(mut self, max_connections: usize) -> Self {
         self.max_connections = Some(max_connections);
         self
     }
 
-    /// Sets how many bytes of requests and answers are held at once, for all callers and upstreams.
+    /// Sets the maximum number of buffered bytes of requests and answers, over all callers and
+    /// upstreams.
     pub fn max_held_bytes(mut self, max_held_bytes: usize) -> Self {
         self.max_held_bytes = Some(max_held_bytes);
         self
     }
 
-    /// Builds it.
+    /// Builds the entry host.
     pub fn build(
         self,
         gate: Arc<Gate>,
@@ -119,18 +120,20 @@
     ) -> Entry {
         let budget = self.budget.unwrap_or_else(|| RetryBudget::new(Default::default()));
         Entry {
-            max_connections: self.max_connections.unwrap_or(MAX_CONNECTIONS),
-            held_bytes: HeldBytes::new(self.max_held_bytes.unwrap_or(MAX_HELD_BYTES)),
+            max_connections: self.max_connections.unwrap_or(DEFAULT_MAX_CONNECTIONS),
+            buffer_quota: BufferQuota::new(
+                self.max_held_bytes.unwrap_or(DEFAULT_MAX_BUFFERED_BYTES),
+            ),
             names: self.names,
             gate,
             directory,
             placer,
-            orders: self.orders,
+            commands: self.orders,
             budget: Mutex::new(budget),
-            figures: Figures::default(),
+            metrics: Metrics::default(),
             data_centre: self.data_centre,
-            ends: Ends::default(),
-            suspicion: Suspicion::new(self.judge.unwrap_or_else(|| Arc::new(NoJudge))),
+            pending_breaks: PendingBreaks::default(),
+            quarantine: Suspicion::new(self.judge.unwrap_or_else(|| Arc::new(NoAuthority))),
         }
     }
 }
@@ -140,30 +143,30 @@
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in changed limits of the retry budget.
+    /// Sets new limits of the retry budget.
     pub fn set_budget_limits(&self, limits: BudgetLimits) {
         self.lock_budget().set_limits(limits);
     }
 
-    /// Takes in how many hosts share the retry budget.
+    /// Sets the number of hosts that share the retry budget.
     pub fn set_hosts(&self, hosts: u64) {
         self.lock_budget().set_hosts(hosts);
     }
 
-    /// Takes in all requests that are held back.
+    /// Replaces the set of quarantined requests.
     pub fn set_held_back(&self, held_back: Vec<HeldBack>) {
-        self.suspicion.set_held_back(held_back);
+        self.quarantine.set_held_back(held_back);
     }
 
-    /// All figures in the Prometheus text format.
+    /// All metrics in the Prometheus text format.
     pub fn to_text(&self) -> String {
-        let held_back = self.suspicion.count();
-        let held_bytes = self.held_bytes.count();
+        let quarantined = self.quarantine.count();
+        let buffer_quota = self.buffer_quota.count();
         let limited = self.directory.count_limited();
         format!(
-            "{}clayplank_entry_held_back {held_back}\nclayplank_entry_held_bytes {held_bytes}\n\
+            "{}clayplank_entry_held_back {quarantined}\nclayplank_entry_held_bytes {buffer_quota}\n\
              clayplank_entry_limited_upstreams {limited}\n",
-            self.figures.to_text()
+            self.metrics.to_text()
         )
     }
 }
--- a/clayplank-forward/src/events.rs
+++ b/clayplank-forward/src/events.rs
@@ -1,59 +1,59 @@
-//! Splits a stream of bytes into whole events (the HTML standard, section 9.2).
+//! Splits a byte stream into complete server-sent events (HTML standard, section 9.2).
 
 use bytes::{Bytes, BytesMut};
 
-/// An event with the blank line that ends it.
+/// An event, including the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its bytes, unchanged.
+    /// The event's bytes, unchanged.
     pub bytes: Bytes,
-    /// Its id, if it has a number for one.
+    /// The event's id, if it is a number.
     pub id: Option<u64>,
 }
 
-/// Collects bytes until events are whole.
+/// Buffers bytes until events are complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
-    /// Up to here no end of an event was found.
+    buffer: BytesMut,
+    /// Number of bytes already searched for the end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let from = self.searched.saturating_sub(3);
-        match find_end(&self.held[from..]) {
+        match find_end(&self.buffer[from..]) {
             Some(end) => {
                 self.searched = 0;
-                let bytes = self.held.split_to(from + end).freeze();
-                let id = scan_id(&bytes);
+                let bytes = self.buffer.split_to(from + end).freeze();
+                let id = parse_id(&bytes);
                 Some(StreamEvent { bytes, id })
             }
             None => {
-                self.searched = self.held.len();
+                self.searched = self.buffer.len();
                 None
             }
         }
     }
 
-    /// Bytes that are held of an event that is not whole.
+    /// Number of buffered bytes of an incomplete event.
     pub fn held_bytes(&self) -> usize {
-        self.held.len()
+        self.buffer.len()
     }
 
-    /// Whether bytes of an event are held that is not whole.
+    /// Whether bytes of an incomplete event are buffered.
     pub fn is_mid_event(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffer.is_empty()
     }
 }
 
-/// Where the first blank line ends.
+/// Returns the position after the first blank line.
 fn find_end(bytes: &[u8]) -> Option<usize> {
     (0..bytes.len()).find_map(|at| {
         let rest = &bytes[at..];
@@ -67,7 +67,7 @@
     })
 }
 
-fn scan_id(event: &[u8]) -> Option<u64> {
+fn parse_id(event: &[u8]) -> Option<u64> {
     let lines = event.split(|&byte| byte == b'\n');
     let value = lines.into_iter().find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/clayplank-forward/src/exchange.rs
+++ b/clayplank-forward/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one upstream, on a connection of its own.
+//! One request to one upstream, on a dedicated connection.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -14,47 +14,49 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Time to open a connection: many times the way to the farthest data centre of a region.
+/// Time-out for opening a connection; many times the round trip to the farthest data centre of a
+/// region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Bytes that the peer does not acknowledge for this long end the connection.
+/// A connection is closed if the peer does not acknowledge bytes for this time.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A connection at rest is probed after this time, and again each time it passes.
+/// Idle time after which a connection is probed, and the interval between probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// So many probes without an answer end a connection, unless the system waits for the time-out of bytes here too.
-const UNANSWERED_PROBES: u32 = 2;
+/// A connection is closed after this many unanswered probes, unless the operating system applies
+/// the time-out for unacknowledged bytes to probes too.
+const MAX_UNANSWERED_PROBES: u32 = 2;
 
-/// The largest head of an answer.
+/// Maximum size of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// Why there is no answer.
+/// Reason why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// Nothing was sent.
     #[error("no connection: {0}")]
     Connect(#[source] std::io::Error),
-    /// It may have run.
+    /// The connection failed; the request may have run.
     #[error("the connection failed: {0}")]
     Failed(#[source] hyper::Error),
 }
 
-/// Why a small call has no answer.
+/// Reason why a small request got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The connection could not be had, or failed.
+    /// The connection could not be opened, or failed.
     #[error(transparent)]
     Exchange(#[from] ExchangeError),
-    /// The answer broke off.
+    /// The response broke off.
     #[error("the answer broke off: {0}")]
     BrokenOff(#[source] hyper::Error),
-    /// Nothing came in time.
+    /// The response did not arrive within the time-out.
     #[error("no answer in time")]
     TimedOut,
 }
 
-/// Ends the task of a connection together with whoever waits for its answer.
+/// Aborts the task of a connection when it is dropped, with the response that uses it.
 #[derive(Debug)]
 pub(crate) struct Connection(JoinHandle<()>);
 
@@ -64,45 +66,45 @@
     }
 }
 
-/// Opens a connection with the time limits that every socket here has.
+/// Opens a connection with the time-outs that all sockets of this process have.
 ///
 /// # Errors
-/// The peer refused, or did not answer in time.
+/// The peer refused the connection, or did not answer in time.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, std::io::Error> {
     let socket = TcpSocket::new_v4()?;
     let stream = clayplank_clock::timeout(CONNECT_TIMEOUT, socket.connect(address))
         .await
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
-    limit_silence(&stream);
+    set_socket_timeouts(&stream);
     Ok(stream)
 }
 
-/// Whether the machine at an address answers that nobody listens there.
+/// Whether connections to an address are refused because nothing listens there.
 pub(crate) async fn is_refused(address: SocketAddr) -> bool {
     let refused = connect(address).await.err();
     refused.is_some_and(|error| error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Ends a connection whose peer's machine is silent, also while nothing is sent: a peer that lives answers
-/// probes however long its program takes.
-pub(crate) fn limit_silence(stream: &TcpStream) {
+/// Closes a connection whose peer host is unresponsive, even while nothing is sent: a running host
+/// answers probes however busy its program is.
+pub(crate) fn set_socket_timeouts(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(target: "forward", "A socket keeps its delay: {error}.");
+        log::debug!(target: "forward", "Could not set TCP_NODELAY on a socket: {error}.");
     }
     let probes = TcpKeepalive::new()
         .with_time(PROBE_INTERVAL)
         .with_interval(PROBE_INTERVAL)
-        .with_retries(UNANSWERED_PROBES);
-    let limited = socket
+        .with_retries(MAX_UNANSWERED_PROBES);
+    let configured = socket
         .set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
         .and_then(|()| socket.set_tcp_keepalive(&probes));
-    if let Err(error) = limited {
-        log::debug!(target: "forward", "A socket has no limit on silence: {error}.");
+    if let Err(error) = configured {
+        log::debug!(target: "forward", "Could not set the time-outs of a socket: {error}.");
     }
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the head of the response.
 pub(crate) async fn exchange(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -115,7 +117,7 @@
         .map_err(ExchangeError::Failed)?;
     let task = tokio::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!(target: "forward", "A connection to an upstream ended: {error}.");
+            log::debug!(target: "forward", "A connection to an upstream failed: {error}.");
         }
     });
     let guard = Connection(task);
@@ -123,14 +125,15 @@
     Ok((response, guard))
 }
 
-/// Makes a small call, such as an order to an engine; gives its status and its whole answer.
+/// Sends a small request, such as a command to an engine, and returns the status and the complete
+/// body.
 ///
 /// # Errors
-/// There was no whole answer in time.
+/// No complete response came in time.
 pub async fn call_whole(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<(StatusCode, Bytes), CallError> {
     let call = async {
         let (response, _connection) = exchange(address, request).await?;
@@ -138,5 +141,5 @@
         let body = response.into_body().collect().await.map_err(CallError::BrokenOff)?;
         Ok((status, body.to_bytes()))
     };
-    clayplank_clock::timeout(patience, call).await.map_err(|_| CallError::TimedOut)?
+    clayplank_clock::timeout(timeout, call).await.map_err(|_| CallError::TimedOut)?
 }
--- a/clayplank-forward/src/gate.rs
+++ b/clayplank-forward/src/gate.rs
@@ -1,4 +1,4 @@
-//! What a host serves under, and whether it takes requests at all.
+//! Plan in force at a host, and whether the host accepts requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,64 +10,70 @@
 
 use crate::clock::now_ms;
 
-/// The plan in force, how long it may be used, and the requests in progress.
+/// The plan in force, its lease, and the number of requests in progress.
 #[derive(Debug)]
 pub struct Gate {
     plan: ArcSwapOption<PlanIndex>,
-    /// Until when accounts may be admitted under the plan; counted from when a keeper was asked.
+    /// Time until which accounts may be admitted under the plan, in ms; counted from the request to
+    /// the keeper.
     confirmed_until_ms: AtomicU64,
     lease_ms: AtomicU64,
-    /// Whether a plan was ever confirmed here.
-    has_served: watch::Sender<bool>,
-    is_leaving: AtomicBool,
+    /// Whether a plan has ever been confirmed at this host.
+    has_been_confirmed: watch::Sender<bool>,
+    is_shutting_down: AtomicBool,
     is_closed: AtomicBool,
     is_full: AtomicBool,
     in_progress: AtomicU64,
 }
 
 impl Gate {
-    /// A gate without a plan; a confirmation holds for `lease_ms`.
+    /// Creates a gate without a plan; a confirmation is valid for `lease_ms`.
     pub fn new(lease_ms: u64) -> Self {
         Self {
             plan: ArcSwapOption::empty(),
             confirmed_until_ms: AtomicU64::new(0),
             lease_ms: AtomicU64::new(lease_ms),
-            has_served: watch::Sender::new(false),
-            is_leaving: AtomicBool::new(false),
+            has_been_confirmed: watch::Sender::new(false),
+            is_shutting_down: AtomicBool::new(false),
             is_closed: AtomicBool::new(false),
             is_full: AtomicBool::new(false),
             in_progress: AtomicU64::new(0),
         }
     }
 
-    /// Puts a plan in force, unless a newer one is.
+    /// Puts a plan in force unless a newer one is.
     pub fn set_plan(&self, plan: PlanIndex) {
-        let held = self.plan.load();
-        if held.as_ref().is_none_or(|held| held.plan().version < plan.plan().version) {
+        let current = self.plan.load();
+        if current.as_ref().is_none_or(|current| current.plan().version < plan.plan().version) {
             self.plan.store(Some(Arc::new(plan)));
         }
     }
 
-    /// Notes that a keeper, asked at this time, confirmed the plan.
-    pub fn confirm(&self, asked_ms: u64) {
+    /// Records that a keeper confirmed the plan in reply to a request sent at this time.
+    pub fn confirm(&self, requested_ms: u64) {
         let lease_ms = self.lease_ms.load(Ordering::SeqCst);
-        self.confirmed_until_ms.fetch_max(asked_ms + lease_ms, Ordering::SeqCst);
-        self.has_served.send_if_modified(|has_served| !std::mem::replace(has_served, true));
+        self.confirmed_until_ms.fetch_max(requested_ms + lease_ms, Ordering::SeqCst);
+        self.has_been_confirmed
+            .send_if_modified(|has_been_confirmed| !std::mem::replace(has_been_confirmed, true));
     }
 
-    /// Waits for the first confirmed plan of a host that has just started, but not for long.
-    pub async fn wait_for_first_plan(&self, patience: Duration) {
-        if *self.has_served.borrow() {
+    /// Waits, up to a time-out, for the first confirmed plan of a newly started host.
+    pub async fn wait_for_first_plan(&self, timeout: Duration) {
+        if *self.has_been_confirmed.borrow() {
             return;
         }
-        let mut has_served = self.has_served.subscribe();
-        // Without one in time the caller is refused, as by a host that has lost its plan.
-        clayplank_clock::timeout(patience, has_served.wait_for(|has_served| *has_served))
-            .await
-            .ok();
-    }
-
-    /// Takes in a changed lease; it counts from the next confirmation on.
+        let mut has_been_confirmed = self.has_been_confirmed.subscribe();
+        // Without a plan in time the request is rejected, as by a host whose plan is no longer
+        // confirmed.
+        clayplank_clock::timeout(
+            timeout,
+            has_been_confirmed.wait_for(|has_been_confirmed| *has_been_confirmed),
+        )
+        .await
+        .ok();
+    }
+
+    /// Sets a new lease duration, which applies from the next confirmation.
     pub fn set_lease_ms(&self, lease_ms: u64) {
         self.lease_ms.store(lease_ms, Ordering::SeqCst);
     }
@@ -77,7 +83,7 @@
         self.plan.load_full()
     }
 
-    /// The version of the plan in force; 0 for none.
+    /// Version of the plan in force; 0 for none.
     pub(crate) fn plan_version(&self) -> u64 {
         self.plan.load().as_ref().map_or(0, |plan| plan.plan().version)
     }
@@ -87,39 +93,40 @@
         now_ms() < self.confirmed_until_ms.load(Ordering::SeqCst)
     }
 
-    /// Whether new connections should come here.
+    /// Whether the load balancer should send new connections to this host.
     pub fn is_ready(&self) -> bool {
-        let is_served = self.is_confirmed() && self.plan.load().is_some();
-        is_served && !self.is_leaving() && !self.is_full.load(Ordering::SeqCst)
+        let has_plan = self.is_confirmed() && self.plan.load().is_some();
+        has_plan && !self.is_leaving() && !self.is_full.load(Ordering::SeqCst)
     }
 
-    /// Notes whether no further connection can be taken. A host that says it is ready all the same is
-    /// sent callers whom it leaves waiting until one of its connections has rested for too long.
+    /// Sets whether no further connection can be accepted. A full host that still reported itself
+    /// ready would be sent callers that wait until one of its connections exceeds the idle
+    /// time-out.
     pub(crate) fn set_full(&self, is_full: bool) {
         self.is_full.store(is_full, Ordering::SeqCst);
     }
 
-    /// From now on the host is not ready.
+    /// Marks the host as not ready, permanently.
     pub fn leave(&self) {
-        self.is_leaving.store(true, Ordering::SeqCst);
+        self.is_shutting_down.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the host is stopping.
+    /// Whether the host is shutting down.
     pub fn is_leaving(&self) -> bool {
-        self.is_leaving.load(Ordering::SeqCst)
+        self.is_shutting_down.load(Ordering::SeqCst)
     }
 
-    /// From now on requests are refused: they could not be served to their end.
+    /// Rejects all further requests, as they could not be completed any more.
     pub fn close(&self) {
         self.is_closed.store(true, Ordering::SeqCst);
     }
 
-    /// Whether requests are refused.
+    /// Whether requests are rejected.
     pub fn is_closed(&self) -> bool {
         self.is_closed.load(Ordering::SeqCst)
     }
 
-    /// Requests between their head and the end of their answer.
+    /// Number of requests between their head and the end of their answer.
     pub fn in_progress(&self) -> u64 {
         self.in_progress.load(Ordering::SeqCst)
     }
--- a/clayplank-forward/src/headers.rs
+++ b/clayplank-forward/src/headers.rs
@@ -1,10 +1,10 @@
-//! Which headers cross a host, and which it sets.
+//! Headers that are forwarded to upstreams and caller_headers, and those that the host sets.
 
 use http::{HeaderMap, HeaderName, HeaderValue, header};
 
 use crate::names::HeaderNames;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), and those that frame a body.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and those that frame a body.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -19,7 +19,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Takes out what concerns the connection, the headers that it names among them.
+/// Removes hop-by-hop headers, including those that the `Connection` header names.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -33,40 +33,44 @@
     }
 }
 
-/// What a host tells an upstream of itself.
+/// Values of the headers that a host sets on a request to an upstream.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Told<'a> {
+pub(crate) struct UpstreamHeaders<'a> {
     pub(crate) account: Option<&'a str>,
     pub(crate) upstream: &'a str,
-    pub(crate) left_ms: u64,
+    pub(crate) remaining_ms: u64,
     pub(crate) last_event_id: Option<u64>,
     pub(crate) helpers: &'a str,
     pub(crate) rank: Option<u8>,
 }
 
-/// The caller's headers as an upstream gets them.
-pub(crate) fn for_upstream(callers: &HeaderMap, names: &HeaderNames, told: &Told<'_>) -> HeaderMap {
-    let mut headers = callers.clone();
+/// Returns the caller's headers as they are sent to an upstream.
+pub(crate) fn upstream_headers(
+    caller_headers: &HeaderMap,
+    names: &HeaderNames,
+    values: &UpstreamHeaders<'_>,
+) -> HeaderMap {
+    let mut headers = caller_headers.clone();
     strip_hop_by_hop(&mut headers);
     headers.remove(header::AUTHORIZATION);
     headers.remove(header::EXPECT);
     for name in [&names.account, &names.helpers, &names.priority, &names.expect_upstream] {
         headers.remove(name);
     }
-    headers.insert(names.deadline_ms.clone(), HeaderValue::from(told.left_ms));
-    put(&mut headers, &names.expect_upstream, told.upstream);
-    put(&mut headers, &names.account, told.account.unwrap_or_default());
-    put(&mut headers, &names.helpers, told.helpers);
-    if let Some(id) = told.last_event_id {
+    headers.insert(names.deadline_ms.clone(), HeaderValue::from(values.remaining_ms));
+    insert_nonempty(&mut headers, &names.expect_upstream, values.upstream);
+    insert_nonempty(&mut headers, &names.account, values.account.unwrap_or_default());
+    insert_nonempty(&mut headers, &names.helpers, values.helpers);
+    if let Some(id) = values.last_event_id {
         headers.insert(names.last_event_id.clone(), HeaderValue::from(id));
     }
-    if let Some(rank) = told.rank {
+    if let Some(rank) = values.rank {
         headers.insert(names.priority.clone(), HeaderValue::from(u16::from(rank)));
     }
     headers
 }
 
-fn put(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
+fn insert_nonempty(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
     if value.is_empty() {
         return;
     }
@@ -74,6 +78,8 @@
         Ok(value) => {
             headers.insert(name.clone(), value);
         }
-        Err(error) => log::warn!(target: "forward", "A value does not fit header {name}: {error}."),
+        Err(error) => {
+            log::warn!(target: "forward", "Left out header {name}, whose value is invalid: {error}.")
+        }
     }
 }
--- a/clayplank-forward/src/door.rs
+++ b/clayplank-forward/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listens for callers, and for small calls of the platform.
+//! Accepts connections of callers, and of small requests such as control calls.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,25 +17,26 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 
 use crate::entry::Entry;
-use crate::exchange::limit_silence;
+use crate::exchange::set_socket_timeouts;
 
-/// Connections for small calls that are open at once; each holds a descriptor and some memory.
+/// Maximum number of open connections for small requests; each takes a file descriptor and some
+/// memory.
 const MAX_SIMPLE_CONNECTIONS: usize = 2_000;
 
-/// The largest head of a request that is read, in bytes; the plan's own limit is lower.
+/// Maximum size of a request head, in bytes; the plan's limit is lower.
 const MAX_HEAD_BYTES: usize = 32 << 10;
 
-/// A connection may rest this long if the plan says nothing else.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+/// Idle time-out of connections if the plan sets none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Pause after an accept that failed: descriptors may come free.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after a failed accept, in which file descriptors may become free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The least that a head may take, added to the time a connection may rest.
-const HEAD_TIME: Duration = Duration::from_secs(1);
+/// Minimum time for receiving a request head, added to the idle_timeout time-out.
+const MIN_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Serves callers until `closing` turns true: then no connection is accepted any
-/// more, and each one ends after the request that it serves.
+/// Serves callers until `closing` becomes true: then no further connection is accepted, and each
+/// open one ends after its current request.
 pub async fn serve_callers(
     listener: TcpListener,
     entry: Arc<Entry>,
@@ -60,7 +61,7 @@
     }
 }
 
-/// Accepts a connection as soon as one more may be open, and then counts as not full any more.
+/// Accepts a connection as soon as another may be open; marks the gate as not full then.
 async fn accept_when_free(
     listener: &TcpListener,
     permits: &Arc<Semaphore>,
@@ -71,7 +72,7 @@
     Some((accept(listener).await?, permit))
 }
 
-async fn accept_one(
+async fn accept_simple(
     listener: &TcpListener,
     permits: &Arc<Semaphore>,
 ) -> Option<(TcpStream, OwnedSemaphorePermit)> {
@@ -82,12 +83,12 @@
 async fn accept(listener: &TcpListener) -> Option<TcpStream> {
     match listener.accept().await {
         Ok((stream, _)) => {
-            limit_silence(&stream);
+            set_socket_timeouts(&stream);
             Some(stream)
         }
         Err(error) => {
-            log::warn!(target: "forward", "A connection was not accepted: {error}.");
-            clayplank_clock::sleep(ACCEPT_PAUSE).await;
+            log::warn!(target: "forward", "Could not accept a connection: {error}.");
+            clayplank_clock::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
@@ -95,7 +96,7 @@
 
 async fn serve_caller(stream: TcpStream, entry: Arc<Entry>, mut closing: watch::Receiver<bool>) {
     let plan = entry.gate.plan();
-    let idle = plan.map(|plan| Duration::from_millis(plan.plan().limits.idle_timeout_ms));
+    let idle_timeout = plan.map(|plan| Duration::from_millis(plan.plan().limits.idle_timeout_ms));
     let service = service_fn(move |request: Request<Incoming>| {
         let entry = Arc::clone(&entry);
         async move { Ok::<_, Infallible>(entry.answer(request).await) }
@@ -103,7 +104,7 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(idle.unwrap_or(DEFAULT_IDLE) + HEAD_TIME)
+        .header_read_timeout(idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT) + MIN_HEAD_TIMEOUT)
         .max_buf_size(MAX_HEAD_BYTES);
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
     let served = tokio::select! {
@@ -114,16 +115,17 @@
         }
     };
     if let Err(error) = served {
-        log::debug!(target: "forward", "A caller's connection ended: {error}.");
+        log::debug!(target: "forward", "A caller's connection failed: {error}.");
     }
 }
 
-/// Waits for the turn to true; a sender that is gone ends the process anyway.
+/// Waits until the value is true. A dropped sender counts as closing too, as the process is
+/// terminating then.
 async fn wait_until_closing(closing: &mut watch::Receiver<bool>) {
     closing.wait_for(|is_closing| *is_closing).await.ok();
 }
 
-/// Serves small calls: each is answered by `answer`, with a whole body.
+/// Serves small requests: each is answered by `answer` with a complete body.
 pub async fn serve_simple<F, R>(listener: TcpListener, answer: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
@@ -131,7 +133,7 @@
 {
     let permits = Arc::new(Semaphore::new(MAX_SIMPLE_CONNECTIONS));
     loop {
-        let Some((stream, permit)) = accept_one(&listener, &permits).await else {
+        let Some((stream, permit)) = accept_simple(&listener, &permits).await else {
             continue;
         };
         let answer = answer.clone();
@@ -142,9 +144,9 @@
                 async move { Ok::<_, Infallible>(answer.await) }
             });
             let mut builder = http1::Builder::new();
-            builder.timer(TokioTimer::new()).header_read_timeout(DEFAULT_IDLE);
+            builder.timer(TokioTimer::new()).header_read_timeout(DEFAULT_IDLE_TIMEOUT);
             if let Err(error) = builder.serve_connection(TokioIo::new(stream), service).await {
-                log::debug!(target: "forward", "A connection ended: {error}.");
+                log::debug!(target: "forward", "A connection failed: {error}.");
             }
         });
     }
--- a/clayplank-forward/src/load.rs
+++ b/clayplank-forward/src/load.rs
@@ -1,4 +1,4 @@
-//! What an attempt takes of an upstream, until it ends.
+//! Load that an attempt puts on an upstream, counted until the attempt ends.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -10,49 +10,50 @@
 use crate::entry::Entry;
 use crate::reserve::Reservation;
 
-/// How an attempt ended, as far as it speaks of its upstream.
+/// Result of an attempt, as far as it tells about the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// The upstream did its work.
+    /// The upstream completed its work.
     Good,
-    /// The upstream answered that it failed, or did not run the request.
+    /// The upstream responded that it failed or did not run the request.
     Failed,
-    /// The connection broke off, or nothing more came.
+    /// The connection broke off, or its time-out passed.
     Broken,
-    /// No connection could be had.
-    Unreached,
+    /// No connection could be opened.
+    Unreachable,
 }
 
 impl Outcome {
-    /// What is told of the placement of an attempt that ended like this.
+    /// Event that is reported for the placement of an attempt with this outcome.
     fn event(self) -> Event {
         match self {
             Self::Good => Event::Ended,
             Self::Failed => Event::Failed,
             Self::Broken => Event::Broken,
-            Self::Unreached => Event::Unreached,
+            Self::Unreachable => Event::Unreached,
         }
     }
 }
 
-/// Gives back what an attempt takes of an upstream, however it ends.
+/// Releases what an attempt uses of an upstream, however the attempt ends.
 pub(crate) struct LoadGuard {
     entry: Arc<Entry>,
     upstream: UpstreamId,
     placement: Option<PlacementId>,
-    /// Engines that read with the upstream.
+    /// Engines that prefill the prompt together with the upstream.
     helpers: Vec<UpstreamId>,
     failed_helper: Option<usize>,
     started_at: Instant,
-    /// `None` until it is known; a caller who leaves before speaks of no upstream.
+    /// `None` until it is known; if the caller disconnects before, the attempt does not count
+    /// against the upstream.
     outcome: Option<Outcome>,
-    /// Memory that other engines hold for the prompt; released when the attempt ends.
+    /// Memory reserved at other engines for the prompt; released when the attempt ends.
     reservation: Option<Reservation>,
-    is_over: bool,
+    is_released: bool,
 }
 
 impl LoadGuard {
-    /// An attempt that starts now; `placement` if it was placed on an engine.
+    /// Starts an attempt; `placement` is set if it was placed on an engine.
     pub(crate) fn new(
         entry: &Arc<Entry>,
         upstream: &UpstreamId,
@@ -67,11 +68,11 @@
             started_at: Instant::now(),
             outcome: None,
             reservation: None,
-            is_over: false,
+            is_released: false,
         }
     }
 
-    /// What comes of a wait on the upstream; `None` once another life stands in its place.
+    /// Awaits a future that depends on the upstream; `None` once the upstream has been replaced.
     pub(crate) async fn unless_replaced<T>(&self, wait: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
@@ -80,12 +81,12 @@
         }
     }
 
-    /// Keeps memory of other engines reserved for as long as the attempt.
-    pub(crate) fn hold(&mut self, reservation: Reservation) {
+    /// Keeps memory of other engines reserved for the duration of the attempt.
+    pub(crate) fn set_reservation(&mut self, reservation: Reservation) {
         self.reservation = Some(reservation);
     }
 
-    /// The first event came.
+    /// Reports that the first event has arrived.
     pub(crate) fn note_started(&self) {
         if let Some(id) = self.placement {
             let took_ms = self.started_at.elapsed().as_secs_f64() * 1e3;
@@ -93,26 +94,27 @@
         }
     }
 
-    /// Names the engines that read with the upstream.
+    /// Sets the engines that prefill the prompt together with the upstream.
     pub(crate) fn set_helpers(&mut self, helpers: Vec<UpstreamId>) {
         self.helpers = helpers;
     }
 
-    /// Notes that a helper failed, and not the upstream; `false` if it is none of its helpers.
+    /// Records that a helper failed, and not the upstream; `false` if the engine is not one of its
+    /// helpers.
     pub(crate) fn note_helper_failed(&mut self, id: &UpstreamId) -> bool {
         self.failed_helper = self.helpers.iter().position(|helper| helper == id);
         self.failed_helper.is_some()
     }
 
-    /// Notes how the attempt ended.
+    /// Records how the attempt ended.
     pub(crate) fn note_outcome(&mut self, outcome: Outcome) {
         self.outcome = Some(outcome);
     }
 
-    /// Gives all of it back now: a stream that broke off may wait for seconds until another
-    /// upstream goes on, and the memory of the first attempt would be renewed meanwhile.
-    pub(crate) fn end(&mut self) {
-        if std::mem::replace(&mut self.is_over, true) {
+    /// Releases everything now: a broken stream may wait for seconds until another upstream
+    /// continues it, and the memory reserved for the first attempt would be renewed meanwhile.
+    pub(crate) fn release(&mut self) {
+        if std::mem::replace(&mut self.is_released, true) {
             return;
         }
         self.reservation = None;
@@ -136,6 +138,6 @@
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        self.end();
+        self.release();
     }
 }
--- a/clayplank-forward/src/names.rs
+++ b/clayplank-forward/src/names.rs
@@ -1,35 +1,35 @@
-//! Names of the headers that the forwarding reads and writes.
+//! Names of the headers that are read and written when requests are forwarded.
 
 use http::HeaderName;
 
-/// One name for each header that means something to a host or an upstream.
+/// Names of all headers with a meaning for hosts or upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
     /// The caller's id of this attempt; upstreams echo it.
     pub attempt_id: HeaderName,
-    /// Time that the caller, or the host, will wait, in ms.
+    /// Time for which the caller, or the host, will wait, in ms.
     pub deadline_ms: HeaderName,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub last_event_id: HeaderName,
-    /// Tokens of the prompt and the most of the answer, with a comma between.
+    /// Tokens of the prompt and maximum tokens of the answer, separated by a comma.
     pub token_counts: HeaderName,
-    /// The client account, as upstreams are told.
+    /// Client account, sent to upstreams.
     pub account: HeaderName,
-    /// The one life of an upstream that may run the request.
+    /// Incarnation of the upstream that may run the request; no other may.
     pub expect_upstream: HeaderName,
-    /// Which engine is at fault that a request was not run: a helper, perhaps.
+    /// Engine that caused a request not to be run, which may be a helper.
     pub at_fault: HeaderName,
-    /// The upstream's mark on an answer of its own.
+    /// Mark by which an upstream identifies an answer as its own.
     pub seal: HeaderName,
-    /// Says that the request was not run.
+    /// States that the request was not run.
     pub not_run: HeaderName,
-    /// Requests running, waiting, and slots of the upstream.
+    /// Running requests, waiting requests and slots of the upstream.
     pub load: HeaderName,
-    /// Requests a second that the upstream takes from all hosts together, while it says so.
+    /// Requests per second that the upstream accepts from all hosts together; absent if unlimited.
     pub limit: HeaderName,
-    /// Engines that read the prompt together with the receiver.
+    /// Engines that prefill the prompt together with the receiver.
     pub helpers: HeaderName,
-    /// Urgency at the engine.
+    /// Priority at the engine.
     pub priority: HeaderName,
 }
 
--- /dev/null
+++ b/clayplank-forward/src/permits.rs
@@ -0,0 +1,106 @@
+//! Chooses an upstream of a plain service, and waits for a permit if the upstream has a rate limit.
+
+use std::time::Duration;
+
+use clayplank_registry::Record;
+
+use crate::call::Call;
+use crate::choice::{Chosen, NO_UPSTREAM_RETRY_MS};
+use crate::clock::millis;
+use crate::directory::Choice;
+use crate::entry::Entry;
+use crate::load::LoadGuard;
+use crate::placer::Turn;
+use crate::refusal::Refusal;
+
+/// Interval at which the hosts that may send are drawn anew by chance while no host grants permits.
+const REDRAW_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Result of waiting for a permit.
+enum PermitWait {
+    /// The request may be sent, and has been counted at the upstream.
+    Granted,
+    /// No permit is available before this time.
+    NotBefore(Duration),
+    /// The upstream no longer accepts new work.
+    Unusable,
+}
+
+impl Call {
+    /// Chooses an upstream of a plain service: one that accepts the request at once, or else the
+    /// one with the earliest permit if that is in time. A request that cannot be sent in time is
+    /// rejected at once.
+    pub(crate) async fn choose_service(&self) -> Result<Chosen, Refusal> {
+        let directory = &self.entry.directory;
+        loop {
+            if let Some(record) = self.choose_immediately().await {
+                return Ok(self.chosen(record));
+            }
+            let Some((record, wait)) = directory.earliest_permit(&self.service, &self.tried) else {
+                return Err(Refusal::NotRun { retry_after_ms: NO_UPSTREAM_RETRY_MS });
+            };
+            let remaining =
+                millis(self.route.goal_ms).saturating_sub(self.waited()).min(self.remaining());
+            let wait_result = if wait <= remaining {
+                self.acquire_permit(&record, remaining).await
+            } else {
+                PermitWait::NotBefore(wait)
+            };
+            match wait_result {
+                PermitWait::Granted => return Ok(self.chosen(record)),
+                PermitWait::NotBefore(wait) => {
+                    return Err(Refusal::NotRun { retry_after_ms: wait.as_millis() as u64 });
+                }
+                PermitWait::Unusable => {}
+            }
+        }
+    }
+
+    /// Returns an upstream that accepts the request without a wait.
+    async fn choose_immediately(&self) -> Option<Record> {
+        let Entry { directory, data_centre, .. } = &*self.entry;
+        loop {
+            match directory.choose(&self.service, data_centre, &self.tried)? {
+                Choice::Counted(record) => return Some(record),
+                Choice::NeedsTurn(record) => {
+                    match self.acquire_permit(&record, Duration::ZERO).await {
+                        PermitWait::Granted => return Some(record),
+                        PermitWait::NotBefore(_) | PermitWait::Unusable => {}
+                    }
+                }
+            }
+        }
+    }
+
+    fn chosen(&self, record: Record) -> Chosen {
+        let load = LoadGuard::new(&self.entry, &record.heartbeat.id, None);
+        Chosen { record, helpers: String::new(), expected_ms: 0.0, load }
+    }
+
+    /// Requests a permit within the time-out and waits for it.
+    async fn acquire_permit(&self, record: &Record, timeout: Duration) -> PermitWait {
+        let (directory, id) = (&self.entry.directory, &record.heartbeat.id);
+        let Some(limit) = directory.limit(id) else {
+            directory.count_permitted(id);
+            return PermitWait::Granted;
+        };
+        let wait = match self.entry.placer.take_turn(&limit, timeout).await {
+            Turn::After(wait) => {
+                clayplank_clock::sleep(wait).await;
+                // By now the upstream may have departed, or its data centre may be cordoned.
+                if directory.usable_record(id).is_none() {
+                    return PermitWait::Unusable;
+                }
+                directory.count_permitted(id);
+                return PermitWait::Granted;
+            }
+            Turn::Unknown if directory.count_without_permit(&record.heartbeat) => {
+                return PermitWait::Granted;
+            }
+            Turn::Unknown => REDRAW_INTERVAL,
+            Turn::NotBefore(wait) => wait,
+        };
+        directory.note_no_permit(id, wait);
+        PermitWait::NotBefore(wait)
+    }
+}
--- a/clayplank-forward/src/placer.rs
+++ b/clayplank-forward/src/placer.rs
@@ -1,4 +1,4 @@
-//! Where placements come from: an edge of the process.
+//! Interface through which placements are requested.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,35 +7,34 @@
 use clayplank_placement::{Ask, Event, Placed, PlacementId};
 use clayplank_registry::ObservedLimit;
 
-/// A future behind an edge.
+/// A boxed future, as returned by trait methods.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// When a request may go to an upstream that names a limit.
+/// Answer to a request for a permit to send to an upstream with a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
-    /// After this time: the turn is its own.
+    /// The permit is granted; the request may be sent after this time.
     After(Duration),
-    /// It has none: there is no turn before this time.
+    /// No permit is granted; none will be available before this time.
     NotBefore(Duration),
-    /// Nobody answers who gives turns.
+    /// No host that grants permits answered.
     Unknown,
 }
 
-/// Chooses engines for prompts, here or at another host.
+/// Places prompts on engines, at this or at another host.
 pub trait Placer: Send + Sync + 'static {
-    /// Chooses engines for a prompt, within a short time.
-    fn place<'a>(&'a self, ask: &'a Ask) -> BoxFuture<'a, Placed>;
+    /// Chooses engines for a prompt; returns within a short time.
+    fn place<'a>(&'a self, request: &'a Ask) -> BoxFuture<'a, Placed>;
 
-    /// Takes in what became of a placement.
+    /// Records an event in the life of a placement, such as its end.
     fn note(&self, id: PlacementId, event: Event);
 
-    /// Tells the keepers, and whoever chooses here, what an upstream said of its limit.
+    /// Reports the limit that an upstream stated to the keepers, and to the placement at this host.
     fn note_limit(&self, observed: &ObservedLimit);
 
-    /// Takes a turn at an upstream that names a limit, if there is one within the patience.
-    fn take_turn<'a>(&'a self, limit: &'a ObservedLimit, patience: Duration)
-    -> BoxFuture<'a, Turn>;
+    /// Requests a permit for an upstream with a rate limit; `timeout` bounds the wait for it.
+    fn take_turn<'a>(&'a self, limit: &'a ObservedLimit, timeout: Duration) -> BoxFuture<'a, Turn>;
 
-    /// Names the next placement.
+    /// Allocates the id of the next placement.
     fn next_id(&self) -> PlacementId;
 }
--- a/clayplank-forward/src/pump.rs
+++ b/clayplank-forward/src/pump.rs
@@ -1,40 +1,41 @@
-//! Passes a stream's events on to its caller, and resumes it at another upstream.
+//! Forwards a stream's events to its caller, and resumes the stream at another upstream if it
+//! breaks.
 
 use std::time::Duration;
 
 use clayplank_clock::Instant;
 
 use crate::call::Call;
+use crate::caller_queue::CallerQueue;
 use crate::clock::millis;
 use crate::events::StreamEvent;
-use crate::opening::{Begun, NotResumed, Timing, log_broken, open_elsewhere};
-use crate::outlet::Outlet;
-use crate::source::{Next, Source};
+use crate::opening::{NotResumed, StartedStream, Timing, log_broken, open_elsewhere};
+use crate::source::{EventSource, Next};
 
-/// Silence between events after which a stream is resumed elsewhere: this many pause goals,
-const SILENT_GOALS: u64 = 3;
+/// Time without an event after which another upstream is tried: this many pause goals,
+const SILENCE_GOAL_FACTOR: u64 = 3;
 
-/// but not less than this, in ms: engines cut streams themselves after a stall of 1.5 s.
+/// but not less than this, in ms: engines themselves abort streams after a stall of 1.5 s.
 const MIN_SILENCE_MS: u64 = 1_000;
 
-/// Between two looks for an upstream that takes a broken stream, if none did.
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between attempts to find an upstream for a broken stream.
+const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Moves events from upstreams to a caller.
+/// Forwards events from upstreams to a caller.
 pub(crate) struct Pump {
     call: Call,
-    outlet: Outlet,
-    source: Source,
+    queue: CallerQueue,
+    source: EventSource,
     last_event_id: Option<u64>,
     timing: Timing,
     sent_at: Instant,
     longest_pause: Duration,
 }
 
-/// How a stream to a caller ended.
+/// Reason why a stream to a caller ended.
 #[derive(Clone, Copy)]
 enum StreamEnd {
-    Whole,
+    Complete,
     Broken,
     CallerLeft,
     TimedOut,
@@ -43,7 +44,7 @@
 impl StreamEnd {
     fn as_str(self) -> &'static str {
         match self {
-            Self::Whole => "answered",
+            Self::Complete => "answered",
             Self::Broken => "broken_off",
             Self::CallerLeft => "caller_left",
             Self::TimedOut => "timed_out",
@@ -52,12 +53,12 @@
 }
 
 impl Pump {
-    /// A stream to a caller that has begun at an upstream.
-    pub(crate) fn new(call: Call, outlet: Outlet, source: Source, timing: Timing) -> Self {
+    /// Creates the pump of a stream that an upstream has started.
+    pub(crate) fn new(call: Call, queue: CallerQueue, source: EventSource, timing: Timing) -> Self {
         Self {
             last_event_id: call.facts.last_event_id,
             call,
-            outlet,
+            queue,
             source,
             timing,
             sent_at: Instant::now(),
@@ -65,20 +66,20 @@
         }
     }
 
-    /// Passes events on to the end of the stream, however it ends.
+    /// Forwards events until the stream ends for any reason, and logs its end.
     pub(crate) async fn run(mut self, first: Option<StreamEvent>) {
         let deadline = self.call.deadline;
-        let outlet = self.outlet.clone();
+        let queue = self.queue.clone();
         let end = tokio::select! {
-            end = self.pass_on(first) => end,
-            () = outlet.closed() => StreamEnd::CallerLeft,
+            end = self.forward(first) => end,
+            () = queue.closed() => StreamEnd::CallerLeft,
             () = clayplank_clock::sleep_until(deadline) => StreamEnd::TimedOut,
         };
         match end {
-            StreamEnd::Broken | StreamEnd::TimedOut => outlet.break_off().await,
-            StreamEnd::Whole | StreamEnd::CallerLeft => {}
+            StreamEnd::Broken | StreamEnd::TimedOut => queue.break_off().await,
+            StreamEnd::Complete | StreamEnd::CallerLeft => {}
         }
-        if matches!(end, StreamEnd::Whole) {
+        if matches!(end, StreamEnd::Complete) {
             self.call.note_answered();
         }
         self.log_end(end);
@@ -96,20 +97,21 @@
             last_event = self.last_event_id.unwrap_or_default(), waited_ms = call.waited_ms(),
             fingerprint:% = call.fingerprint;
             "A stream ended");
-        call.entry.figures.count(&call.route.name, end.as_str());
+        call.entry.metrics.count(&call.route.name, end.as_str());
     }
 
-    /// Passes events on until the stream ends, breaks for good, or its caller leaves.
-    async fn pass_on(&mut self, first: Option<StreamEvent>) -> StreamEnd {
+    /// Forwards events until the stream ends, breaks without being resumed, or the caller
+    /// disconnects.
+    async fn forward(&mut self, first: Option<StreamEvent>) -> StreamEnd {
         let Some(first) = first else {
-            return StreamEnd::Whole;
+            return StreamEnd::Complete;
         };
         if !self.send(first).await {
             return StreamEnd::CallerLeft;
         }
         loop {
-            let next = match self.source.next(self.silence()).await {
-                Next::Silent => self.next_or_resumed().await,
+            let next = match self.source.next(self.silence_timeout()).await {
+                Next::TimedOut => self.next_or_resumed().await,
                 next @ (Next::Event(_) | Next::End | Next::Broken(_)) => next,
             };
             match next {
@@ -118,7 +120,7 @@
                         return StreamEnd::CallerLeft;
                     }
                 }
-                Next::End => return StreamEnd::Whole,
+                Next::End => return StreamEnd::Complete,
                 Next::Event(_) => return StreamEnd::Broken,
                 Next::Broken(cause) => {
                     self.note_broken(cause);
@@ -126,46 +128,46 @@
                         return StreamEnd::Broken;
                     }
                 }
-                Next::Silent => return StreamEnd::TimedOut,
+                Next::TimedOut => return StreamEnd::TimedOut,
             }
         }
     }
 
-    /// Blames the upstream for a stream that it did not end.
+    /// Records that the upstream failed to complete the stream.
     fn note_broken(&mut self, cause: &'static str) {
         self.source.note_broken();
         log_broken(&self.call, &self.source.upstream, cause, self.last_event_id);
     }
 
-    /// Asks another upstream while the first one is silent, and takes what comes
-    /// first: a silent engine may only be reading a long prompt.
+    /// Tries another upstream while the current one is unresponsive, and uses whichever sends an
+    /// event first: the current engine may only be prefilling a long prompt.
     async fn next_or_resumed(&mut self) -> Next {
-        let left = self.call.left();
-        if !self.call.may_try() {
-            return self.source.next(left).await;
+        let remaining = self.call.remaining();
+        if !self.call.may_retry() {
+            return self.source.next(remaining).await;
         }
         let last_event_id = self.last_event_id;
         let resumed = tokio::select! {
-            next = self.source.next(left) => return next,
+            next = self.source.next(remaining) => return next,
             resumed = open_elsewhere(&mut self.call, last_event_id) => resumed,
         };
         match resumed {
-            Ok(begun) => {
+            Ok(started) => {
                 self.note_broken("silent");
-                self.source = begun.source;
-                begun.first.map_or(Next::End, Next::Event)
+                self.source = started.source;
+                started.first.map_or(Next::End, Next::Event)
             }
-            Err(NotResumed::NoUpstream | NotResumed::Failed) => self.source.next(left).await,
+            Err(NotResumed::NoUpstream | NotResumed::Failed) => self.source.next(remaining).await,
         }
     }
 
-    /// Silence after which another upstream is asked as well.
-    fn silence(&self) -> Duration {
+    /// Time without an event after which another upstream is tried in parallel.
+    fn silence_timeout(&self) -> Duration {
         let goal_ms = self.call.route.pause_goal_ms.unwrap_or_default();
-        millis((goal_ms * SILENT_GOALS).max(MIN_SILENCE_MS))
+        millis((goal_ms * SILENCE_GOAL_FACTOR).max(MIN_SILENCE_MS))
     }
 
-    /// Whether an event is the one after the last that was passed on.
+    /// Whether an event directly follows the last one that was forwarded.
     fn follows(&self, event: &StreamEvent) -> bool {
         match (event.id, self.last_event_id) {
             (Some(id), Some(last)) => id == last + 1,
@@ -173,45 +175,46 @@
         }
     }
 
-    /// Sends an event to the caller; `false` if the caller has left.
+    /// Sends an event to the caller; `false` if the caller has disconnected.
     async fn send(&mut self, event: StreamEvent) -> bool {
         self.last_event_id = event.id.or(self.last_event_id);
         self.longest_pause = self.longest_pause.max(self.sent_at.elapsed());
         self.sent_at = Instant::now();
-        self.call.waits_since = Some(self.sent_at);
-        self.outlet.send(event.bytes).await
+        self.call.last_event_at = Some(self.sent_at);
+        self.queue.send(event.bytes).await
     }
 
-    /// Goes on at another upstream after the last event.
+    /// Resumes the stream at another upstream, after the last forwarded event.
     async fn resume(&mut self) -> bool {
-        while self.call.may_try() {
-            if let Some(begun) = self.open_at_next().await {
-                return self.take_over(begun).await;
+        while self.call.may_retry() {
+            if let Some(started) = self.open_at_next().await {
+                return self.switch_to(started).await;
             }
         }
         false
     }
 
-    /// One attempt at another upstream, as soon as one takes the stream.
-    async fn open_at_next(&mut self) -> Option<Begun> {
+    /// Makes one attempt at another upstream, as soon as one accepts the stream.
+    async fn open_at_next(&mut self) -> Option<StartedStream> {
         loop {
             match open_elsewhere(&mut self.call, self.last_event_id).await {
-                Ok(begun) => return Some(begun),
-                Err(NotResumed::NoUpstream) if !self.call.patience().is_zero() => {
-                    clayplank_clock::sleep(RESUME_PAUSE).await;
+                Ok(started) => return Some(started),
+                Err(NotResumed::NoUpstream) if !self.call.caller_timeout().is_zero() => {
+                    clayplank_clock::sleep(RESUME_RETRY_INTERVAL).await;
                 }
                 Err(NotResumed::NoUpstream | NotResumed::Failed) => return None,
             }
         }
     }
 
-    /// Goes on with a stream that was opened elsewhere; `false` if it goes on wrongly.
-    async fn take_over(&mut self, begun: Begun) -> bool {
-        self.source = begun.source;
-        match begun.first {
+    /// Continues with a stream opened at another upstream; `false` if its first event is out of
+    /// sequence or the caller has disconnected.
+    async fn switch_to(&mut self, started: StartedStream) -> bool {
+        self.source = started.source;
+        match started.first {
             Some(event) if self.follows(&event) => self.send(event).await,
             Some(_) => false,
-            // The former upstream had sent all but the end.
+            // The previous upstream had sent everything but the end of the stream.
             None => true,
         }
     }
--- /dev/null
+++ b/clayplank-forward/src/quarantine.rs
@@ -0,0 +1,196 @@
+//! Requests under which upstreams terminate: which are quarantined, under which upstreams
+//! terminated at this host, and which have been answered.
+
+use std::collections::{HashMap, HashSet, VecDeque};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use arc_swap::ArcSwap;
+use clayplank_clock::Instant;
+use clayplank_types::{HeldBack, RequestFingerprint, SeenOutcome};
+
+use crate::clock::millis;
+use crate::placer::BoxFuture;
+
+/// Maximum number of recently answered requests, by which wrongly quarantined requests are cleared:
+/// a request that many callers send is among them. At 100 answers per second this covers ten
+/// seconds.
+const MAX_ANSWERED: usize = 1_024;
+
+/// Maximum number of requests under which upstreams terminated at this host and that have not been
+/// answered since.
+const MAX_TERMINATED: usize = 1_024;
+
+/// Minimum retry time for a quarantined request, in ms: another host may be trying it.
+const MIN_QUARANTINE_RETRY_MS: u64 = 1_000;
+
+/// Reason why a request may be sent to an upstream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Passage {
+    /// The request is not quarantined.
+    Free,
+    /// The request is quarantined, and this host may try it once.
+    Trial,
+}
+
+/// What a host observed of a request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Observation {
+    /// Fingerprint of the request.
+    pub fingerprint: RequestFingerprint,
+    /// Caller of the request; empty if unknown.
+    pub caller: String,
+    /// Observed outcome.
+    pub outcome: SeenOutcome,
+    /// Time of the observation.
+    pub at: Instant,
+}
+
+/// Authority that decides for all hosts which requests are quarantined; implemented outside this
+/// crate.
+pub trait Judge: Send + Sync + 'static {
+    /// Reports an observation of this host; does not wait.
+    fn tell(&self, observation: Observation);
+
+    /// Whether this host may send a quarantined request to an upstream, once.
+    fn claim_trial(&self, fingerprint: RequestFingerprint) -> BoxFuture<'_, bool>;
+}
+
+/// Authority of a single host, as in tests: observations are dropped, and nothing is quarantined.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct NoAuthority;
+
+impl Judge for NoAuthority {
+    fn tell(&self, _: Observation) {}
+
+    fn claim_trial(&self, _: RequestFingerprint) -> BoxFuture<'_, bool> {
+        Box::pin(std::future::ready(true))
+    }
+}
+
+#[derive(Debug, Default)]
+struct LocalOutcomes {
+    terminated: HashSet<RequestFingerprint>,
+    /// Oldest first.
+    answered: VecDeque<(RequestFingerprint, Instant)>,
+}
+
+/// This host's knowledge of requests under which upstreams terminate.
+pub struct Suspicion {
+    judge: Arc<dyn Judge>,
+    /// Time of the next permitted trial of each quarantined request.
+    quarantined: ArcSwap<HashMap<RequestFingerprint, Instant>>,
+    outcomes: Mutex<LocalOutcomes>,
+}
+
+impl std::fmt::Debug for Suspicion {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.debug_struct("Suspicion").field("held_back", &self.count()).finish_non_exhaustive()
+    }
+}
+
+impl Suspicion {
+    /// Creates an empty state; `judge` decides for all hosts.
+    pub fn new(judge: Arc<dyn Judge>) -> Self {
+        Self { judge, quarantined: ArcSwap::default(), outcomes: Mutex::default() }
+    }
+
+    fn lock(&self) -> MutexGuard<'_, LocalOutcomes> {
+        self.outcomes.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Time until the next trial of a quarantined request; `None` if it is not quarantined.
+    pub fn held_for(&self, fingerprint: RequestFingerprint) -> Option<Duration> {
+        let next_trial = self.quarantined.load().get(&fingerprint).copied()?;
+        Some(next_trial.saturating_duration_since(Instant::now()))
+    }
+
+    /// Number of quarantined requests.
+    pub(crate) fn count(&self) -> usize {
+        self.quarantined.load().len()
+    }
+
+    /// Admits a request that is not quarantined, or that this host may try now; `Err` is the retry
+    /// time in ms.
+    ///
+    /// # Errors
+    /// The request is quarantined.
+    pub async fn let_through(&self, fingerprint: RequestFingerprint) -> Result<Passage, u64> {
+        let Some(wait) = self.held_for(fingerprint) else {
+            return Ok(Passage::Free);
+        };
+        if wait.is_zero() && self.judge.claim_trial(fingerprint).await {
+            log::info!(target: "forward",
+                fingerprint:% = fingerprint; "Sends a quarantined request as a trial");
+            return Ok(Passage::Trial);
+        }
+        Err((wait.as_millis() as u64).max(MIN_QUARANTINE_RETRY_MS))
+    }
+
+    /// Replaces the set of quarantined requests. Newly quarantined requests that were recently
+    /// answered here are reported: they may have been quarantined because of other requests.
+    pub fn set_held_back(&self, held_back: Vec<HeldBack>) {
+        let now = Instant::now();
+        let former = self.quarantined.load_full();
+        let mut next = HashMap::new();
+        for HeldBack { fingerprint, caller, next_trial_in_ms, .. } in held_back {
+            next.insert(fingerprint, now + millis(next_trial_in_ms));
+            if former.contains_key(&fingerprint) {
+                continue;
+            }
+            log::info!(target: "forward",
+                fingerprint:% = fingerprint, caller = caller,
+                next_trial_in_ms = next_trial_in_ms;
+                "A request is held back");
+            if let Some(at) = self.answered_at(fingerprint) {
+                let outcome = SeenOutcome::Survived;
+                self.judge.tell(Observation { fingerprint, caller, outcome, at });
+            }
+        }
+        for fingerprint in former.keys().filter(|known| !next.contains_key(known)) {
+            log::info!(target: "forward", fingerprint:% = fingerprint; "A request is no longer quarantined");
+        }
+        self.quarantined.store(Arc::new(next));
+    }
+
+    /// Time of the last answer to a request at this host.
+    pub(crate) fn answered_at(&self, fingerprint: RequestFingerprint) -> Option<Instant> {
+        let outcomes = self.lock();
+        let newest = outcomes.answered.iter().rev().find(|(known, _)| *known == fingerprint);
+        newest.map(|(_, at)| *at)
+    }
+
+    /// Records that an upstream answered a request completely.
+    pub fn note_answered(&self, fingerprint: RequestFingerprint, caller: &str) {
+        let at = Instant::now();
+        let mut outcomes = self.lock();
+        outcomes.answered.push_back((fingerprint, at));
+        if outcomes.answered.len() > MAX_ANSWERED {
+            outcomes.answered.pop_front();
+        }
+        let is_suspect = outcomes.terminated.remove(&fingerprint);
+        drop(outcomes);
+        if is_suspect || self.quarantined.load().contains_key(&fingerprint) {
+            let (caller, outcome) = (caller.to_owned(), SeenOutcome::Survived);
+            self.judge.tell(Observation { fingerprint, caller, outcome, at });
+        }
+    }
+
+    /// Reports that an upstream terminated under a request, unless the request has been answered
+    /// since.
+    pub(crate) fn note_terminated(&self, observation: Observation) {
+        let answered_at = self.answered_at(observation.fingerprint);
+        if answered_at.is_some_and(|answered_at| answered_at >= observation.at) {
+            return;
+        }
+        let mut outcomes = self.lock();
+        if outcomes.terminated.len() >= MAX_TERMINATED {
+            log::info!(target: "forward", requests = outcomes.terminated.len();
+                "Cleared the local record of requests under which upstreams terminated; the keepers retain it");
+            outcomes.terminated.clear();
+        }
+        outcomes.terminated.insert(observation.fingerprint);
+        drop(outcomes);
+        self.judge.tell(observation);
+    }
+}
--- a/clayplank-forward/src/refusal.rs
+++ b/clayplank-forward/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that are the host's own, and the bodies of all answers.
+//! Responses that the host generates itself, and the bodies of all responses.
 
 use std::convert::Infallible;
 
@@ -7,36 +7,37 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
 
-/// The answer was broken off, and its connection with it, so that it does not look whole.
+/// The answer was broken off; its connection is closed with it, so that the answer does not appear
+/// complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the answer was broken off")]
 pub struct BrokenOff;
 
-/// The body of an answer to a caller.
+/// Body of a response to a caller.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
 
-/// Why a request gets no answer of an upstream.
+/// Reason why a request gets no answer from an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
     /// The request cannot be read.
     Malformed,
-    /// No route fits.
+    /// No route matches.
     NoRoute,
-    /// The account's key is missing or not known.
+    /// The account's key is missing or unknown.
     NoAccount,
     /// The body is larger than allowed.
     TooLarge,
-    /// The body came too slowly.
+    /// The body was not received within the time-out.
     TooSlow,
-    /// No settings are known, or they may be out of date.
+    /// No serving plan is known, or it may be out of date.
     NoPlan { retry_after_ms: u64 },
-    /// Nothing was sent, or the upstream did not run it.
+    /// Nothing was sent, or the upstream did not run the request.
     NotRun { retry_after_ms: u64 },
-    /// Upstreams ended under the same request before; this time it was not sent.
-    HeldBack { retry_after_ms: u64 },
-    /// The time limit is over; it may have run.
+    /// The request is quarantined because upstreams terminated under it; this time it was not sent.
+    Quarantined { retry_after_ms: u64 },
+    /// The time limit has passed; the request may have run.
     TimedOut,
-    /// It may have run, and its answer was lost.
+    /// The request may have run, and its answer was lost.
     Failed,
 }
 
@@ -48,7 +49,7 @@
             Self::NoAccount => StatusCode::UNAUTHORIZED,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::TooSlow => StatusCode::REQUEST_TIMEOUT,
-            Self::NoPlan { .. } | Self::NotRun { .. } | Self::HeldBack { .. } => {
+            Self::NoPlan { .. } | Self::NotRun { .. } | Self::Quarantined { .. } => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
@@ -65,18 +66,18 @@
             Self::TooSlow => "too_slow",
             Self::NoPlan { .. } => "no_plan",
             Self::NotRun { .. } => "not_run",
-            Self::HeldBack { .. } => "held_back",
+            Self::Quarantined { .. } => "held_back",
             Self::TimedOut => "timed_out",
             Self::Failed => "failed",
         }
     }
 
-    /// When to come back, if the request has not run.
+    /// Retry time in ms, if the request has not run.
     pub(crate) fn retry_after_ms(self) -> Option<u64> {
         match self {
             Self::NoPlan { retry_after_ms }
             | Self::NotRun { retry_after_ms }
-            | Self::HeldBack { retry_after_ms } => Some(retry_after_ms),
+            | Self::Quarantined { retry_after_ms } => Some(retry_after_ms),
             Self::Malformed
             | Self::NoRoute
             | Self::NoAccount
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The answer that says so.
+    /// The response to the caller.
     pub(crate) fn to_response(self) -> Response<AnswerBody> {
         let body = format!("{{\"error\":\"{}\"}}", self.as_str());
         let mut response = Response::new(full(Bytes::from(body)));
@@ -104,7 +105,7 @@
     }
 }
 
-/// A body that is whole.
+/// A body that is complete from the start.
 pub(crate) fn full(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never: Infallible| match never {}).boxed_unsync()
 }
--- a/clayplank-forward/src/reserve.rs
+++ b/clayplank-forward/src/reserve.rs
@@ -1,9 +1,10 @@
-//! Memory that other engines hold for a prompt: reserved before, renewed while it runs, released after.
+//! Memory reserved at other engines for a prompt: reserved before it runs, renewed while it runs,
+//! released afterwards.
 //!
-//! One task gives all orders of a prompt, so that none of its own overtakes another. An engine
-//! may still carry out an order seconds after newer ones, if it gave no answer to it: a renewal
-//! that follows the release holds memory that nobody uses. After such a doubt the release is
-//! given again and again, until no order of that prompt can be on its way any more.
+//! One task sends states commands for a prompt, so that they cannot overtake each other. An engine
+//! that did not answer a command may still execute it seconds after later ones: a renewal executed
+//! after the release would reserve memory that nobody uses. If a command was unanswered, the
+//! release is therefore repeated until no earlier command for that prompt can still be executed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,147 +18,149 @@
 
 use crate::exchange::{CallError, ExchangeError, call_whole};
 
-/// How long a reservation holds without being renewed, in ms: memory of a host that
-/// died is free again before anybody counts it as lost.
-const HOLD_MS: u64 = 3_000;
+/// Time for which a reservation is valid without a renewal, in ms. Memory reserved by a failed host
+/// becomes free before it counts as lost.
+const LEASE_MS: u64 = 3_000;
 
-/// Between two renewals: one that is lost is made up for by the next.
-const RENEW_EVERY: Duration = Duration::from_millis(1_000);
+/// Interval between renewals; the next renewal makes up for a lost one.
+const RENEW_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time for an engine to take an order.
-const ORDER_PATIENCE: Duration = Duration::from_millis(500);
+/// Time-out of a command to an engine.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long after it was given an order without an answer may still be carried out: the engines of
-/// the users' platform take up to 12 s.
-const LATE_ORDER: Duration = Duration::from_secs(13);
+/// Maximum time after which an unanswered command may still be executed; platform engines take up
+/// to 12 s.
+const MAX_COMMAND_DELAY: Duration = Duration::from_secs(13);
 
-/// Between two releases while an order may be on its way. An order that comes late holds memory
-/// for this long at most, which is less than the 4 s after which memory counts as lost.
-const RELEASE_AGAIN_EVERY: Duration = Duration::from_millis(2_500);
+/// Interval between releases while an earlier command may still be executed. A late command
+/// reserves memory for at most this long, which is less than the 4 s after which memory counts as
+/// lost.
+const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(2_500);
 
-/// How orders to engines are written: an edge of the process.
+/// Format of commands to engines, implemented outside this crate.
 pub trait OrderFormat: Send + Sync + 'static {
-    /// Sets memory aside, or renews what was set aside under this ticket.
-    fn reserve(&self, ticket: &str, tokens: u64, hold_ms: u64) -> Request<Full<Bytes>>;
+    /// Reserves memory, or renews the reservation with this ticket.
+    fn reserve(&self, ticket: &str, tokens: u64, lease_ms: u64) -> Request<Full<Bytes>>;
 
-    /// Gives it back.
+    /// Releases the reservation with this ticket.
     fn release(&self, ticket: &str) -> Request<Full<Bytes>>;
 }
 
-/// Memory at one engine.
+/// A reservation of memory at one engine.
 #[derive(Clone, Debug)]
 pub struct Ticket {
-    /// Where the engine takes orders.
+    /// Address at which the engine accepts commands.
     pub address: SocketAddr,
-    /// Its name, which no other prompt uses.
+    /// Name of the ticket, unique among states prompts.
     pub name: String,
-    /// How much memory it holds.
+    /// Size of the reserved memory, in tokens.
     pub tokens: u64,
 }
 
-/// All memory that other engines hold for one prompt; released when dropped.
+/// All memory reserved at other engines for one prompt; released when dropped.
 #[derive(Debug)]
 pub struct Reservation {
-    /// Its end tells the task that the memory is not needed any more.
-    _needed: oneshot::Sender<()>,
+    /// Its drop signals the task that the memory is no longer needed.
+    _keep_alive: oneshot::Sender<()>,
 }
 
 impl Reservation {
-    /// Reserves at all engines at once; `None` if one of them has no room. What was
-    /// reserved is given back then.
-    pub async fn make(orders: Arc<dyn OrderFormat>, tickets: Vec<Ticket>) -> Option<Self> {
-        let (needed, ended) = oneshot::channel();
-        let (held_sender, held) = oneshot::channel();
-        // From here on dropping it releases what may be held.
-        let reservation = Self { _needed: needed };
-        tokio::spawn(keep(orders, tickets, held_sender, ended));
-        held.await.unwrap_or(false).then_some(reservation)
+    /// Reserves memory at states engines in parallel; `None` if one of them has no room. In that case
+    /// memory that was reserved is released.
+    pub async fn make(commands: Arc<dyn OrderFormat>, tickets: Vec<Ticket>) -> Option<Self> {
+        let (keep_alive, released) = oneshot::channel();
+        let (result_sender, result) = oneshot::channel();
+        // From here on, dropping it releases what may have been reserved.
+        let reservation = Self { _keep_alive: keep_alive };
+        tokio::spawn(maintain(commands, tickets, result_sender, released));
+        result.await.unwrap_or(false).then_some(reservation)
     }
 }
 
-/// A ticket, and what is not known of its orders.
-struct Kept {
+/// A ticket, and whether commands for it are unconfirmed.
+struct TicketState {
     ticket: Ticket,
-    /// When a reservation was given last that had no answer.
-    doubted: Option<Instant>,
+    /// Time at which the last reservation without an answer was sent.
+    unconfirmed_since: Option<Instant>,
 }
 
-/// What became of an order.
+/// Result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ordered {
+enum CommandResult {
     Taken,
     Refused,
-    /// It was not sent.
+    /// The command was not sent.
     NotSent,
-    /// It may have been carried out, or may be later.
+    /// The command may have been executed, or may be later.
     Unknown,
 }
 
-/// Reserves, tells whether all engines had room, renews while `ended` is open, and releases.
-async fn keep(
-    orders: Arc<dyn OrderFormat>,
+/// Reserves memory, reports whether states engines had room, renews the reservation while `released`
+/// is open, and then releases it.
+async fn maintain(
+    commands: Arc<dyn OrderFormat>,
     tickets: Vec<Ticket>,
-    held: oneshot::Sender<bool>,
-    mut ended: oneshot::Receiver<()>,
+    result: oneshot::Sender<bool>,
+    mut released: oneshot::Receiver<()>,
 ) {
-    let mut all: Vec<_> =
-        tickets.into_iter().map(|ticket| Kept { ticket, doubted: None }).collect();
-    let is_held = reserve_all(&*orders, &mut all).await;
-    // Nobody waits any more if the caller has left meanwhile; then the memory is released.
-    held.send(is_held).ok();
+    let mut states: Vec<_> =
+        tickets.into_iter().map(|ticket| TicketState { ticket, unconfirmed_since: None }).collect();
+    let is_reserved = reserve_all(&*commands, &mut states).await;
+    // If the caller has disconnected meanwhile, nothing receives this, and the memory is released.
+    result.send(is_reserved).ok();
     loop {
         tokio::select! {
             biased;
-            _ = &mut ended => break,
-            () = clayplank_clock::sleep(RENEW_EVERY) => {}
+            _ = &mut released => break,
+            () = clayplank_clock::sleep(RENEW_INTERVAL) => {}
         }
-        if !reserve_all(&*orders, &mut all).await {
-            log::info!(target: "forward", tickets = all.len(); "A reservation was not renewed everywhere");
+        if !reserve_all(&*commands, &mut states).await {
+            log::info!(target: "forward", tickets = states.len(); "Could not renew a memory reservation at all engines");
         }
     }
-    let releases = all.iter().map(|kept| release(&*orders, kept));
+    let releases = states.iter().map(|state| release(&*commands, state));
     futures_util::future::join_all(releases).await;
 }
 
-async fn reserve_all(orders: &dyn OrderFormat, all: &mut [Kept]) -> bool {
-    let calls = all.iter_mut().map(|kept| async {
-        let given = Instant::now();
-        let order = orders.reserve(&kept.ticket.name, kept.ticket.tokens, HOLD_MS);
-        let ordered = give_order(&kept.ticket, order).await;
-        if ordered == Ordered::Unknown {
-            kept.doubted = Some(given);
+async fn reserve_all(commands: &dyn OrderFormat, states: &mut [TicketState]) -> bool {
+    let calls = states.iter_mut().map(|state| async {
+        let sent_at = Instant::now();
+        let command = commands.reserve(&state.ticket.name, state.ticket.tokens, LEASE_MS);
+        let result = send_command(&state.ticket, command).await;
+        if result == CommandResult::Unknown {
+            state.unconfirmed_since = Some(sent_at);
         }
-        ordered == Ordered::Taken
+        result == CommandResult::Taken
     });
-    futures_util::future::join_all(calls).await.into_iter().all(|is_taken| is_taken)
+    futures_util::future::join_all(calls).await.into_iter().all(|is_accepted| is_accepted)
 }
 
-/// Releases a ticket; again while a reservation of it may be carried out late.
-async fn release(orders: &dyn OrderFormat, kept: &Kept) {
-    let ticket = &kept.ticket;
-    let first = give_order(ticket, orders.release(&ticket.name)).await;
-    let Some(doubted) = kept.doubted else {
+/// Releases a ticket, repeatedly while an earlier reservation of it may still be executed.
+async fn release(commands: &dyn OrderFormat, state: &TicketState) {
+    let ticket = &state.ticket;
+    let first = send_command(ticket, commands.release(&ticket.name)).await;
+    let Some(unconfirmed_since) = state.unconfirmed_since else {
         return;
     };
-    log::info!(target: "forward", ticket = ticket.name, first:? = first; "An order may be carried out late");
-    while doubted.elapsed() < LATE_ORDER {
-        clayplank_clock::sleep(RELEASE_AGAIN_EVERY).await;
-        give_order(ticket, orders.release(&ticket.name)).await;
+    log::info!(target: "forward", ticket = ticket.name, first:? = first; "An command may be carried out late");
+    while unconfirmed_since.elapsed() < MAX_COMMAND_DELAY {
+        clayplank_clock::sleep(RELEASE_RETRY_INTERVAL).await;
+        send_command(ticket, commands.release(&ticket.name)).await;
     }
 }
 
-/// Gives an order.
-async fn give_order(ticket: &Ticket, order: Request<Full<Bytes>>) -> Ordered {
-    match call_whole(ticket.address, order, ORDER_PATIENCE).await {
-        Ok((StatusCode::OK, _)) => Ordered::Taken,
-        Ok(_) => Ordered::Refused,
+/// Sends a command to an engine.
+async fn send_command(ticket: &Ticket, command: Request<Full<Bytes>>) -> CommandResult {
+    match call_whole(ticket.address, command, COMMAND_TIMEOUT).await {
+        Ok((StatusCode::OK, _)) => CommandResult::Taken,
+        Ok(_) => CommandResult::Refused,
         Err(error) => {
-            log::info!(target: "forward", ticket = ticket.name, cause:% = error; "An order failed");
+            log::info!(target: "forward", ticket = ticket.name, cause:% = error; "An command failed");
             match error {
-                CallError::Exchange(ExchangeError::Connect(_)) => Ordered::NotSent,
+                CallError::Exchange(ExchangeError::Connect(_)) => CommandResult::NotSent,
                 CallError::Exchange(ExchangeError::Failed(_))
                 | CallError::BrokenOff(_)
-                | CallError::TimedOut => Ordered::Unknown,
+                | CallError::TimedOut => CommandResult::Unknown,
             }
         }
     }
--- a/clayplank-forward/src/source.rs
+++ b/clayplank-forward/src/source.rs
@@ -1,4 +1,4 @@
-//! One upstream's stream: its events as they come, and how it ends.
+//! Stream of events from one upstream.
 
 use std::time::Duration;
 
@@ -10,32 +10,32 @@
 use crate::exchange::Connection;
 use crate::load::{LoadGuard, Outcome};
 
-/// The largest event that is held until it is whole, in bytes.
+/// Maximum size of an event, in bytes.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// What an upstream's stream brings next.
+/// Result of reading the next event of a stream.
 pub(crate) enum Next {
     Event(StreamEvent),
-    /// It ended as a whole answer does.
+    /// The stream ended completely.
     End,
-    /// It broke off.
+    /// The stream broke off.
     Broken(&'static str),
-    /// It said nothing for too long.
-    Silent,
+    /// No event came within the time-out.
+    TimedOut,
 }
 
-/// One upstream's stream.
-pub(crate) struct Source {
+/// The stream of one upstream.
+pub(crate) struct EventSource {
     pub(crate) load: LoadGuard,
     pub(crate) upstream: String,
     body: Incoming,
     splitter: EventSplitter,
-    /// Held until the stream is dropped, which ends the connection.
+    /// Closes the connection when the stream is dropped.
     _connection: Connection,
 }
 
-impl Source {
-    /// The events of an answer.
+impl EventSource {
+    /// Creates the stream of events in a response body.
     pub(crate) fn new(
         upstream: String,
         body: Incoming,
@@ -46,27 +46,27 @@
         Self { load, upstream, body, splitter, _connection: connection }
     }
 
-    /// The next event, or why there is none.
-    pub(crate) async fn next(&mut self, patience: Duration) -> Next {
+    /// Reads the next event, or the reason why there is none.
+    pub(crate) async fn next(&mut self, timeout: Duration) -> Next {
         let Self { load, body, splitter, .. } = self;
-        let next = load.unless_replaced(read_next(body, splitter, patience)).await;
+        let next = load.unless_replaced(read_next(body, splitter, timeout)).await;
         next.unwrap_or(Next::Broken("replaced"))
     }
 
-    /// Notes that the upstream did not end its stream, and gives back what it took.
+    /// Records that the upstream did not complete its stream, and releases the attempt's load.
     pub(crate) fn note_broken(&mut self) {
         self.load.note_outcome(Outcome::Broken);
-        self.load.end();
+        self.load.release();
     }
 }
 
-async fn read_next(body: &mut Incoming, splitter: &mut EventSplitter, patience: Duration) -> Next {
-    let until = Instant::now() + patience;
+async fn read_next(body: &mut Incoming, splitter: &mut EventSplitter, timeout: Duration) -> Next {
+    let deadline = Instant::now() + timeout;
     loop {
         if let Some(event) = splitter.next_event() {
             return Next::Event(event);
         }
-        match clayplank_clock::timeout_at(until, body.frame()).await {
+        match clayplank_clock::timeout_at(deadline, body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 if let Some(bytes) = frame.data_ref() {
                     splitter.push(bytes);
@@ -80,7 +80,7 @@
             }
             Ok(None) => return Next::End,
             Ok(Some(Err(_))) => return Next::Broken("the connection failed"),
-            Err(_) => return Next::Silent,
+            Err(_) => return Next::TimedOut,
         }
     }
 }
--- a/clayplank-forward/src/stream.rs
+++ b/clayplank-forward/src/stream.rs
@@ -1,4 +1,4 @@
-//! Answers in events: the head goes out with the first event, the rest as it comes.
+//! Forwards event streams: the head is sent with the first event, later events as they arrive.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,44 +9,44 @@
 use http_body_util::BodyExt;
 use tokio::sync::mpsc;
 
+use crate::buffer_quota::BufferQuota;
 use crate::call::Call;
+use crate::caller_queue::{CallerQueue, QueuedEvent};
 use crate::gate::ProgressGuard;
 use crate::headers::strip_hop_by_hop;
-use crate::held_bytes::HeldBytes;
-use crate::opening::{Begun, Opened, open};
-use crate::outlet::{Outlet, QueuedEvent};
+use crate::opening::{Opened, StartedStream, open};
 use crate::pump::Pump;
 use crate::refusal::{AnswerBody, BrokenOff, Refusal};
 
-/// Events that wait for a caller that reads slowly; more hold the upstream up.
-const QUEUED_EVENTS: usize = 64;
+/// Maximum number of events queued for a slow caller; beyond it, the upstream is not read.
+const MAX_QUEUED_EVENTS: usize = 64;
 
-/// The same in bytes, which binds where events are large.
-const QUEUED_BYTES: usize = 256 << 10;
+/// Maximum number of queued bytes, which takes effect when events are large.
+const MAX_QUEUED_BYTES: usize = 256 << 10;
 
-/// Runs a request until its first event; the rest follows beside the answer.
+/// Forwards a request until its first event; later events are forwarded in a background task.
 pub(crate) async fn run(mut call: Call, guard: ProgressGuard) -> Response<AnswerBody> {
     let opened = clayplank_clock::timeout_at(call.deadline, open(&mut call)).await;
     call.is_answered = true;
     match opened {
-        Ok(Ok(Opened::Begun(begun))) => respond(call, guard, *begun),
+        Ok(Ok(Opened::Started(started))) => respond(call, guard, *started),
         Ok(Ok(Opened::Other(response))) => response,
-        Ok(Err(refusal)) => call.give_up(refusal),
+        Ok(Err(refusal)) => call.abandon(refusal),
         Err(_) => {
             call.may_have_run |= !call.tried.is_empty();
-            call.give_up(Refusal::TimedOut)
+            call.abandon(Refusal::TimedOut)
         }
     }
 }
 
-/// Sends the head out, and the events as they come.
-fn respond(call: Call, guard: ProgressGuard, begun: Begun) -> Response<AnswerBody> {
-    let Begun { mut head, source, first, timing } = begun;
+/// Sends the head, and then events as they arrive.
+fn respond(call: Call, guard: ProgressGuard, started: StartedStream) -> Response<AnswerBody> {
+    let StartedStream { mut head, source, first, timing } = started;
     strip_hop_by_hop(&mut head.headers);
-    call.entry.figures.record_first_byte(&call.route.name, call.waited_ms());
-    let (sender, receiver) = mpsc::channel(QUEUED_EVENTS);
-    let queue = HeldBytes::new(QUEUED_BYTES);
-    let pump = Pump::new(call, Outlet { sender, queue }, source, timing);
+    call.entry.metrics.record_first_byte(&call.route.name, call.waited_ms());
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let quota = BufferQuota::new(MAX_QUEUED_BYTES);
+    let pump = Pump::new(call, CallerQueue { sender, quota }, source, timing);
     tokio::spawn(async move {
         pump.run(first).await;
         drop(guard);
@@ -54,7 +54,7 @@
     Response::from_parts(head, EventBody { receiver }.boxed_unsync())
 }
 
-/// A body of events; ends with an error if the stream was broken off.
+/// A body of events; it ends with an error if the stream broke off.
 struct EventBody {
     receiver: mpsc::Receiver<Result<QueuedEvent, BrokenOff>>,
 }
--- /dev/null
+++ b/clayplank-forward/src/termination.rs
@@ -0,0 +1,151 @@
+//! Determines whether an upstream terminated when requests that it ran broke off.
+//!
+//! A connection may break because it was cut or reset, or because the upstream sent a malformed
+//! response. The upstream has terminated if nothing listens at its address any more, or if a new
+//! incarnation of it appears.
+
+use std::collections::{BTreeSet, HashMap};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+use clayplank_clock::Instant;
+use clayplank_registry::{Record, Standing};
+use clayplank_types::{RequestFingerprint, SeenOutcome, UpstreamId};
+
+use crate::call::Call;
+use crate::entry::Entry;
+use crate::exchange::is_refused;
+use crate::quarantine::{Observation, Suspicion};
+
+/// Delay between a broken connection and the check whether the upstream still listens: nearly all
+/// connections of a terminating upstream break within this time.
+const LISTEN_CHECK_DELAY: Duration = Duration::from_millis(5);
+
+/// Delays before the checks for a successor. Where a terminated upstream listened, its next
+/// incarnation may already be listening; it becomes known by its first heartbeats.
+const SUCCESSOR_CHECK_DELAYS: [Duration; 2] =
+    [Duration::from_millis(1_000), Duration::from_millis(3_000)];
+
+/// Maximum number of fingerprints in one log line.
+const MAX_LOGGED_FINGERPRINTS: usize = 16;
+
+/// A request that ran at an upstream when its connection broke or its time-out passed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Break {
+    /// Fingerprint of the request.
+    pub fingerprint: RequestFingerprint,
+    /// Caller of the request; empty if unknown.
+    pub caller: String,
+    /// Time of the break.
+    pub at: Instant,
+}
+
+/// Evidence that an upstream has terminated.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndCause {
+    /// Connections to its address are refused.
+    Refused,
+    /// A new incarnation of it is running.
+    Replaced,
+}
+
+impl EndCause {
+    fn as_str(self) -> &'static str {
+        match self {
+            Self::Refused => "refused",
+            Self::Replaced => "replaced",
+        }
+    }
+}
+
+/// Whether nothing listens any more at an address where a connection has just broken.
+pub async fn has_stopped_listening(address: SocketAddr) -> bool {
+    clayplank_clock::sleep(LISTEN_CHECK_DELAY).await;
+    is_refused(address).await
+}
+
+impl Suspicion {
+    /// Logs that an upstream terminated under requests, and reports each of them.
+    pub fn note_upstream_ended(&self, upstream: &UpstreamId, cause: EndCause, breaks: Vec<Break>) {
+        let fingerprints: BTreeSet<_> = breaks.iter().map(|one| one.fingerprint).collect();
+        let logged: Vec<_> =
+            fingerprints.iter().take(MAX_LOGGED_FINGERPRINTS).map(ToString::to_string).collect();
+        log::info!(target: "forward",
+            upstream = upstream.as_str(), cause = cause.as_str(), requests = breaks.len(),
+            fingerprints = logged.join(" ");
+            "An upstream ended under requests");
+        for Break { fingerprint, caller, at } in breaks {
+            let outcome = SeenOutcome::Ended(upstream.clone());
+            self.note_terminated(Observation { fingerprint, caller, outcome, at });
+        }
+    }
+}
+
+/// Broken requests by upstream, while it is unknown whether the upstream terminated.
+#[derive(Debug, Default)]
+pub(crate) struct PendingBreaks {
+    pending: Mutex<HashMap<UpstreamId, Vec<Break>>>,
+}
+
+impl PendingBreaks {
+    /// Adds a broken request; returns whether it is the only one pending at its upstream.
+    fn add(&self, upstream: &UpstreamId, broken: Break) -> bool {
+        let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+        let breaks = pending.entry(upstream.clone()).or_default();
+        breaks.push(broken);
+        breaks.len() == 1
+    }
+
+    fn take(&self, upstream: &UpstreamId) -> Vec<Break> {
+        let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+        pending.remove(upstream).unwrap_or_default()
+    }
+}
+
+impl Call {
+    /// Records that an upstream did not complete its answer to this request.
+    pub(crate) fn note_break(&self, upstream: &UpstreamId) {
+        let entry = &self.entry;
+        let Some(record) = entry.directory.record(upstream) else {
+            return;
+        };
+        // An upstream that announced its departure may terminate at any time.
+        if record.heartbeat.standing != Standing::Ready {
+            return;
+        }
+        let caller = self.caller.clone();
+        let broken = Break { fingerprint: self.fingerprint, caller, at: Instant::now() };
+        if entry.pending_breaks.add(upstream, broken) {
+            tokio::spawn(check_terminated(Arc::clone(entry), record));
+        }
+    }
+}
+
+/// Determines whether an upstream terminated after requests broke off, and reports it if so.
+async fn check_terminated(entry: Arc<Entry>, record: Record) {
+    let has_stopped = has_stopped_listening(record.heartbeat.address).await;
+    // A later break starts a new check: an upstream that is running now may terminate a moment
+    // later.
+    let breaks = entry.pending_breaks.take(&record.heartbeat.id);
+    let cause = if has_stopped {
+        EndCause::Refused
+    } else if has_successor_soon(&entry, &record).await {
+        EndCause::Replaced
+    } else {
+        return;
+    };
+    entry.metrics.count_attempt("upstream_ended");
+    entry.quarantine.note_upstream_ended(&record.heartbeat.id, cause, breaks);
+}
+
+/// Whether a new incarnation of an upstream appears soon.
+async fn has_successor_soon(entry: &Entry, record: &Record) -> bool {
+    for delay in SUCCESSOR_CHECK_DELAYS {
+        clayplank_clock::sleep(delay).await;
+        if entry.directory.has_successor(&record.heartbeat) {
+            return true;
+        }
+    }
+    false
+}
--- /dev/null
+++ b/clayplank-forward/src/unary.rs
@@ -0,0 +1,184 @@
+//! Forwards answers that are not streams: they are read completely before the first byte is sent.
+
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use clayplank_clock::Instant;
+use clayplank_types::UpstreamId;
+use http::Response;
+use http::response::Parts;
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+
+use crate::attempt::{Attempt, BUSY_RETRY_MS};
+use crate::buffer_quota::{BufferPermit, BufferQuota, CountedBody};
+use crate::call::Call;
+use crate::choice::Chosen;
+use crate::clock::millis;
+use crate::gate::ProgressGuard;
+use crate::headers::strip_hop_by_hop;
+use crate::load::Outcome;
+use crate::refusal::{AnswerBody, Refusal};
+
+/// Maximum size of an answer, in bytes; callers' requests are no larger either.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+
+/// Time-out of one upstream for a repeatable request, in latency goals of the route, while another
+/// upstream can be tried.
+const UPSTREAM_TIMEOUT_GOAL_FACTOR: u64 = 3;
+
+/// A request is abandoned this long before its time limit, so that the response still arrives in
+/// time.
+const ABANDON_MARGIN: Duration = Duration::from_millis(20);
+
+/// Forwards a request until it has an answer.
+pub(crate) async fn run(mut call: Call, _guard: ProgressGuard) -> Response<AnswerBody> {
+    let deadline = call.deadline - ABANDON_MARGIN;
+    let tried = clayplank_clock::timeout_at(deadline, try_upstreams(&mut call)).await;
+    call.is_answered = true;
+    match tried {
+        Ok(Ok(response)) => response,
+        Ok(Err(refusal)) => call.abandon(refusal),
+        Err(_) => {
+            call.may_have_run |= call.sent_count > 0 || !call.tried.is_empty();
+            call.deadline = Instant::now();
+            call.abandon(Refusal::TimedOut)
+        }
+    }
+}
+
+/// An upstream's answer that was read completely.
+struct CompleteAnswer {
+    upstream: UpstreamId,
+    head: Parts,
+    bytes: Bytes,
+    buffer_permit: BufferPermit,
+}
+
+/// Result of one attempt.
+enum AttemptResult {
+    Succeeded(CompleteAnswer),
+    /// The upstream responded with an error; another upstream may do better.
+    Failed(CompleteAnswer),
+    NotRun,
+    MayHaveRun,
+}
+
+/// Tries upstreams until one succeeds or no further attempt is allowed.
+async fn try_upstreams(call: &mut Call) -> Result<Response<AnswerBody>, Refusal> {
+    let mut failed_answer = None;
+    let mut refusal = Refusal::Failed;
+    loop {
+        let chosen = match call.choose().await {
+            Ok(chosen) => chosen,
+            Err(refused) => {
+                refusal = refused;
+                break;
+            }
+        };
+        match try_one(call, chosen).await {
+            AttemptResult::Succeeded(answer) => return Ok(finish(call, answer)),
+            AttemptResult::Failed(answer) => failed_answer = Some(answer),
+            AttemptResult::NotRun => refusal = Refusal::NotRun { retry_after_ms: BUSY_RETRY_MS },
+            AttemptResult::MayHaveRun => {}
+        }
+        if !call.may_retry() {
+            break;
+        }
+    }
+    match failed_answer {
+        // The upstream's error is the answer if no other upstream does better.
+        Some(answer) => Ok(finish(call, answer)),
+        None => Err(refusal),
+    }
+}
+
+/// Makes one attempt, up to the end of the answer.
+async fn try_one(call: &mut Call, chosen: Chosen) -> AttemptResult {
+    let upstream = chosen.record.heartbeat.id.clone();
+    let timeout = upstream_timeout(call);
+    let (response, connection, mut load) =
+        match call.attempt(chosen, call.facts.last_event_id, timeout).await {
+            Attempt::Answered(response, connection, load) => (response, connection, load),
+            Attempt::NotRun => return AttemptResult::NotRun,
+            Attempt::MayHaveRun => return AttemptResult::MayHaveRun,
+        };
+    let (head, body) = response.into_parts();
+    let read = clayplank_clock::timeout(timeout, read_complete(body, &call.entry.buffer_quota));
+    // An answer of a replaced upstream counts as incomplete.
+    let read = load.unless_replaced(read).await.unwrap_or(Ok(None));
+    drop(connection);
+    let is_good = matches!(read, Ok(Some(_))) && !head.status.is_server_error();
+    load.note_outcome(match &read {
+        Ok(Some(_)) if is_good => Outcome::Good,
+        Ok(Some(_)) => Outcome::Failed,
+        Ok(None) | Err(_) => Outcome::Broken,
+    });
+    drop(load);
+    match read {
+        Ok(Some(_)) => call.note_answered(),
+        Ok(None) | Err(_) => call.note_break(&upstream),
+    }
+    match read {
+        Ok(Some((bytes, buffer_permit))) if is_good => {
+            AttemptResult::Succeeded(CompleteAnswer { upstream, head, bytes, buffer_permit })
+        }
+        Ok(Some((bytes, buffer_permit))) => {
+            AttemptResult::Failed(CompleteAnswer { upstream, head, bytes, buffer_permit })
+        }
+        Ok(None) | Err(_) => AttemptResult::MayHaveRun,
+    }
+}
+
+/// Time-out of one upstream while another could be tried.
+fn upstream_timeout(call: &Call) -> Duration {
+    let is_last = !call.kind().may_repeat() || call.sent_count + 1 >= call.route.max_attempts;
+    let remaining = call.remaining();
+    if is_last {
+        remaining
+    } else {
+        remaining.min(millis(call.route.goal_ms * UPSTREAM_TIMEOUT_GOAL_FACTOR))
+    }
+}
+
+/// Reads a complete body; `None` if it broke off or is too large. Stops reading from the upstream
+/// while the buffer quota of this host is used up.
+async fn read_complete(
+    mut body: Incoming,
+    buffer_quota: &BufferQuota,
+) -> Option<(Bytes, BufferPermit)> {
+    let mut read = BytesMut::new();
+    let mut buffer_permit = BufferPermit::default();
+    while let Some(frame) = body.frame().await {
+        let frame = match frame {
+            Ok(frame) => frame,
+            Err(error) => {
+                log::info!(target: "forward", "A response from an upstream broke off: {error}.");
+                return None;
+            }
+        };
+        let Some(bytes) = frame.data_ref() else {
+            continue;
+        };
+        if read.len() + bytes.len() > MAX_ANSWER_BYTES {
+            log::info!(target: "forward", "A response from an upstream exceeds {MAX_ANSWER_BYTES} bytes.");
+            return None;
+        }
+        buffer_quota.acquire(&mut buffer_permit, bytes.len()).await;
+        read.extend_from_slice(bytes);
+    }
+    Some((read.freeze(), buffer_permit))
+}
+
+fn finish(call: &Call, answer: CompleteAnswer) -> Response<AnswerBody> {
+    let CompleteAnswer { upstream, mut head, bytes, buffer_permit } = answer;
+    strip_hop_by_hop(&mut head.headers);
+    log::info!(target: "forward",
+        request = call.facts.attempt_id, route = call.route.name, upstream = upstream.as_str(),
+        status = head.status.as_u16(), goal_ms = call.route.goal_ms, sent = call.sent_count,
+        waited_ms = call.waited_ms(), fingerprint:% = call.fingerprint;
+        "Answered");
+    call.entry.metrics.count(&call.route.name, "answered");
+    call.entry.metrics.record_first_byte(&call.route.name, call.waited_ms());
+    Response::from_parts(head, CountedBody::new(bytes, buffer_permit).boxed_unsync())
+}
