--- a/clayplank-forward/src/admit.rs
+++ b/clayplank-forward/src/admit.rs
@@ -165,7 +165,7 @@
             Err(retry_after_ms) => {
                 log::info!(target: "forward",
                     request = attempt_id, fingerprint:% = fingerprint;
-                    "Does not send a request that is buffer_permit back");
+                    "Does not send a request that is held back");
                 Err(Refusal::Quarantined { retry_after_ms })
             }
         }
--- a/clayplank-forward/src/attempt.rs
+++ b/clayplank-forward/src/attempt.rs
@@ -59,7 +59,7 @@
         let upstream = record.heartbeat.id.clone();
         let request = self.request_for(&record.heartbeat.name, &helpers, last_event_id);
         self.tried.push(upstream.clone());
-        let could_have_run = self.may_have_run;
+        let may_have_run_before = self.may_have_run;
         self.count_sent();
         self.log_limited(&upstream);
         let sent_ms = now_ms();
@@ -76,11 +76,11 @@
         match sent {
             Ok(Ok((response, connection))) => {
                 let answer = Answer { response, connection, sent_ms };
-                self.process_head(&upstream, load, answer, could_have_run)
+                self.process_head(&upstream, load, answer, may_have_run_before)
             }
             Ok(Err(ExchangeError::Connect(error))) => {
                 self.sent_count -= 1;
-                self.may_have_run = could_have_run;
+                self.may_have_run = may_have_run_before;
                 load.note_outcome(Outcome::Unreachable);
                 self.log_attempt(&upstream, "unreached", &error.to_string());
                 Attempt::NotRun
@@ -100,7 +100,7 @@
         upstream: &UpstreamId,
         mut load: LoadGuard,
         answer: Answer,
-        could_have_run: bool,
+        may_have_run_before: bool,
     ) -> Attempt {
         let Answer { response, connection, sent_ms } = answer;
         let (head, body) = response.into_parts();
@@ -119,14 +119,14 @@
                 Attempt::Answered(response, connection, load)
             }
             Verdict::NotRun => {
-                self.may_have_run = could_have_run;
+                self.may_have_run = may_have_run_before;
                 let at_fault = header_text(&head.headers, &self.entry.names.at_fault);
                 self.note_at_fault(&mut load, at_fault.unwrap_or_default());
                 self.log_attempt(upstream, "not_run", head.status.as_str());
                 Attempt::NotRun
             }
             Verdict::Replaced => {
-                self.may_have_run = could_have_run;
+                self.may_have_run = may_have_run_before;
                 self.entry.directory.note_replaced(upstream);
                 self.log_attempt(upstream, "replaced", head.status.as_str());
                 Attempt::NotRun
@@ -144,7 +144,9 @@
             StatedLimit::None => (None, sent_ms),
             StatedLimit::PerSecond(per_s) => (Some(per_s), now_ms()),
             StatedLimit::Unreadable => {
-                log::warn!(target: "forward", upstream = upstream.as_str(); "Ignored an invalid rate limit in a response");
+                log::warn!(target: "forward",
+                    upstream = upstream.as_str();
+                    "Ignored an invalid rate limit in a response");
                 return;
             }
         };
--- a/clayplank-forward/src/budget.rs
+++ b/clayplank-forward/src/budget.rs
@@ -23,19 +23,19 @@
 /// Number of hosts assumed to share the budget until it is known; more than a small site has.
 const DEFAULT_HOSTS: u64 = 20;
 
-/// Fraction of its share of the budget that a host uses, because each host counts in its local
-/// window.
-const SAFE_SHARE: f64 = 0.8;
+/// Fraction of its share of the budget that a host uses, because the counting windows of the hosts
+/// are not aligned.
+const USABLE_SHARE: f64 = 0.8;
 
 #[derive(Debug, Default)]
 struct Window {
-    first_tries: VecDeque<u64>,
+    first_attempts: VecDeque<u64>,
     retries: VecDeque<u64>,
 }
 
 impl Window {
     fn drop_before(&mut self, start_ms: u64) {
-        for times in [&mut self.first_tries, &mut self.retries] {
+        for times in [&mut self.first_attempts, &mut self.retries] {
             while times.front().is_some_and(|&time_ms| time_ms < start_ms) {
                 times.pop_front();
             }
@@ -71,7 +71,7 @@
     pub fn note_first_try(&mut self, now_ms: u64, service: &str) {
         let window = self.windows.entry(service.to_owned()).or_default();
         window.drop_before(now_ms.saturating_sub(self.limits.window_ms));
-        window.first_tries.push_back(now_ms);
+        window.first_attempts.push_back(now_ms);
     }
 
     /// Takes one retry from the budget; `false` if none is left. At least one retry per window is
@@ -80,7 +80,8 @@
         let window = self.windows.entry(service.to_owned()).or_default();
         window.drop_before(now_ms.saturating_sub(self.limits.window_ms));
         let extra = self.limits.extra / self.hosts as f64;
-        let allowed = (extra + self.limits.ratio * window.first_tries.len() as f64) * SAFE_SHARE;
+        let allowed =
+            (extra + self.limits.ratio * window.first_attempts.len() as f64) * USABLE_SHARE;
         let is_allowed = ((window.retries.len() + 1) as f64) <= allowed.max(1.0);
         if is_allowed {
             window.retries.push_back(now_ms);
--- a/clayplank-forward/src/call.rs
+++ b/clayplank-forward/src/call.rs
@@ -22,8 +22,8 @@
 /// Maximum pause between events for routes without a pause goal, in ms.
 const DEFAULT_PAUSE_GOAL_MS: u64 = 1_000;
 
-/// Time for which callers of streams wait for an event, in latency goals of the route. The
-/// longest of this and the next two values applies.
+/// Time for which callers of streams wait for an event, in latency goals of the route. The longest
+/// of this and the next two values applies.
 const CALLER_TIMEOUT_GOAL_FACTOR: f64 = 4.0;
 
 /// The same time in pause goals of the route.
@@ -137,8 +137,8 @@
 
     /// Response to a caller whose request could not be answered; logs and counts it.
     pub(crate) fn abandon(&self, refusal: Refusal) -> Response<AnswerBody> {
-        let is_over = Instant::now() >= self.deadline;
-        let reported = if is_over {
+        let is_past_deadline = Instant::now() >= self.deadline;
+        let reported = if is_past_deadline {
             Refusal::TimedOut
         } else if self.may_have_run {
             Refusal::Failed
--- a/clayplank-forward/src/caller_queue.rs
+++ b/clayplank-forward/src/caller_queue.rs
@@ -29,7 +29,7 @@
         self.sender.send(Ok(QueuedEvent { bytes, _buffer_permit: buffer_permit })).await.is_ok()
     }
 
-    /// PendingBreaks the answer with an error, so that it does not appear complete.
+    /// Ends the answer with an error, so that it does not appear complete.
     pub(crate) async fn break_off(&self) {
         // A caller that has disconnected needs no error.
         self.sender.send(Err(BrokenOff)).await.ok();
--- a/clayplank-forward/src/choice.rs
+++ b/clayplank-forward/src/choice.rs
@@ -15,7 +15,8 @@
 /// upstreams.
 pub(crate) const NO_UPSTREAM_RETRY_MS: u64 = 1_500;
 
-/// Minimum retry time sent to callers if all engines are full, in ms.
+/// Minimum retry time sent to callers if all engines are full, in ms; an earlier attempt is not
+/// worthwhile.
 const MIN_FULL_RETRY_MS: u64 = 700;
 
 /// Interval between two attempts to place a stream that has started and has to continue, in ms.
@@ -24,12 +25,14 @@
 /// An upstream chosen for an attempt.
 pub(crate) struct Chosen {
     pub(crate) record: Record,
+    /// Helpers as sent to the upstream, separated by commas; empty if there are none.
     pub(crate) helpers: String,
+    /// Expected time until the first event, in ms; 0 for plain services.
     pub(crate) expected_ms: f64,
     pub(crate) load: LoadGuard,
 }
 
-/// An engine that prefills a part of the prompt and may reserve memory for it.
+/// An engine that prefills a part of the prompt, and the ticket if it reserves memory for that.
 struct Helper {
     address: SocketAddr,
     ticket: Option<Ticket>,
@@ -51,8 +54,8 @@
     }
 
     /// Places the request on engines. A request that cannot be served in time is rejected at once.
-    /// A deferred request asks for placement again, and is deferred only if it is expected to be
-    /// served in time.
+    /// One that is expected to be served in time, but not yet, is deferred: placement is requested
+    /// again after a pause.
     async fn choose_engine(&self) -> Result<Chosen, Refusal> {
         let mut deferred_ms = 0;
         loop {
--- a/clayplank-forward/src/directory.rs
+++ b/clayplank-forward/src/directory.rs
@@ -1,4 +1,5 @@
-//! Upstreams known to this host, and the choice of an upstream for plain services.
+//! Upstreams known to this host, and the choice of an upstream for plain services (those without
+//! model engines).
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -53,7 +54,7 @@
     stats: HashMap<UpstreamId, UpstreamStats>,
     /// Data centres whose upstreams receive no requests.
     cordoned: BTreeSet<DataCentre>,
-    /// Limits on requests to upstreams after their start, by service.
+    /// Limits on requests to cold upstreams (those that have just started), by service.
     cold_starts: HashMap<String, ColdStart>,
     /// Rate limits that upstreams have stated.
     limits: Limits,
@@ -150,8 +151,8 @@
     }
 
     /// Marks upstreams as replaced after a record has changed: those that have departed and whose
-    /// address is used by another upstream that accepts work. A late record of an earlier
-    /// incarnation replaces nothing.
+    /// address is used by another upstream that is ready. A late record of an earlier incarnation
+    /// replaces nothing.
     fn mark_replaced(&mut self, changed: &Heartbeat) {
         let is_in_place = |one: &Heartbeat| one.address == changed.address && one.id != changed.id;
         match changed.standing {
@@ -262,7 +263,7 @@
     pub async fn wait_until_replaced(&self, id: &UpstreamId) {
         let mut changes = self.replaced.subscribe();
         while !self.lock().replaced.contains(id) {
-            // The sender incarnations as long as the directory.
+            // The sender lives as long as the directory.
             if changes.changed().await.is_err() {
                 return std::future::pending().await;
             }
@@ -293,8 +294,8 @@
         self.replaced.send_replace(());
     }
 
-    /// Whether an incarnation has departed and another upstream of its service, with its name or at
-    /// its address, is ready.
+    /// Whether an incarnation has departed, or is unknown, and another upstream of its service,
+    /// with its name or at its address, is ready.
     pub fn has_successor(&self, former: &Heartbeat) -> bool {
         let inner = self.lock();
         let has_departed = inner
@@ -337,9 +338,9 @@
         let mut inner = self.lock();
         let Inner { records, stats, cordoned: former, cold_starts, .. } = &mut *inner;
         for (id, Record { heartbeat, .. }) in records {
-            let is_back = former.contains(&heartbeat.data_centre)
+            let is_uncordoned = former.contains(&heartbeat.data_centre)
                 && !cordoned.contains(&heartbeat.data_centre);
-            if let Some(start) = cold_starts.get(&heartbeat.service).filter(|_| is_back) {
+            if let Some(start) = cold_starts.get(&heartbeat.service).filter(|_| is_uncordoned) {
                 let lasts_ms = start.lasts_ms as f64;
                 stats.entry(id.clone()).or_default().rate_limit.note_cold(now_ms, lasts_ms);
             }
@@ -347,7 +348,7 @@
         *former = cordoned;
     }
 
-    /// Sets the limits on requests to upstreams after their start.
+    /// Sets the limits on requests to cold upstreams from the serving plan.
     pub fn set_cold_starts(&self, plan: &ServingPlan) {
         let services = plan.services.iter();
         let starts =
@@ -427,7 +428,7 @@
         self.lock().count_request(now_ms(), id);
     }
 
-    /// Records that an upstream grants no permit for a while.
+    /// Records that no permit for an upstream is available within `wait`.
     pub fn note_no_permit(&self, id: &UpstreamId, wait: Duration) {
         let wait_ms = (wait.as_millis() as u64).max(1);
         self.lock().stats.entry(id.clone()).or_default().next_permit_ms = now_ms() + wait_ms;
--- a/clayplank-forward/src/entry.rs
+++ b/clayplank-forward/src/entry.rs
@@ -161,10 +161,10 @@
     /// All metrics in the Prometheus text format.
     pub fn to_text(&self) -> String {
         let quarantined = self.quarantine.count();
-        let buffer_quota = self.buffer_quota.count();
+        let buffered_bytes = self.buffer_quota.count();
         let limited = self.directory.count_limited();
         format!(
-            "{}clayplank_entry_held_back {quarantined}\nclayplank_entry_held_bytes {buffer_quota}\n\
+            "{}clayplank_entry_held_back {quarantined}\nclayplank_entry_held_bytes {buffered_bytes}\n\
              clayplank_entry_limited_upstreams {limited}\n",
             self.metrics.to_text()
         )
--- a/clayplank-forward/src/headers.rs
+++ b/clayplank-forward/src/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that are forwarded to upstreams and caller_headers, and those that the host sets.
+//! Headers that are forwarded to upstreams and callers, and those that the host sets.
 
 use http::{HeaderMap, HeaderName, HeaderValue, header};
 
@@ -79,7 +79,7 @@
             headers.insert(name.clone(), value);
         }
         Err(error) => {
-            log::warn!(target: "forward", "Left out header {name}, whose value is invalid: {error}.")
+            log::warn!(target: "forward", "Omitted header {name}: invalid value: {error}.")
         }
     }
 }
--- a/clayplank-forward/src/lib.rs
+++ b/clayplank-forward/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! An entry host receives a complete request, finds its route in the serving plan, lets a
 //! [`Placer`] choose the upstream, and forwards the answer. It tells a caller that a request has
-//! not run only if nothing was sent, or if the upstream stated so.
+//! not run only if nothing was sent, or if the upstream stated so. Serving plans come from
+//! the keepers, the hosts with a replica of the replicated state.
 //!
 //! Header names are configurable ([`HeaderNames`]), so that the same code serves the default names
 //! and those of a platform.
--- a/clayplank-forward/src/listener.rs
+++ b/clayplank-forward/src/listener.rs
@@ -32,7 +32,7 @@
 /// Pause after a failed accept, in which file descriptors may become free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Minimum time for receiving a request head, added to the idle_timeout time-out.
+/// Minimum time for receiving a request head, added to the idle time-out.
 const MIN_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Serves callers until `closing` becomes true: then no further connection is accepted, and each
@@ -61,7 +61,7 @@
     }
 }
 
-/// Accepts a connection as soon as another may be open; marks the gate as not full then.
+/// Accepts a connection as soon as another may be open, and marks the gate as not full.
 async fn accept_when_free(
     listener: &TcpListener,
     permits: &Arc<Semaphore>,
--- a/clayplank-forward/src/permits.rs
+++ b/clayplank-forward/src/permits.rs
@@ -13,7 +13,8 @@
 use crate::placer::Turn;
 use crate::refusal::Refusal;
 
-/// Interval at which the hosts that may send are drawn anew by chance while no host grants permits.
+/// While no host grants permits, the hosts that may send are drawn by chance, anew in each interval
+/// of this length.
 const REDRAW_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Result of waiting for a permit.
--- a/clayplank-forward/src/pump.rs
+++ b/clayplank-forward/src/pump.rs
@@ -12,10 +12,10 @@
 use crate::opening::{NotResumed, StartedStream, Timing, log_broken, open_elsewhere};
 use crate::source::{EventSource, Next};
 
-/// Time without an event after which another upstream is tried: this many pause goals,
+/// Time without an event after which another upstream is tried, in pause goals of the route.
 const SILENCE_GOAL_FACTOR: u64 = 3;
 
-/// but not less than this, in ms: engines themselves abort streams after a stall of 1.5 s.
+/// Minimum of that time, in ms; engines themselves abort streams after a stall of 1.5 s.
 const MIN_SILENCE_MS: u64 = 1_000;
 
 /// Interval between attempts to find an upstream for a broken stream.
--- a/clayplank-forward/src/quarantine.rs
+++ b/clayplank-forward/src/quarantine.rs
@@ -148,7 +148,8 @@
             }
         }
         for fingerprint in former.keys().filter(|known| !next.contains_key(known)) {
-            log::info!(target: "forward", fingerprint:% = fingerprint; "A request is no longer quarantined");
+            log::info!(target: "forward",
+                fingerprint:% = fingerprint; "A request is no longer quarantined");
         }
         self.quarantined.store(Arc::new(next));
     }
@@ -186,7 +187,7 @@
         let mut outcomes = self.lock();
         if outcomes.terminated.len() >= MAX_TERMINATED {
             log::info!(target: "forward", requests = outcomes.terminated.len();
-                "Cleared the local record of requests under which upstreams terminated; the keepers retain it");
+                "Cleared the list of requests under which upstreams terminated; keepers retain it");
             outcomes.terminated.clear();
         }
         outcomes.terminated.insert(observation.fingerprint);
--- a/clayplank-forward/src/reserve.rs
+++ b/clayplank-forward/src/reserve.rs
@@ -1,7 +1,7 @@
 //! Memory reserved at other engines for a prompt: reserved before it runs, renewed while it runs,
 //! released afterwards.
 //!
-//! One task sends states commands for a prompt, so that they cannot overtake each other. An engine
+//! One task sends all commands for a prompt, so that they cannot overtake each other. An engine
 //! that did not answer a command may still execute it seconds after later ones: a renewal executed
 //! after the release would reserve memory that nobody uses. If a command was unanswered, the
 //! release is therefore repeated until no earlier command for that prompt can still be executed.
@@ -51,7 +51,7 @@
 pub struct Ticket {
     /// Address at which the engine accepts commands.
     pub address: SocketAddr,
-    /// Name of the ticket, unique among states prompts.
+    /// Name of the ticket, unique among all prompts.
     pub name: String,
     /// Size of the reserved memory, in tokens.
     pub tokens: u64,
@@ -65,7 +65,7 @@
 }
 
 impl Reservation {
-    /// Reserves memory at states engines in parallel; `None` if one of them has no room. In that case
+    /// Reserves memory at all engines in parallel; `None` if one of them has no room. In that case
     /// memory that was reserved is released.
     pub async fn make(commands: Arc<dyn OrderFormat>, tickets: Vec<Ticket>) -> Option<Self> {
         let (keep_alive, released) = oneshot::channel();
@@ -81,7 +81,7 @@
 struct TicketState {
     ticket: Ticket,
     /// Time at which the last reservation without an answer was sent.
-    unconfirmed_since: Option<Instant>,
+    last_unanswered_at: Option<Instant>,
 }
 
 /// Result of a command.
@@ -95,7 +95,7 @@
     Unknown,
 }
 
-/// Reserves memory, reports whether states engines had room, renews the reservation while `released`
+/// Reserves memory, reports whether all engines had room, renews the reservation while `released`
 /// is open, and then releases it.
 async fn maintain(
     commands: Arc<dyn OrderFormat>,
@@ -103,8 +103,10 @@
     result: oneshot::Sender<bool>,
     mut released: oneshot::Receiver<()>,
 ) {
-    let mut states: Vec<_> =
-        tickets.into_iter().map(|ticket| TicketState { ticket, unconfirmed_since: None }).collect();
+    let mut states: Vec<_> = tickets
+        .into_iter()
+        .map(|ticket| TicketState { ticket, last_unanswered_at: None })
+        .collect();
     let is_reserved = reserve_all(&*commands, &mut states).await;
     // If the caller has disconnected meanwhile, nothing receives this, and the memory is released.
     result.send(is_reserved).ok();
@@ -115,7 +117,8 @@
             () = clayplank_clock::sleep(RENEW_INTERVAL) => {}
         }
         if !reserve_all(&*commands, &mut states).await {
-            log::info!(target: "forward", tickets = states.len(); "Could not renew a memory reservation at all engines");
+            log::info!(target: "forward",
+                tickets = states.len(); "Could not renew a memory reservation at all engines");
         }
     }
     let releases = states.iter().map(|state| release(&*commands, state));
@@ -128,7 +131,7 @@
         let command = commands.reserve(&state.ticket.name, state.ticket.tokens, LEASE_MS);
         let result = send_command(&state.ticket, command).await;
         if result == CommandResult::Unknown {
-            state.unconfirmed_since = Some(sent_at);
+            state.last_unanswered_at = Some(sent_at);
         }
         result == CommandResult::Taken
     });
@@ -139,11 +142,13 @@
 async fn release(commands: &dyn OrderFormat, state: &TicketState) {
     let ticket = &state.ticket;
     let first = send_command(ticket, commands.release(&ticket.name)).await;
-    let Some(unconfirmed_since) = state.unconfirmed_since else {
+    let Some(last_unanswered_at) = state.last_unanswered_at else {
         return;
     };
-    log::info!(target: "forward", ticket = ticket.name, first:? = first; "An command may be carried out late");
-    while unconfirmed_since.elapsed() < MAX_COMMAND_DELAY {
+    log::info!(target: "forward",
+        ticket = ticket.name, first:? = first;
+        "An unanswered command may still be executed; repeats the release");
+    while last_unanswered_at.elapsed() < MAX_COMMAND_DELAY {
         clayplank_clock::sleep(RELEASE_RETRY_INTERVAL).await;
         send_command(ticket, commands.release(&ticket.name)).await;
     }
@@ -155,7 +160,8 @@
         Ok((StatusCode::OK, _)) => CommandResult::Taken,
         Ok(_) => CommandResult::Refused,
         Err(error) => {
-            log::info!(target: "forward", ticket = ticket.name, cause:% = error; "An command failed");
+            log::info!(target: "forward",
+                ticket = ticket.name, cause:% = error; "A command to an engine failed");
             match error {
                 CallError::Exchange(ExchangeError::Connect(_)) => CommandResult::NotSent,
                 CallError::Exchange(ExchangeError::Failed(_))
--- a/clayplank-forward/src/unary.rs
+++ b/clayplank-forward/src/unary.rs
@@ -161,7 +161,8 @@
             continue;
         };
         if read.len() + bytes.len() > MAX_ANSWER_BYTES {
-            log::info!(target: "forward", "A response from an upstream exceeds {MAX_ANSWER_BYTES} bytes.");
+            log::info!(target: "forward",
+                "A response from an upstream exceeds {MAX_ANSWER_BYTES} bytes.");
             return None;
         }
         buffer_quota.acquire(&mut buffer_permit, bytes.len()).await;
