--- a/clayplank-schedule/src/admission.rs
+++ b/clayplank-schedule/src/admission.rs
@@ -1,7 +1,7 @@
 //! Whether a request can end in time.
 
-use crate::ask::Ask;
 use crate::policy::{Lane, Policy};
+use crate::reservation::Ask;
 
 /// Weight of one window of a lane's throughput.
 const WINDOW_WEIGHT: f64 = 0.3;
@@ -12,7 +12,7 @@
 const MAX_WINDOW_MS: u64 = 2_000;
 
 /// Heavy prompts are overtaken by short ones while they are read.
-const HEAVY_STRETCH: f64 = 1.6;
+const HEAVY_PREFILL_FACTOR: f64 = 1.6;
 
 /// When a request would run.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,12 +31,17 @@
 }
 
 /// Time that a request needs once it was sent to an engine.
-pub(crate) fn plan_service_ms(policy: &Policy, ask: &Ask, lane: Lane, rates: (f64, f64)) -> f64 {
+pub(crate) fn estimate_service_ms(
+    policy: &Policy,
+    ask: &Ask,
+    lane: Lane,
+    rates: (f64, f64),
+) -> f64 {
     let (prefill_ms_per_token, decode_ms_per_token) = rates;
-    let stretch = if lane.is_heavy() { HEAVY_STRETCH } else { 1.0 };
-    let read_ms = ask.prompt_tokens as f64 * prefill_ms_per_token * stretch;
-    let write_ms = ask.max_output_tokens as f64 * decode_ms_per_token;
-    (read_ms + write_ms) * policy.finish_margin
+    let prefill_factor = if lane.is_heavy() { HEAVY_PREFILL_FACTOR } else { 1.0 };
+    let prefill_ms = ask.prompt_tokens as f64 * prefill_ms_per_token * prefill_factor;
+    let decode_ms = ask.max_output_tokens as f64 * decode_ms_per_token;
+    (prefill_ms + decode_ms) * policy.finish_margin
 }
 
 /// Tokens that leave a lane's queue in a millisecond, learned while it is not empty.
@@ -48,33 +53,33 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Window {
-    began_ms: u64,
+    start_ms: u64,
     tokens: u64,
 }
 
 impl Throughput {
     /// Notes that the queue has requests.
-    pub(crate) fn note_waiting(&mut self, now_ms: u64) {
-        self.window.get_or_insert(Window { began_ms: now_ms, tokens: 0 });
+    pub(crate) fn record_waiting(&mut self, now_ms: u64) {
+        self.window.get_or_insert(Window { start_ms: now_ms, tokens: 0 });
     }
 
     /// Notes that a request left the queue for an engine.
-    pub(crate) fn note_taken(&mut self, now_ms: u64, tokens: u64, is_empty: bool) {
+    pub(crate) fn record_dispatched(&mut self, now_ms: u64, tokens: u64, is_empty: bool) {
         let Some(window) = &mut self.window else {
             return;
         };
         window.tokens += tokens;
         let window = *window;
-        let length_ms = now_ms - window.began_ms;
+        let length_ms = now_ms - window.start_ms;
         if is_empty || length_ms >= MAX_WINDOW_MS {
-            self.window = (!is_empty).then_some(Window { began_ms: now_ms, tokens: 0 });
+            self.window = (!is_empty).then_some(Window { start_ms: now_ms, tokens: 0 });
             if length_ms >= MIN_WINDOW_MS {
-                self.blend(window.tokens as f64 / length_ms as f64);
+                self.update_average(window.tokens as f64 / length_ms as f64);
             }
         }
     }
 
-    fn blend(&mut self, sample: f64) {
+    fn update_average(&mut self, sample: f64) {
         self.tokens_per_ms = Some(match self.tokens_per_ms {
             Some(value) => value + WINDOW_WEIGHT * (sample - value),
             None => sample,
@@ -82,7 +87,7 @@
     }
 
     /// The learned value, or a first guess.
-    pub(crate) fn tokens_per_ms(&self, guess: f64) -> f64 {
-        self.tokens_per_ms.unwrap_or(guess).max(guess * 0.05)
+    pub(crate) fn tokens_per_ms(&self, initial_tokens_per_ms: f64) -> f64 {
+        self.tokens_per_ms.unwrap_or(initial_tokens_per_ms).max(initial_tokens_per_ms * 0.05)
     }
 }
--- a/clayplank-schedule/src/choose.rs
+++ b/clayplank-schedule/src/choose.rs
@@ -2,27 +2,27 @@
 
 use clayplank_types::PREFIX_BLOCK_TOKENS;
 
-use crate::ask::Ask;
 use crate::engine::Engine;
 use crate::fleet::{EngineIndex, Fleet, ModelIndex};
 use crate::policy::{Discipline, Lane, Policy};
 use crate::prefix::PrefixTable;
+use crate::reservation::Ask;
 
 /// Engines that are looked at in the order of their wait.
-const CANDIDATES: usize = 8;
+const MAX_CANDIDATES: usize = 8;
 
 /// Engines that are looked at in the order of their free memory.
-const ROOMY_CANDIDATES: usize = 4;
+const MAX_FREE_MEMORY_CANDIDATES: usize = 4;
 
 /// Keeps a second try away from the engine that failed, if there is another.
-const AVOID_MS: f64 = 60_000.0;
+const AVOID_PENALTY_MS: f64 = 60_000.0;
 
 /// Time that an engine is assumed to take to load an adapter.
 const ADAPTER_LOAD_MS: f64 = 500.0;
 
 /// What the choice looks at.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct View<'a> {
+pub(crate) struct SchedulerView<'a> {
     pub(crate) policy: &'a Policy,
     pub(crate) fleet: &'a Fleet,
     pub(crate) prefixes: &'a PrefixTable,
@@ -43,20 +43,26 @@
     pub(crate) reserved_tokens: u64,
 }
 
-impl View<'_> {
+impl SchedulerView<'_> {
     /// The engine on which a prompt that somebody waits for is read soonest.
     pub(crate) fn choose_light(&self, ask: &Ask, lane: Lane) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
-        let by_wait = model.by_wait.iter().map(|&(_, _, engine)| engine).take(CANDIDATES);
-        let by_free = model.by_free.iter().rev().map(|&(_, engine)| engine).take(ROOMY_CANDIDATES);
-        let uncached = by_wait.chain(by_free).map(|engine| Choice { engine, cached_tokens: 0 });
+        let by_wait = model.by_wait.iter().map(|&(_, _, engine)| engine).take(MAX_CANDIDATES);
+        let by_free_tokens = model
+            .by_free_tokens
+            .iter()
+            .rev()
+            .map(|&(_, engine)| engine)
+            .take(MAX_FREE_MEMORY_CANDIDATES);
+        let uncached =
+            by_wait.chain(by_free_tokens).map(|engine| Choice { engine, cached_tokens: 0 });
         let mut candidates = self.cached_choices(ask);
         candidates.extend(uncached);
         self.choose_soonest(ask, lane, candidates, |engine| {
             let wait_ms = engine.wait_ahead_ms(lane);
-            let in_turn =
-                !self.policy.mechanisms.prefill_cap || wait_ms <= self.policy.prefill_ahead_ms;
-            in_turn && self.has_room(engine, lane, ask)
+            let is_below_cap =
+                !self.policy.mechanisms.prefill_cap || wait_ms <= self.policy.max_prefill_ahead_ms;
+            is_below_cap && self.has_room(engine, lane, ask)
         })
     }
 
@@ -66,18 +72,22 @@
     pub(crate) fn choose_heavy(&self, ask: &Ask, lane: Lane, limit: usize) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
         let fits =
-            |engine: &Engine| engine.reading_in(lane) == 0 && self.has_room(engine, lane, ask);
-        let heavy =
-            model.heavy.iter().map(|&engine| Choice { engine, cached_tokens: 0 }).take(CANDIDATES);
+            |engine: &Engine| engine.prefills_in(lane) == 0 && self.has_room(engine, lane, ask);
+        let heavy = model
+            .heavy
+            .iter()
+            .map(|&engine| Choice { engine, cached_tokens: 0 })
+            .take(MAX_CANDIDATES);
         if let Some(choice) = self.choose_soonest(ask, lane, heavy, fits) {
             return Some(choice);
         }
         if model.heavy.len() >= limit {
             return None;
         }
-        let roomy = model.by_free.iter().rev().map(|&(_, engine)| engine).take(CANDIDATES);
+        let by_free_tokens =
+            model.by_free_tokens.iter().rev().map(|&(_, engine)| engine).take(MAX_CANDIDATES);
         let mut candidates = self.cached_choices(ask);
-        candidates.extend(roomy.map(|engine| Choice { engine, cached_tokens: 0 }));
+        candidates.extend(by_free_tokens.map(|engine| Choice { engine, cached_tokens: 0 }));
         self.choose_soonest(ask, lane, candidates, fits)
     }
 
@@ -85,12 +95,12 @@
     /// kept only if engines are given one prompt at a time.
     pub(crate) fn choose_least_loaded(&self, ask: &Ask) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
-        let takes_more = |engine: &Engine| match self.policy.discipline {
-            Discipline::ShortestFirst => engine.reading_tokens_total() == 0,
+        let accepts_prompt = |engine: &Engine| match self.policy.discipline {
+            Discipline::ShortestFirst => engine.total_prefill_tokens() == 0,
             Discipline::FirstCome | Discipline::Current => true,
         };
         let fits =
-            |engine: &Engine| takes_more(engine) && engine.free_tokens() >= ask.memory_tokens();
+            |engine: &Engine| accepts_prompt(engine) && engine.free_tokens() >= ask.memory_tokens();
         let mut by_wait = model.by_wait.iter().map(|&(_, _, engine)| engine);
         by_wait
             .find(|&engine| fits(self.fleet.engine(engine)))
@@ -102,7 +112,7 @@
         let model = self.fleet.model(&ask.model)?;
         let mut members = Vec::new();
         let mut capacity_tokens = 0;
-        for &(_, index) in model.by_free.iter().rev() {
+        for &(_, index) in model.by_free_tokens.iter().rev() {
             members.push(index);
             capacity_tokens += self.heavy_memory_tokens(index);
             if capacity_tokens >= ask.prompt_tokens + ask.max_output_tokens * members.len() as u64 {
@@ -153,10 +163,10 @@
         };
         let found = self.prefixes.matches(&ask.prefix_hashes).into_iter();
         let usable = found.filter(|&(engine, _)| serves(engine));
-        let most = ask.prompt_tokens.saturating_sub(1);
+        let max_cached_tokens = ask.prompt_tokens.saturating_sub(1);
         let choice = |(engine, blocks): (EngineIndex, u64)| Choice {
             engine,
-            cached_tokens: (blocks * PREFIX_BLOCK_TOKENS).min(most),
+            cached_tokens: (blocks * PREFIX_BLOCK_TOKENS).min(max_cached_tokens),
         };
         usable.map(choice).collect()
     }
@@ -177,9 +187,9 @@
     fn first_token_ms(&self, ask: &Ask, lane: Lane, choice: Choice) -> f64 {
         let engine = self.fleet.engine(choice.engine);
         let uncached_tokens = ask.prompt_tokens - choice.cached_tokens.min(ask.prompt_tokens);
-        let read_ms = engine.predicted_read_ms(lane, uncached_tokens);
-        let avoid_ms = if ask.avoid.contains(&engine.id) { AVOID_MS } else { 0.0 };
+        let prefill_ms = engine.predicted_prefill_ms(lane, uncached_tokens);
+        let avoid_ms = if ask.avoid.contains(&engine.id) { AVOID_PENALTY_MS } else { 0.0 };
         let load_ms = if engine.has_adapter(ask.adapter.as_ref()) { 0.0 } else { ADAPTER_LOAD_MS };
-        engine.predicted_wait_ms(lane) + read_ms + avoid_ms + load_ms
+        engine.predicted_wait_ms(lane) + prefill_ms + avoid_ms + load_ms
     }
 }
--- a/clayplank-schedule/src/dispatch.rs
+++ b/clayplank-schedule/src/dispatch.rs
@@ -2,12 +2,12 @@
 
 use clayplank_types::{EnginePriority, RequestId};
 
-use crate::ask::{Decision, Grant, GrantId, GrantPart};
 use crate::choose::{Choice, PlannedPart};
 use crate::fleet::EngineIndex;
-use crate::grants::{Hold, Part, Record};
-use crate::lanes::GangHold;
+use crate::grants::{GrantRecord, GrantState, ReservedPart};
+use crate::lanes::PendingGang;
 use crate::policy::{Discipline, Lane};
+use crate::reservation::{Decision, Grant, GrantId, GrantPart};
 use crate::scheduler::{Pending, Scheduler};
 
 impl Scheduler {
@@ -22,20 +22,20 @@
         while let Some(request_id) =
             self.models.get(model).and_then(|lanes| lanes.lane(lane).queue.peek())
         {
-            let is_sent = match lane {
+            let is_dispatched = match lane {
                 Lane::Gang => self.dispatch_gang(now_ms, model, request_id),
                 Lane::Brief | Lane::Short | Lane::Medium | Lane::Long => {
-                    self.dispatch_one(now_ms, model, lane, request_id)
+                    self.dispatch_single(now_ms, model, lane, request_id)
                 }
             };
-            if !is_sent {
+            if !is_dispatched {
                 break;
             }
         }
-        self.drop_stale_hold(model);
+        self.clear_stale_gang(model);
     }
 
-    fn dispatch_one(
+    fn dispatch_single(
         &mut self,
         now_ms: u64,
         model: &str,
@@ -81,13 +81,13 @@
     }
 
     fn dispatch_gang(&mut self, now_ms: u64, model: &str, first: RequestId) -> bool {
-        let held = self.models.get(model).and_then(|lanes| lanes.hold.as_ref());
-        let request_id = held.map_or(first, |hold| hold.request_id);
+        let pending_gang = self.models.get(model).and_then(|lanes| lanes.pending_gang.as_ref());
+        let request_id = pending_gang.map_or(first, |gang| gang.request_id);
         let Some(pending) = self.pending.get(&request_id) else {
             return false;
         };
-        let members = match held {
-            Some(hold) => hold.members.clone(),
+        let members = match pending_gang {
+            Some(gang) => gang.members.clone(),
             None => match self.view().choose_gang(&pending.ask) {
                 Some(members) => members,
                 None => return false,
@@ -100,43 +100,43 @@
             engine.is_live() && engine.has_room(Lane::Gang, part.reserved_tokens, reserve_percent)
         };
         if parts.iter().all(fits) {
-            self.release_hold(model);
+            self.clear_pending_gang(model);
             self.grant(now_ms, request_id, &parts, 0);
             return true;
         }
-        self.hold_members(model, request_id, members);
+        self.set_pending_gang(model, request_id, members);
         false
     }
 
-    fn hold_members(&mut self, model: &str, request_id: RequestId, members: Vec<EngineIndex>) {
+    fn set_pending_gang(&mut self, model: &str, request_id: RequestId, members: Vec<EngineIndex>) {
         let all_live = members.iter().all(|&index| self.fleet.engine(index).is_live());
-        self.release_hold(model);
+        self.clear_pending_gang(model);
         if !all_live {
             return;
         }
         for &index in &members {
-            self.fleet.change(index, |engine| engine.is_held = true);
+            self.fleet.update(index, |engine| engine.is_reserved_for_gang = true);
         }
         if let Some(lanes) = self.models.get_mut(model) {
-            lanes.hold = Some(GangHold { request_id, members });
+            lanes.pending_gang = Some(PendingGang { request_id, members });
         }
     }
 
-    fn release_hold(&mut self, model: &str) {
-        let hold = self.models.get_mut(model).and_then(|lanes| lanes.hold.take());
-        for index in hold.into_iter().flat_map(|hold| hold.members) {
-            self.fleet.change(index, |engine| engine.is_held = false);
+    fn clear_pending_gang(&mut self, model: &str) {
+        let gang = self.models.get_mut(model).and_then(|lanes| lanes.pending_gang.take());
+        for index in gang.into_iter().flat_map(|gang| gang.members) {
+            self.fleet.update(index, |engine| engine.is_reserved_for_gang = false);
         }
     }
 
-    fn drop_stale_hold(&mut self, model: &str) {
-        let held = self
+    fn clear_stale_gang(&mut self, model: &str) {
+        let pending_gang = self
             .models
             .get(model)
-            .and_then(|lanes| lanes.hold.as_ref())
-            .map(|hold| hold.request_id);
-        if held.is_some_and(|request_id| !self.pending.contains_key(&request_id)) {
-            self.release_hold(model);
+            .and_then(|lanes| lanes.pending_gang.as_ref())
+            .map(|gang| gang.request_id);
+        if pending_gang.is_some_and(|request_id| !self.pending.contains_key(&request_id)) {
+            self.clear_pending_gang(model);
         }
     }
 
@@ -152,64 +152,69 @@
             return;
         };
         self.expiry.remove(&(pending.latest_start_ms, request_id));
-        self.leave_queue(now_ms, &pending, cached_tokens);
-        let mut held_parts = Vec::new();
-        let mut told_parts = Vec::new();
+        self.dequeue(now_ms, &pending, cached_tokens);
+        let mut reserved_parts = Vec::new();
+        let mut grant_parts = Vec::new();
         for &PlannedPart { engine: index, prompt_tokens, reserved_tokens } in parts {
-            let reading_tokens = prompt_tokens.saturating_sub(cached_tokens).max(1);
-            let (engine, incarnation) = self.fleet.change(index, |engine| {
+            let prefill_tokens = prompt_tokens.saturating_sub(cached_tokens).max(1);
+            let (engine, incarnation) = self.fleet.update(index, |engine| {
                 engine.reserve(pending.lane, reserved_tokens);
-                engine.begin_reading(now_ms, pending.lane, reading_tokens);
+                engine.start_prefill(now_ms, pending.lane, prefill_tokens);
                 (engine.id.clone(), engine.incarnation)
             });
             self.prefixes.store(index, &pending.ask.prefix_hashes);
-            told_parts.push(GrantPart { engine, reserved_tokens, prompt_tokens });
-            held_parts.push(Part {
+            grant_parts.push(GrantPart { engine, reserved_tokens, prompt_tokens });
+            reserved_parts.push(ReservedPart {
                 engine: index,
                 incarnation,
                 reserved_tokens,
-                reading_tokens,
-                is_reading: true,
+                prefill_tokens,
+                is_prefilling: true,
                 is_released: false,
             });
         }
-        let grant_id = self.keep_grant(now_ms, &pending, held_parts);
-        let engine_priority = self.plan_engine_priority(&pending);
-        let lacks = |part: &PlannedPart| {
+        let grant_id = self.record_grant(now_ms, &pending, reserved_parts);
+        let engine_priority = self.choose_engine_priority(&pending);
+        let lacks_adapter = |part: &PlannedPart| {
             !self.fleet.engine(part.engine).has_adapter(pending.ask.adapter.as_ref())
         };
-        let load_adapter = pending.ask.adapter.clone().filter(|_| parts.iter().any(lacks));
+        let load_adapter = pending.ask.adapter.clone().filter(|_| parts.iter().any(lacks_adapter));
         let grant =
-            Grant { grant_id, request_id, engine_priority, load_adapter, parts: told_parts };
+            Grant { grant_id, request_id, engine_priority, load_adapter, parts: grant_parts };
         self.decisions.push(Decision::Granted(grant));
     }
 
-    fn leave_queue(&mut self, now_ms: u64, pending: &Pending, cached_tokens: u64) {
+    fn dequeue(&mut self, now_ms: u64, pending: &Pending, cached_tokens: u64) {
         let Some(lanes) = self.models.get_mut(&pending.ask.model) else {
             return;
         };
-        let read_tokens = pending.ask.prompt_tokens.saturating_sub(cached_tokens);
+        let prefill_tokens = pending.ask.prompt_tokens.saturating_sub(cached_tokens);
         if !pending.lane.is_heavy() {
-            lanes.note_short(now_ms, read_tokens);
+            lanes.record_short_prefill(now_ms, prefill_tokens);
         }
-        let entry = lanes.lane_mut(pending.lane);
-        entry.queue.take(pending.ask.request_id);
-        let is_empty = entry.queue.len() == 0;
-        entry.throughput.note_taken(now_ms, pending.ask.memory_tokens(), is_empty);
+        let lane_queue = lanes.lane_mut(pending.lane);
+        lane_queue.queue.take(pending.ask.request_id);
+        let is_empty = lane_queue.queue.len() == 0;
+        lane_queue.throughput.record_dispatched(now_ms, pending.ask.memory_tokens(), is_empty);
     }
 
-    fn keep_grant(&mut self, now_ms: u64, pending: &Pending, parts: Vec<Part>) -> GrantId {
+    fn record_grant(
+        &mut self,
+        now_ms: u64,
+        pending: &Pending,
+        parts: Vec<ReservedPart>,
+    ) -> GrantId {
         let until_ms = now_ms + self.policy.grant_lease_ms;
-        self.grants.insert(Record {
+        self.grants.insert(GrantRecord {
             attempt_id: pending.ask.attempt_id,
             holder: pending.holder.clone(),
             lane: pending.lane,
-            hold: Hold::Held { until_ms },
+            state: GrantState::Held { until_ms },
             parts,
         })
     }
 
-    fn plan_engine_priority(&self, pending: &Pending) -> EnginePriority {
+    fn choose_engine_priority(&self, pending: &Pending) -> EnginePriority {
         let by_lane =
             self.policy.mechanisms.engine_priority && self.policy.discipline == Discipline::Current;
         if by_lane { pending.lane.engine_priority() } else { EnginePriority::default() }
--- a/clayplank-schedule/src/engine.rs
+++ b/clayplank-schedule/src/engine.rs
@@ -52,9 +52,9 @@
 pub(crate) enum Availability {
     Live,
     /// Its reports stopped.
-    Silent,
+    Unresponsive,
     /// It is about to stop; sticky for its incarnation.
-    Leaving,
+    Draining,
 }
 
 /// The exact state of one engine's reservations.
@@ -75,11 +75,11 @@
     pub(crate) foreign_tokens: u64,
     pub(crate) grants: u32,
     /// Prompt tokens being read, by lane.
-    reading_tokens: [u64; Lane::ALL.len()],
+    prefill_tokens: [u64; Lane::ALL.len()],
     /// Prompts being read, by lane.
-    reading: [u32; Lane::ALL.len()],
+    prefills: [u32; Lane::ALL.len()],
     /// A gang waits for this engine: no new heavy work.
-    pub(crate) is_held: bool,
+    pub(crate) is_reserved_for_gang: bool,
     pub(crate) rates: Rates,
 }
 
@@ -97,9 +97,9 @@
             foreign: BTreeMap::new(),
             foreign_tokens: 0,
             grants: 0,
-            reading_tokens: Default::default(),
-            reading: Default::default(),
-            is_held: false,
+            prefill_tokens: Default::default(),
+            prefills: Default::default(),
+            is_reserved_for_gang: false,
             rates,
         }
     }
@@ -118,50 +118,50 @@
         adapter.is_none_or(|adapter| self.adapters.contains(adapter))
     }
 
-    pub(crate) fn reading_in(&self, lane: Lane) -> u32 {
-        self.reading[lane as usize]
+    pub(crate) fn prefills_in(&self, lane: Lane) -> u32 {
+        self.prefills[lane as usize]
     }
 
     /// Whether it reads a prompt that takes long.
     pub(crate) fn is_heavy(&self) -> bool {
-        Lane::ALL.into_iter().any(|lane| lane.is_heavy() && self.reading_in(lane) > 0)
+        Lane::ALL.into_iter().any(|lane| lane.is_heavy() && self.prefills_in(lane) > 0)
     }
 
     /// Whether it reads prompts that one of the lane overtakes.
-    fn is_filled_behind(&self, lane: Lane) -> bool {
-        Lane::ALL.into_iter().any(|other| other > lane && self.reading_in(other) > 0)
+    fn overtakes_prefill(&self, lane: Lane) -> bool {
+        Lane::ALL.into_iter().any(|other| other > lane && self.prefills_in(other) > 0)
     }
 
-    pub(crate) fn reading_tokens_total(&self) -> u64 {
-        self.reading_tokens.iter().sum()
+    pub(crate) fn total_prefill_tokens(&self) -> u64 {
+        self.prefill_tokens.iter().sum()
     }
 
     /// Time until the prompts are read that a new one of the lane does not overtake.
     pub(crate) fn wait_ahead_ms(&self, lane: Lane) -> f64 {
-        let ahead_tokens: u64 = self.reading_tokens[..=lane as usize].iter().sum();
+        let ahead_tokens: u64 = self.prefill_tokens[..=lane as usize].iter().sum();
         ahead_tokens as f64 * self.rates.prefill_ms_per_token
     }
 
     /// Time until the engine turns to a new prompt of the lane.
     pub(crate) fn predicted_wait_ms(&self, lane: Lane) -> f64 {
         // On the average, half of a full step is over.
-        let is_filled = self.is_filled_behind(lane);
+        let overtakes = self.overtakes_prefill(lane);
         let step_ms =
-            if is_filled { STEP_TOKENS * self.rates.prefill_ms_per_token / 2.0 } else { 0.0 };
+            if overtakes { STEP_TOKENS * self.rates.prefill_ms_per_token / 2.0 } else { 0.0 };
         self.wait_ahead_ms(lane) + step_ms
     }
 
     /// Time that it takes to read a prompt. Beside one that it overtakes, every step is full.
-    pub(crate) fn predicted_read_ms(&self, lane: Lane, tokens: u64) -> f64 {
+    pub(crate) fn predicted_prefill_ms(&self, lane: Lane, tokens: u64) -> f64 {
         let steps = (tokens as f64 / STEP_TOKENS).ceil();
-        let read_tokens =
-            if self.is_filled_behind(lane) { steps * STEP_TOKENS } else { tokens as f64 };
-        read_tokens * self.rates.prefill_ms_per_token
+        let prefill_tokens =
+            if self.overtakes_prefill(lane) { steps * STEP_TOKENS } else { tokens as f64 };
+        prefill_tokens * self.rates.prefill_ms_per_token
     }
 
     /// Time until all prompts that it was given are read.
     pub(crate) fn total_wait_ms(&self) -> f64 {
-        self.reading_tokens_total() as f64 * self.rates.prefill_ms_per_token
+        self.total_prefill_tokens() as f64 * self.rates.prefill_ms_per_token
     }
 
     /// Memory kept for short prompts.
@@ -180,8 +180,8 @@
         let heavy_fits = heavy_tokens + tokens <= self.heavy_memory_tokens(reserve_percent);
         let reserve_fits = self.short_tokens + tokens <= self.short_reserve_tokens(reserve_percent);
         let lane_fits = match lane {
-            Lane::Brief | Lane::Short => !self.is_held || reserve_fits,
-            Lane::Medium | Lane::Long => !self.is_held && heavy_fits,
+            Lane::Brief | Lane::Short => !self.is_reserved_for_gang || reserve_fits,
+            Lane::Medium | Lane::Long => !self.is_reserved_for_gang && heavy_fits,
             Lane::Gang => heavy_fits,
         };
         lane_fits && tokens <= self.free_tokens()
@@ -210,15 +210,15 @@
         }
     }
 
-    pub(crate) fn begin_reading(&mut self, now_ms: u64, lane: Lane, tokens: u64) {
-        self.reading_tokens[lane as usize] += tokens;
-        self.reading[lane as usize] += 1;
-        self.rates.begin_prefill(now_ms);
+    pub(crate) fn start_prefill(&mut self, now_ms: u64, lane: Lane, tokens: u64) {
+        self.prefill_tokens[lane as usize] += tokens;
+        self.prefills[lane as usize] += 1;
+        self.rates.start_prefill(now_ms);
     }
 
-    pub(crate) fn end_reading(&mut self, lane: Lane, tokens: u64) {
-        self.reading_tokens[lane as usize] -= tokens;
-        self.reading[lane as usize] -= 1;
+    pub(crate) fn end_prefill(&mut self, lane: Lane, tokens: u64) {
+        self.prefill_tokens[lane as usize] -= tokens;
+        self.prefills[lane as usize] -= 1;
     }
 
     /// Counts an attempt that no grant accounts for; its memory may be more than is free.
--- a/clayplank-schedule/src/fair.rs
+++ b/clayplank-schedule/src/fair_queue.rs
@@ -31,14 +31,14 @@
 }
 
 #[derive(Debug, Default)]
-struct Backlog {
+struct AccountBacklog {
     virtual_time: u64,
     share: u64,
     waiting: [BTreeSet<(u64, RequestId)>; CLASSES],
     queued_tokens: [u64; CLASSES],
 }
 
-impl Backlog {
+impl AccountBacklog {
     fn is_empty(&self) -> bool {
         self.waiting.iter().all(BTreeSet::is_empty)
     }
@@ -49,12 +49,12 @@
 pub(crate) struct FairQueue {
     ageing_ms: u64,
     requests: HashMap<RequestId, Waiting>,
-    accounts: HashMap<AccountIndex, Backlog>,
+    accounts: HashMap<AccountIndex, AccountBacklog>,
     /// Accounts with requests of a class, by virtual time.
-    order: [BTreeSet<(u64, AccountIndex)>; CLASSES],
+    by_virtual_time: [BTreeSet<(u64, AccountIndex)>; CLASSES],
     /// Requests of a class, by arrival.
-    oldest: [BTreeSet<(u64, RequestId)>; CLASSES],
-    clock: u64,
+    by_arrival: [BTreeSet<(u64, RequestId)>; CLASSES],
+    virtual_clock: u64,
     queued_tokens: u64,
     active_share: u64,
 }
@@ -65,9 +65,9 @@
             ageing_ms,
             requests: HashMap::new(),
             accounts: HashMap::new(),
-            order: Default::default(),
-            oldest: Default::default(),
-            clock: 0,
+            by_virtual_time: Default::default(),
+            by_arrival: Default::default(),
+            virtual_clock: 0,
             queued_tokens: 0,
             active_share: 0,
         }
@@ -93,12 +93,13 @@
         }
         let known = self.accounts.get(&account);
         let is_active = known.is_some_and(|backlog| !backlog.is_empty());
-        let lead = known.map_or(0, |backlog| backlog.virtual_time.saturating_sub(self.clock));
+        let lead =
+            known.map_or(0, |backlog| backlog.virtual_time.saturating_sub(self.virtual_clock));
         let queued: u64 =
             known.map_or(0, |backlog| backlog.queued_tokens[..=class.rank()].iter().sum());
-        let own = self.requests.get(&request).map_or(0, |waiting| waiting.cost_tokens);
-        let before_own = (queued - own.min(queued)) as f64 / share as f64;
-        let virtual_wait = lead as f64 / VIRTUAL_TIME_PER_TOKEN as f64 + before_own;
+        let request_tokens = self.requests.get(&request).map_or(0, |waiting| waiting.cost_tokens);
+        let ahead_in_account = (queued - request_tokens.min(queued)) as f64 / share as f64;
+        let virtual_wait = lead as f64 / VIRTUAL_TIME_PER_TOKEN as f64 + ahead_in_account;
         let total_share = self.active_share + if is_active { 0 } else { share };
         // Beside that, the request that is next takes its time.
         let next_tokens = self.queued_tokens as f64 / self.requests.len() as f64;
@@ -109,21 +110,21 @@
         let class = waiting.class.rank();
         let backlog = self.accounts.entry(waiting.account).or_default();
         if backlog.is_empty() {
-            backlog.virtual_time = backlog.virtual_time.max(self.clock);
+            backlog.virtual_time = backlog.virtual_time.max(self.virtual_clock);
             backlog.share = waiting.share.max(1);
             self.active_share += backlog.share;
         }
         backlog.waiting[class].insert((waiting.rank, waiting.request_id));
         backlog.queued_tokens[class] += waiting.cost_tokens;
         self.queued_tokens += waiting.cost_tokens;
-        self.order[class].insert((backlog.virtual_time, waiting.account));
-        self.oldest[class].insert((waiting.arrived_ms, waiting.request_id));
+        self.by_virtual_time[class].insert((backlog.virtual_time, waiting.account));
+        self.by_arrival[class].insert((waiting.arrived_ms, waiting.request_id));
         self.requests.insert(waiting.request_id, waiting);
     }
 
     /// The request of each account that goes last, up to `max` accounts.
-    pub(crate) fn tails(&self, max: usize) -> Vec<RequestId> {
-        let waiting = self.order.iter().flatten().map(|&(_, account)| account).take(max);
+    pub(crate) fn last_requests(&self, max: usize) -> Vec<RequestId> {
+        let waiting = self.by_virtual_time.iter().flatten().map(|&(_, account)| account).take(max);
         let last = |account: AccountIndex| {
             let classes = self.accounts.get(&account)?.waiting.iter().rev();
             classes.flat_map(|class| class.last()).next().map(|&(_, request_id)| request_id)
@@ -134,25 +135,25 @@
     /// The request that goes next.
     pub(crate) fn peek(&self) -> Option<RequestId> {
         let class = self.choose_class()?;
-        let (_, account) = self.order[class].first()?;
+        let (_, account) = self.by_virtual_time[class].first()?;
         let (_, request_id) = self.accounts.get(account)?.waiting[class].first()?;
         Some(*request_id)
     }
 
     /// The most urgent class, where each `ageing_ms` of waiting counts as one class.
     fn choose_class(&self) -> Option<usize> {
-        let due_ms = |class: usize| {
-            let (arrived_ms, _) = self.oldest[class].first()?;
+        let aged_arrival_ms = |class: usize| {
+            let (arrived_ms, _) = self.by_arrival[class].first()?;
             Some((arrived_ms + class as u64 * self.ageing_ms, class))
         };
-        (0..CLASSES).filter_map(due_ms).min().map(|(_, class)| class)
+        (0..CLASSES).filter_map(aged_arrival_ms).min().map(|(_, class)| class)
     }
 
     /// Takes a request out because it runs: its account is charged.
     pub(crate) fn take(&mut self, request_id: RequestId) -> Option<Waiting> {
         let waiting = self.requests.get(&request_id).copied()?;
         let start = self.accounts.get(&waiting.account)?.virtual_time;
-        self.clock = self.clock.max(start);
+        self.virtual_clock = self.virtual_clock.max(start);
         self.remove(request_id, waiting.cost_tokens)
     }
 
@@ -169,23 +170,25 @@
         backlog.waiting[waiting.class.rank()].remove(&(waiting.rank, request_id));
         backlog.queued_tokens[waiting.class.rank()] -= waiting.cost_tokens;
         self.queued_tokens -= waiting.cost_tokens;
-        self.oldest[waiting.class.rank()].remove(&(waiting.arrived_ms, request_id));
+        self.by_arrival[waiting.class.rank()].remove(&(waiting.arrived_ms, request_id));
         for class in 0..CLASSES {
-            self.order[class].remove(&(before, waiting.account));
+            self.by_virtual_time[class].remove(&(before, waiting.account));
             if !backlog.waiting[class].is_empty() {
-                self.order[class].insert((backlog.virtual_time, waiting.account));
+                self.by_virtual_time[class].insert((backlog.virtual_time, waiting.account));
             }
         }
         if backlog.is_empty() {
             self.active_share -= backlog.share;
         }
-        self.forget_if_idle(waiting.account);
+        self.remove_if_idle(waiting.account);
         Some(waiting)
     }
 
     /// An idle account that is not ahead of the clock would start anew at the clock.
-    fn forget_if_idle(&mut self, account: AccountIndex) {
-        let idle = |backlog: &Backlog| backlog.is_empty() && backlog.virtual_time <= self.clock;
+    fn remove_if_idle(&mut self, account: AccountIndex) {
+        let idle = |backlog: &AccountBacklog| {
+            backlog.is_empty() && backlog.virtual_time <= self.virtual_clock
+        };
         if self.accounts.get(&account).is_some_and(idle) {
             self.accounts.remove(&account);
         }
--- a/clayplank-schedule/src/fleet.rs
+++ b/clayplank-schedule/src/fleet.rs
@@ -16,7 +16,7 @@
 pub(crate) struct ModelIndex {
     /// By predicted wait in microseconds, then by grants.
     pub(crate) by_wait: BTreeSet<(u64, u32, EngineIndex)>,
-    pub(crate) by_free: BTreeSet<(u64, EngineIndex)>,
+    pub(crate) by_free_tokens: BTreeSet<(u64, EngineIndex)>,
     /// Those that read a prompt that is not short.
     pub(crate) heavy: BTreeSet<EngineIndex>,
     pub(crate) by_memory: BTreeSet<(u64, EngineIndex)>,
@@ -26,7 +26,7 @@
 impl ModelIndex {
     fn insert(&mut self, discipline: Discipline, index: EngineIndex, engine: &Engine) {
         self.by_wait.insert(wait_key(discipline, index, engine));
-        self.by_free.insert((engine.free_tokens(), index));
+        self.by_free_tokens.insert((engine.free_tokens(), index));
         self.by_memory.insert((engine.memory_tokens, index));
         self.total_memory_tokens += engine.memory_tokens;
         if engine.is_heavy() {
@@ -36,7 +36,7 @@
 
     fn remove(&mut self, discipline: Discipline, index: EngineIndex, engine: &Engine) {
         self.by_wait.remove(&wait_key(discipline, index, engine));
-        self.by_free.remove(&(engine.free_tokens(), index));
+        self.by_free_tokens.remove(&(engine.free_tokens(), index));
         self.heavy.remove(&index);
         if self.by_memory.remove(&(engine.memory_tokens, index)) {
             self.total_memory_tokens -= engine.memory_tokens;
@@ -72,7 +72,7 @@
         let index = EngineIndex(self.engines.len() as u32);
         self.by_id.insert(engine.id.clone(), index);
         self.engines.push(engine);
-        self.change(index, |_| {});
+        self.update(index, |_| {});
         index
     }
 
@@ -96,17 +96,17 @@
     }
 
     /// Changes an engine and its places in the indexes.
-    pub(crate) fn change<R>(
+    pub(crate) fn update<R>(
         &mut self,
         index: EngineIndex,
-        change: impl FnOnce(&mut Engine) -> R,
+        update: impl FnOnce(&mut Engine) -> R,
     ) -> R {
         let discipline = self.discipline;
         let engine = &mut self.engines[index.0 as usize];
         for model in &engine.models {
             self.by_model.entry(model.clone()).or_default().remove(discipline, index, engine);
         }
-        let result = change(engine);
+        let result = update(engine);
         for model in engine.models.iter().filter(|_| engine.is_live()) {
             self.by_model.entry(model.clone()).or_default().insert(discipline, index, engine);
         }
--- a/clayplank-schedule/src/grants.rs
+++ b/clayplank-schedule/src/grants.rs
@@ -4,9 +4,9 @@
 
 use clayplank_types::{AttemptId, Incarnation};
 
-use crate::ask::{GrantId, GrantPart, Holder};
 use crate::fleet::EngineIndex;
 use crate::policy::Lane;
+use crate::reservation::{GrantId, GrantPart, Holder};
 
 /// A grant as its holder describes it to the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,53 +23,53 @@
 
 /// Capacity that counts as used at one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Part {
+pub(crate) struct ReservedPart {
     pub(crate) engine: EngineIndex,
     /// The life of the engine in which it was given.
     pub(crate) incarnation: Incarnation,
     pub(crate) reserved_tokens: u64,
     /// Prompt tokens still being read.
-    pub(crate) reading_tokens: u64,
-    pub(crate) is_reading: bool,
+    pub(crate) prefill_tokens: u64,
+    pub(crate) is_prefilling: bool,
     pub(crate) is_released: bool,
 }
 
 /// Whether somebody still answers for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Hold {
+pub(crate) enum GrantState {
     /// Lasts until the given time, unless it is renewed.
     Held { until_ms: u64 },
     /// Nobody does; its memory comes back when the engine says so.
-    Lapsing { since_ms: u64 },
+    Revoked { since_ms: u64 },
 }
 
 /// A grant and its parts.
 #[derive(Clone, Debug)]
-pub(crate) struct Record {
+pub(crate) struct GrantRecord {
     pub(crate) attempt_id: AttemptId,
     pub(crate) holder: Holder,
     pub(crate) lane: Lane,
-    pub(crate) hold: Hold,
-    pub(crate) parts: Vec<Part>,
+    pub(crate) state: GrantState,
+    pub(crate) parts: Vec<ReservedPart>,
 }
 
 /// All grants of a scheduler.
 #[derive(Debug, Default)]
 pub(crate) struct GrantTable {
-    records: HashMap<GrantId, Record>,
+    records: HashMap<GrantId, GrantRecord>,
     by_attempt: HashMap<AttemptId, GrantId>,
     by_holder: HashMap<Holder, BTreeSet<GrantId>>,
-    due: BTreeSet<(u64, GrantId)>,
-    lapsing: BTreeSet<GrantId>,
+    by_expiry: BTreeSet<(u64, GrantId)>,
+    revoked: BTreeSet<GrantId>,
     last_id: u64,
 }
 
 impl GrantTable {
-    pub(crate) fn insert(&mut self, record: Record) -> GrantId {
+    pub(crate) fn insert(&mut self, record: GrantRecord) -> GrantId {
         self.last_id += 1;
         let grant_id = GrantId(self.last_id);
-        if let Hold::Held { until_ms } = record.hold {
-            self.due.insert((until_ms, grant_id));
+        if let GrantState::Held { until_ms } = record.state {
+            self.by_expiry.insert((until_ms, grant_id));
         }
         self.by_attempt.insert(record.attempt_id, grant_id);
         self.by_holder.entry(record.holder.clone()).or_default().insert(grant_id);
@@ -77,11 +77,11 @@
         grant_id
     }
 
-    pub(crate) fn get(&self, grant_id: GrantId) -> Option<&Record> {
+    pub(crate) fn get(&self, grant_id: GrantId) -> Option<&GrantRecord> {
         self.records.get(&grant_id)
     }
 
-    pub(crate) fn get_mut(&mut self, grant_id: GrantId) -> Option<&mut Record> {
+    pub(crate) fn get_mut(&mut self, grant_id: GrantId) -> Option<&mut GrantRecord> {
         self.records.get_mut(&grant_id)
     }
 
@@ -89,7 +89,7 @@
         self.by_attempt.get(&attempt_id).copied()
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (GrantId, &Record)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (GrantId, &GrantRecord)> {
         self.records.iter().map(|(&grant_id, record)| (grant_id, record))
     }
 
@@ -97,48 +97,48 @@
         self.records.len()
     }
 
-    pub(crate) fn remove(&mut self, grant_id: GrantId) -> Option<Record> {
+    pub(crate) fn remove(&mut self, grant_id: GrantId) -> Option<GrantRecord> {
         let record = self.records.remove(&grant_id)?;
         self.by_attempt.remove(&record.attempt_id);
-        self.lapsing.remove(&grant_id);
-        self.forget_due(grant_id, record.hold);
-        if let Some(held) = self.by_holder.get_mut(&record.holder) {
-            held.remove(&grant_id);
-            if held.is_empty() {
+        self.revoked.remove(&grant_id);
+        self.remove_expiry(grant_id, record.state);
+        if let Some(grant_ids) = self.by_holder.get_mut(&record.holder) {
+            grant_ids.remove(&grant_id);
+            if grant_ids.is_empty() {
                 self.by_holder.remove(&record.holder);
             }
         }
         Some(record)
     }
 
-    pub(crate) fn set_hold(&mut self, grant_id: GrantId, hold: Hold) {
+    pub(crate) fn set_state(&mut self, grant_id: GrantId, state: GrantState) {
         let Some(record) = self.records.get_mut(&grant_id) else {
             return;
         };
-        let before = std::mem::replace(&mut record.hold, hold);
-        self.forget_due(grant_id, before);
-        match hold {
-            Hold::Held { until_ms } => self.due.insert((until_ms, grant_id)),
-            Hold::Lapsing { .. } => self.lapsing.insert(grant_id),
+        let before = std::mem::replace(&mut record.state, state);
+        self.remove_expiry(grant_id, before);
+        match state {
+            GrantState::Held { until_ms } => self.by_expiry.insert((until_ms, grant_id)),
+            GrantState::Revoked { .. } => self.revoked.insert(grant_id),
         };
     }
 
     /// Grants for which nobody answers any more.
-    pub(crate) fn lapsing(&self) -> impl Iterator<Item = (GrantId, &Record)> {
-        self.lapsing
+    pub(crate) fn revoked(&self) -> impl Iterator<Item = (GrantId, &GrantRecord)> {
+        self.revoked
             .iter()
             .filter_map(|&grant_id| self.records.get(&grant_id).map(|record| (grant_id, record)))
     }
 
-    fn forget_due(&mut self, grant_id: GrantId, hold: Hold) {
-        if let Hold::Held { until_ms } = hold {
-            self.due.remove(&(until_ms, grant_id));
+    fn remove_expiry(&mut self, grant_id: GrantId, state: GrantState) {
+        if let GrantState::Held { until_ms } = state {
+            self.by_expiry.remove(&(until_ms, grant_id));
         }
     }
 
     /// Held grants whose time is over.
-    pub(crate) fn overdue(&self, now_ms: u64) -> Vec<GrantId> {
-        self.due
+    pub(crate) fn expired(&self, now_ms: u64) -> Vec<GrantId> {
+        self.by_expiry
             .iter()
             .take_while(|&&(until_ms, _)| until_ms <= now_ms)
             .map(|&(_, grant_id)| grant_id)
@@ -146,7 +146,7 @@
     }
 
     /// Grants of earlier lives of a holder's host.
-    pub(crate) fn of_earlier_lives(&self, holder: &Holder) -> Vec<GrantId> {
+    pub(crate) fn of_earlier_incarnations(&self, holder: &Holder) -> Vec<GrantId> {
         let same_host =
             |other: &&Holder| other.host == holder.host && other.incarnation < holder.incarnation;
         let earlier: Vec<_> = self.by_holder.keys().filter(same_host).collect();
@@ -158,26 +158,26 @@
 #[derive(Debug, Default)]
 pub(crate) struct EndedAttempts {
     by_time: VecDeque<(u64, AttemptId)>,
-    known: HashSet<AttemptId>,
+    attempt_ids: HashSet<AttemptId>,
 }
 
 impl EndedAttempts {
     pub(crate) fn insert(&mut self, now_ms: u64, attempt_id: AttemptId) {
         self.by_time.push_back((now_ms, attempt_id));
-        self.known.insert(attempt_id);
+        self.attempt_ids.insert(attempt_id);
     }
 
     pub(crate) fn contains(&self, attempt_id: AttemptId) -> bool {
-        self.known.contains(&attempt_id)
+        self.attempt_ids.contains(&attempt_id)
     }
 
-    pub(crate) fn forget_before(&mut self, time_ms: u64) {
+    pub(crate) fn remove_before(&mut self, time_ms: u64) {
         while let Some(&(ended_ms, attempt_id)) = self.by_time.front() {
             if ended_ms >= time_ms {
                 return;
             }
             self.by_time.pop_front();
-            self.known.remove(&attempt_id);
+            self.attempt_ids.remove(&attempt_id);
         }
     }
 }
--- a/clayplank-schedule/src/lanes.rs
+++ b/clayplank-schedule/src/lanes.rs
@@ -3,21 +3,21 @@
 use clayplank_types::RequestId;
 
 use crate::admission::Throughput;
-use crate::fair::FairQueue;
+use crate::fair_queue::FairQueue;
 use crate::fleet::EngineIndex;
 use crate::policy::Lane;
 
 /// Time over which the demand of short prompts is averaged.
-const DEMAND_MS: f64 = 10_000.0;
+const DEMAND_WINDOW_MS: f64 = 10_000.0;
 
 /// Engines kept free of heavy prompts, for each that short ones keep busy.
-const SHORT_HEADROOM: f64 = 1.3;
+const SHORT_HEADROOM_FACTOR: f64 = 1.3;
 
 /// Engines kept free of heavy prompts in any case.
-const SHORT_MIN_ENGINES: f64 = 1.0;
+const MIN_SHORT_ENGINES: f64 = 1.0;
 
 /// The limit rises only when this many more engines are free.
-const LIMIT_HYSTERESIS: f64 = 0.5;
+const LIMIT_HYSTERESIS_ENGINES: f64 = 0.5;
 
 /// A queue and how fast it moves.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
 
 /// Engines that take no heavy work until the gang's request fits them.
 #[derive(Debug)]
-pub(crate) struct GangHold {
+pub(crate) struct PendingGang {
     pub(crate) request_id: RequestId,
     pub(crate) members: Vec<EngineIndex>,
 }
@@ -37,9 +37,9 @@
 #[derive(Debug)]
 pub(crate) struct ModelLanes {
     lanes: [LaneQueue; Lane::ALL.len()],
-    pub(crate) hold: Option<GangHold>,
+    pub(crate) pending_gang: Option<PendingGang>,
     short_tokens: f64,
-    decayed_ms: u64,
+    last_decay_ms: u64,
     heavy_limit: usize,
 }
 
@@ -49,9 +49,9 @@
             || LaneQueue { queue: FairQueue::new(ageing_ms), throughput: Throughput::default() };
         Self {
             lanes: Lane::ALL.map(|_| lane()),
-            hold: None,
+            pending_gang: None,
             short_tokens: 0.0,
-            decayed_ms: 0,
+            last_decay_ms: 0,
             heavy_limit: 1,
         }
     }
@@ -69,15 +69,15 @@
     }
 
     /// Notes that a short prompt was sent to an engine.
-    pub(crate) fn note_short(&mut self, now_ms: u64, tokens: u64) {
+    pub(crate) fn record_short_prefill(&mut self, now_ms: u64, tokens: u64) {
         self.decay(now_ms);
         self.short_tokens += tokens as f64;
     }
 
     fn decay(&mut self, now_ms: u64) {
-        let elapsed_ms = now_ms.saturating_sub(self.decayed_ms) as f64;
-        self.short_tokens *= (-elapsed_ms / DEMAND_MS).exp();
-        self.decayed_ms = now_ms;
+        let elapsed_ms = now_ms.saturating_sub(self.last_decay_ms) as f64;
+        self.short_tokens *= (-elapsed_ms / DEMAND_WINDOW_MS).exp();
+        self.last_decay_ms = now_ms;
     }
 
     /// How many engines may read heavy prompts at a time.
@@ -88,11 +88,12 @@
         prefill_ms_per_token: f64,
     ) -> usize {
         self.decay(now_ms);
-        let busy_engines = self.short_tokens / DEMAND_MS * prefill_ms_per_token;
-        let spare = engines as f64 - busy_engines * SHORT_HEADROOM - SHORT_MIN_ENGINES;
-        let is_lower = spare < self.heavy_limit as f64;
-        if is_lower || spare >= self.heavy_limit as f64 + 1.0 + LIMIT_HYSTERESIS {
-            self.heavy_limit = (spare.floor().max(1.0)) as usize;
+        let busy_engines = self.short_tokens / DEMAND_WINDOW_MS * prefill_ms_per_token;
+        let spare_engines =
+            engines as f64 - busy_engines * SHORT_HEADROOM_FACTOR - MIN_SHORT_ENGINES;
+        let is_lower = spare_engines < self.heavy_limit as f64;
+        if is_lower || spare_engines >= self.heavy_limit as f64 + 1.0 + LIMIT_HYSTERESIS_ENGINES {
+            self.heavy_limit = (spare_engines.floor().max(1.0)) as usize;
         }
         self.heavy_limit
     }
--- a/clayplank-schedule/src/lib.rs
+++ b/clayplank-schedule/src/lib.rs
@@ -16,27 +16,27 @@
 //! ```
 
 mod admission;
-mod ask;
 mod choose;
 mod dispatch;
 mod engine;
-mod fair;
+mod fair_queue;
 mod fleet;
 mod grants;
 mod lanes;
+mod lifecycle;
 mod limits;
 mod policy;
 mod pools;
 mod prefix;
 mod rates;
+mod reservation;
 mod scheduler;
-mod upkeep;
 
 pub use admission::Forecast;
-pub use ask::{Ask, Decision, Grant, GrantId, GrantPart, Holder, Usage};
 pub use engine::{EngineReport, EngineSpec};
 pub use grants::HeldGrant;
 pub use limits::{RateLimit, RetryBudget};
 pub use policy::{Discipline, Lane, Mechanisms, Policy, PolicyBuilder};
 pub use pools::{PoolLoad, choose_pool};
+pub use reservation::{Ask, Decision, Grant, GrantId, GrantPart, Holder, Usage};
 pub use scheduler::{Scheduler, Totals};
--- a/clayplank-schedule/src/upkeep.rs
+++ b/clayplank-schedule/src/lifecycle.rs
@@ -4,11 +4,11 @@
 
 use clayplank_types::{AttemptId, UpstreamId};
 
-use crate::ask::{Decision, GrantId, Holder, Usage};
 use crate::engine::{Availability, EngineReport};
 use crate::fleet::EngineIndex;
-use crate::grants::{HeldGrant, Hold, Part, Record};
+use crate::grants::{GrantRecord, GrantState, HeldGrant, ReservedPart};
 use crate::policy::Lane;
+use crate::reservation::{Decision, GrantId, Holder, Usage};
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
@@ -19,23 +19,23 @@
         };
         let lane = record.lane;
         let is_gang = record.parts.len() > 1;
-        let mut read = Vec::new();
-        for part in record.parts.iter_mut().filter(|part| part.is_reading && !part.is_released) {
-            part.is_reading = false;
-            read.push((part.engine, part.reading_tokens));
+        let mut prefilled = Vec::new();
+        for part in record.parts.iter_mut().filter(|part| part.is_prefilling && !part.is_released) {
+            part.is_prefilling = false;
+            prefilled.push((part.engine, part.prefill_tokens));
         }
-        for &(index, tokens) in &read {
-            self.fleet.change(index, |engine| {
-                engine.end_reading(lane, tokens);
-                let left_tokens = engine.reading_tokens_total();
+        for &(index, tokens) in &prefilled {
+            self.fleet.update(index, |engine| {
+                engine.end_prefill(lane, tokens);
+                let remaining_tokens = engine.total_prefill_tokens();
                 match is_gang {
                     // The members of a gang wait for each other: that is no sign of their speed.
-                    true => engine.rates.drop_spell(),
-                    false => engine.rates.end_prefill(now_ms, tokens, left_tokens),
+                    true => engine.rates.discard_busy_period(),
+                    false => engine.rates.end_prefill(now_ms, tokens, remaining_tokens),
                 }
             });
         }
-        self.dispatch_for(now_ms, read.iter().map(|&(index, _)| index));
+        self.dispatch_models_of(now_ms, prefilled.iter().map(|&(index, _)| index));
     }
 
     /// Ends the grant of an attempt, whoever gave it; see [`Scheduler::finish`].
@@ -55,7 +55,7 @@
         let attempt_id = record.attempt_id;
         let engines: Vec<_> = record.parts.iter().map(|part| part.engine).collect();
         if let (Some(&last), true) = (engines.last(), usage.engine_ended) {
-            self.fleet.change(last, |engine| {
+            self.fleet.update(last, |engine| {
                 engine.rates.end_decode(usage.output_tokens, usage.decode_ms)
             });
         }
@@ -63,15 +63,15 @@
             self.ended.insert(now_ms, attempt_id);
             self.release_grant(grant_id);
         } else {
-            self.lapse(now_ms, grant_id);
+            self.revoke(now_ms, grant_id);
         }
-        self.dispatch_for(now_ms, engines.into_iter());
+        self.dispatch_models_of(now_ms, engines.into_iter());
     }
 
     /// Renews all grants of a holder, and takes over those of a former owner.
     pub fn renew(&mut self, now_ms: u64, holder: &Holder, held: &[HeldGrant]) {
-        for grant_id in self.grants.of_earlier_lives(holder) {
-            self.lapse(now_ms, grant_id);
+        for grant_id in self.grants.of_earlier_incarnations(holder) {
+            self.revoke(now_ms, grant_id);
         }
         let until_ms = now_ms + self.policy.grant_lease_ms;
         for grant in held {
@@ -83,9 +83,9 @@
     }
 
     fn renew_one(&mut self, grant_id: GrantId, until_ms: u64) {
-        let is_held = |record: &Record| matches!(record.hold, Hold::Held { .. });
+        let is_held = |record: &GrantRecord| matches!(record.state, GrantState::Held { .. });
         if self.grants.get(grant_id).is_some_and(is_held) {
-            self.grants.set_hold(grant_id, Hold::Held { until_ms });
+            self.grants.set_state(grant_id, GrantState::Held { until_ms });
         }
     }
 
@@ -95,77 +95,78 @@
             return;
         }
         let mut parts = Vec::new();
-        for told in &held.parts {
-            let Some(index) = self.find_engine(&told.engine) else {
+        for part in &held.parts {
+            let Some(index) = self.find_engine(&part.engine) else {
                 continue;
             };
-            let incarnation = self.fleet.change(index, |engine| {
+            let incarnation = self.fleet.update(index, |engine| {
                 engine.remove_foreign(held.attempt_id);
-                engine.adopt(Lane::Long, told.reserved_tokens);
+                engine.adopt(Lane::Long, part.reserved_tokens);
                 engine.incarnation
             });
-            parts.push(Part {
+            parts.push(ReservedPart {
                 engine: index,
                 incarnation,
-                reserved_tokens: told.reserved_tokens,
-                reading_tokens: 0,
-                is_reading: false,
+                reserved_tokens: part.reserved_tokens,
+                prefill_tokens: 0,
+                is_prefilling: false,
                 is_released: false,
             });
         }
-        let hold = Hold::Held { until_ms };
-        let record = Record {
+        let state = GrantState::Held { until_ms };
+        let record = GrantRecord {
             attempt_id: held.attempt_id,
             holder: holder.clone(),
             lane: Lane::Long,
-            hold,
+            state,
             parts,
         };
         self.grants.insert(record);
     }
 
-    pub(crate) fn lapse_overdue(&mut self, now_ms: u64) {
-        for grant_id in self.grants.overdue(now_ms) {
-            self.lapse(now_ms, grant_id);
+    pub(crate) fn revoke_expired(&mut self, now_ms: u64) {
+        for grant_id in self.grants.expired(now_ms) {
+            self.revoke(now_ms, grant_id);
         }
     }
 
-    fn lapse(&mut self, now_ms: u64, grant_id: GrantId) {
+    fn revoke(&mut self, now_ms: u64, grant_id: GrantId) {
         let Some(record) = self.grants.get(grant_id) else {
             return;
         };
-        if matches!(record.hold, Hold::Lapsing { .. }) {
+        if matches!(record.state, GrantState::Revoked { .. }) {
             return;
         }
         let attempt_id = record.attempt_id;
-        let kept = record.parts.iter().filter(|part| !part.is_released);
-        let engines: Vec<_> = kept.map(|part| self.fleet.engine(part.engine).id.clone()).collect();
+        let unreleased = record.parts.iter().filter(|part| !part.is_released);
+        let engines: Vec<_> =
+            unreleased.map(|part| self.fleet.engine(part.engine).id.clone()).collect();
         self.decisions
             .extend(engines.into_iter().map(|engine| Decision::Cancel(engine, attempt_id)));
-        self.grants.set_hold(grant_id, Hold::Lapsing { since_ms: now_ms });
-        self.stop_reading(grant_id);
+        self.grants.set_state(grant_id, GrantState::Revoked { since_ms: now_ms });
+        self.stop_prefill(grant_id);
     }
 
-    fn stop_reading(&mut self, grant_id: GrantId) {
+    fn stop_prefill(&mut self, grant_id: GrantId) {
         let Some(record) = self.grants.get_mut(grant_id) else {
             return;
         };
         let lane = record.lane;
-        for part in record.parts.iter_mut().filter(|part| part.is_reading && !part.is_released) {
-            part.is_reading = false;
-            let tokens = part.reading_tokens;
-            self.fleet.change(part.engine, |engine| {
-                engine.end_reading(lane, tokens);
-                engine.rates.drop_spell();
+        for part in record.parts.iter_mut().filter(|part| part.is_prefilling && !part.is_released) {
+            part.is_prefilling = false;
+            let tokens = part.prefill_tokens;
+            self.fleet.update(part.engine, |engine| {
+                engine.end_prefill(lane, tokens);
+                engine.rates.discard_busy_period();
             });
         }
     }
 
     fn release_grant(&mut self, grant_id: GrantId) {
-        self.stop_reading(grant_id);
+        self.stop_prefill(grant_id);
         if let Some(record) = self.grants.remove(grant_id) {
             for part in record.parts.iter().filter(|part| !part.is_released) {
-                self.fleet.change(part.engine, |engine| {
+                self.fleet.update(part.engine, |engine| {
                     engine.release(record.lane, part.reserved_tokens)
                 });
             }
@@ -174,7 +175,7 @@
 
     /// Gives back the part of a grant that an engine no longer uses.
     fn release_part(&mut self, grant_id: GrantId, index: EngineIndex) {
-        self.stop_reading(grant_id);
+        self.stop_prefill(grant_id);
         let Some(record) = self.grants.get_mut(grant_id) else {
             return;
         };
@@ -183,10 +184,10 @@
         {
             part.is_released = true;
             let tokens = part.reserved_tokens;
-            self.fleet.change(index, |engine| engine.release(lane, tokens));
+            self.fleet.update(index, |engine| engine.release(lane, tokens));
         }
-        let is_over = record.parts.iter().all(|part| part.is_released);
-        if is_over && matches!(record.hold, Hold::Lapsing { .. }) {
+        let all_released = record.parts.iter().all(|part| part.is_released);
+        if all_released && matches!(record.state, GrantState::Revoked { .. }) {
             self.grants.remove(grant_id);
         }
     }
@@ -197,18 +198,18 @@
             return;
         };
         let is_restarted = self.apply_incarnation(index, report);
-        self.fleet.change(index, |engine| {
+        self.fleet.update(index, |engine| {
             engine.memory_tokens = report.memory_tokens;
             engine.adapters.clone_from(&report.adapters);
             engine.availability = match (report.is_leaving, engine.availability) {
-                (true, _) => Availability::Leaving,
-                (false, Availability::Leaving) if !is_restarted => Availability::Leaving,
+                (true, _) => Availability::Draining,
+                (false, Availability::Draining) if !is_restarted => Availability::Draining,
                 (false, _) => Availability::Live,
             };
         });
         self.release_ended(now_ms, index, report);
         self.count_foreign(now_ms, index, report);
-        self.dispatch_for(now_ms, std::iter::once(index));
+        self.dispatch_models_of(now_ms, std::iter::once(index));
     }
 
     /// A new life of an engine runs nothing that was given to the former one.
@@ -217,27 +218,27 @@
         if before == report.incarnation {
             return false;
         }
-        self.fleet.change(index, |engine| engine.incarnation = report.incarnation);
-        self.prefixes.forget(index);
-        let of_former_life =
-            |part: &Part| part.engine == index && part.incarnation != report.incarnation;
+        self.fleet.update(index, |engine| engine.incarnation = report.incarnation);
+        self.prefixes.invalidate(index);
+        let of_earlier_incarnation =
+            |part: &ReservedPart| part.engine == index && part.incarnation != report.incarnation;
         let is_first = before.0 == 0;
         let affected: Vec<_> = self
             .grants
             .iter()
-            .filter(|(_, record)| record.parts.iter().any(of_former_life))
+            .filter(|(_, record)| record.parts.iter().any(of_earlier_incarnation))
             .map(|(grant_id, _)| grant_id)
             .collect();
         for grant_id in affected {
             match is_first {
-                true => self.learn_incarnation(grant_id, index, report),
+                true => self.set_incarnation(grant_id, index, report),
                 false => self.release_part(grant_id, index),
             }
         }
         !is_first
     }
 
-    fn learn_incarnation(&mut self, grant_id: GrantId, index: EngineIndex, report: &EngineReport) {
+    fn set_incarnation(&mut self, grant_id: GrantId, index: EngineIndex, report: &EngineReport) {
         let record = self.grants.get_mut(grant_id);
         for part in record
             .into_iter()
@@ -251,24 +252,25 @@
     fn release_ended(&mut self, now_ms: u64, index: EngineIndex, report: &EngineReport) {
         let grace_ms = self.policy.report_grace_ms;
         // The report may be older than the cancelling; the grace covers its lag.
-        let is_ended = |record: &Record| match record.hold {
-            Hold::Held { .. } => false,
-            Hold::Lapsing { since_ms } => {
+        let is_ended = |record: &GrantRecord| match record.state {
+            GrantState::Held { .. } => false,
+            GrantState::Revoked { since_ms } => {
                 now_ms >= since_ms + grace_ms && !report.running.contains_key(&record.attempt_id)
             }
         };
-        let here = |record: &Record| {
+        let uses_engine = |record: &GrantRecord| {
             record.parts.iter().any(|part| part.engine == index && !part.is_released)
         };
-        let lapsing = self.grants.lapsing().filter(|(_, record)| here(record) && is_ended(record));
-        let ended: Vec<_> = lapsing.map(|(grant_id, _)| grant_id).collect();
+        let revoked =
+            self.grants.revoked().filter(|(_, record)| uses_engine(record) && is_ended(record));
+        let ended: Vec<_> = revoked.map(|(grant_id, _)| grant_id).collect();
         for grant_id in ended {
             self.release_part(grant_id, index);
         }
     }
 
     fn count_foreign(&mut self, now_ms: u64, index: EngineIndex, report: &EngineReport) {
-        self.ended.forget_before(now_ms.saturating_sub(self.policy.report_grace_ms));
+        self.ended.remove_before(now_ms.saturating_sub(self.policy.report_grace_ms));
         let is_foreign = |attempt_id: &AttemptId| {
             self.grants.find(*attempt_id).is_none() && !self.ended.contains(*attempt_id)
         };
@@ -278,11 +280,11 @@
             .filter(|(attempt_id, _)| is_foreign(attempt_id))
             .map(|(&attempt_id, &tokens)| (attempt_id, tokens))
             .collect();
-        self.fleet.change(index, |engine| {
+        self.fleet.update(index, |engine| {
             let listed: BTreeSet<_> = foreign.iter().map(|&(attempt_id, _)| attempt_id).collect();
-            let gone: Vec<_> =
+            let ended: Vec<_> =
                 engine.foreign.keys().filter(|id| !listed.contains(id)).copied().collect();
-            for attempt_id in gone {
+            for attempt_id in ended {
                 engine.remove_foreign(attempt_id);
             }
             for (attempt_id, tokens) in foreign {
@@ -293,13 +295,13 @@
 
     /// Notes that an engine's reports stopped: it gets no new work until one comes.
     pub fn note_silent(&mut self, engine: &UpstreamId) {
-        self.change_availability(engine, Availability::Live, Availability::Silent);
+        self.change_availability(engine, Availability::Live, Availability::Unresponsive);
     }
 
     /// Notes that an engine is about to stop, whoever says so.
     pub fn note_leaving(&mut self, engine: &UpstreamId) {
-        self.change_availability(engine, Availability::Live, Availability::Leaving);
-        self.change_availability(engine, Availability::Silent, Availability::Leaving);
+        self.change_availability(engine, Availability::Live, Availability::Draining);
+        self.change_availability(engine, Availability::Unresponsive, Availability::Draining);
     }
 
     fn change_availability(&mut self, engine: &UpstreamId, from: Availability, to: Availability) {
@@ -307,14 +309,14 @@
             return;
         };
         if self.fleet.engine(index).availability == from {
-            self.fleet.change(index, |engine| engine.availability = to);
+            self.fleet.update(index, |engine| engine.availability = to);
         }
     }
 
     /// Notes that an engine has loaded an adapter, before its next report says so.
     pub fn note_adapter(&mut self, engine: &UpstreamId, adapter: &str) {
         if let Some(index) = self.find_engine(engine) {
-            self.fleet.change(index, |engine| engine.adapters.insert(adapter.to_owned()));
+            self.fleet.update(index, |engine| engine.adapters.insert(adapter.to_owned()));
         }
     }
 
@@ -328,11 +330,11 @@
     /// Notes that cache events of an engine were missed: what they told is void.
     pub fn note_cache_gap(&mut self, engine: &UpstreamId) {
         if let Some(index) = self.find_engine(engine) {
-            self.prefixes.forget(index);
+            self.prefixes.invalidate(index);
         }
     }
 
-    fn dispatch_for(&mut self, now_ms: u64, engines: impl Iterator<Item = EngineIndex>) {
+    fn dispatch_models_of(&mut self, now_ms: u64, engines: impl Iterator<Item = EngineIndex>) {
         let models: BTreeSet<String> =
             engines.flat_map(|index| self.fleet.engine(index).models.clone()).collect();
         for model in &models {
@@ -344,7 +346,7 @@
     }
 
     /// Reserved memory is the sum of the parts of all grants, at every engine.
-    pub(crate) fn assert_sums(&self) {
+    pub(crate) fn assert_reservations_match(&self) {
         let mut sums = vec![0; self.fleet.iter().count()];
         for (_, record) in self.grants.iter() {
             for part in record.parts.iter().filter(|part| !part.is_released) {
--- a/clayplank-schedule/src/policy.rs
+++ b/clayplank-schedule/src/policy.rs
@@ -90,7 +90,7 @@
     pub(crate) brief_prompt_tokens: u64,
     pub(crate) short_prompt_tokens: u64,
     pub(crate) medium_prompt_tokens: u64,
-    pub(crate) prefill_ahead_ms: f64,
+    pub(crate) max_prefill_ahead_ms: f64,
     pub(crate) short_reserve_percent: u64,
     pub(crate) ageing_ms: u64,
     pub(crate) grant_lease_ms: u64,
@@ -110,7 +110,7 @@
             brief_prompt_tokens: 2_048,
             short_prompt_tokens: 8_192,
             medium_prompt_tokens: 65_536,
-            prefill_ahead_ms: 250.0,
+            max_prefill_ahead_ms: 250.0,
             short_reserve_percent: 10,
             ageing_ms: 2_000,
             grant_lease_ms: 3_000,
@@ -131,7 +131,7 @@
     }
 
     /// The lane of a prompt that fits one engine.
-    pub(crate) fn plan_lane(&self, prompt_tokens: u64) -> Lane {
+    pub(crate) fn classify_lane(&self, prompt_tokens: u64) -> Lane {
         match self.discipline {
             Discipline::FirstCome | Discipline::ShortestFirst => Lane::Short,
             Discipline::Current if prompt_tokens <= self.brief_prompt_tokens => Lane::Brief,
--- a/clayplank-schedule/src/prefix.rs
+++ b/clayplank-schedule/src/prefix.rs
@@ -13,8 +13,8 @@
 /// Engines by prefix. An entry of an older generation of its engine is void.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixTable {
-    engines: HashMap<u64, Vec<(EngineIndex, u64)>>,
-    age: VecDeque<u64>,
+    by_hash: HashMap<u64, Vec<(EngineIndex, u64)>>,
+    insertion_order: VecDeque<u64>,
     generations: HashMap<EngineIndex, u64>,
 }
 
@@ -23,7 +23,7 @@
     pub(crate) fn matches(&self, hashes: &[u64]) -> Vec<(EngineIndex, u64)> {
         let mut found: Vec<(EngineIndex, u64)> = Vec::new();
         for (position, hash) in hashes.iter().enumerate().rev() {
-            for &(engine, generation) in self.engines.get(hash).into_iter().flatten() {
+            for &(engine, generation) in self.by_hash.get(hash).into_iter().flatten() {
                 let is_new = found.iter().all(|&(other, _)| other != engine);
                 if is_new && generation == self.generation(engine) {
                     found.push((engine, position as u64 + 1));
@@ -39,30 +39,30 @@
     pub(crate) fn store(&mut self, engine: EngineIndex, hashes: &[u64]) {
         let generation = self.generation(engine);
         for &hash in hashes {
-            let is_new = !self.engines.contains_key(&hash);
-            let known = self.engines.entry(hash).or_default();
-            known.retain(|&(other, _)| other != engine);
-            known.insert(0, (engine, generation));
-            known.truncate(MAX_ENGINES);
+            let is_new = !self.by_hash.contains_key(&hash);
+            let entries = self.by_hash.entry(hash).or_default();
+            entries.retain(|&(other, _)| other != engine);
+            entries.insert(0, (engine, generation));
+            entries.truncate(MAX_ENGINES);
             if is_new {
-                self.age.push_back(hash);
+                self.insertion_order.push_back(hash);
             }
         }
-        while self.age.len() > MAX_PREFIXES {
-            if let Some(oldest) = self.age.pop_front() {
-                self.engines.remove(&oldest);
+        while self.insertion_order.len() > MAX_PREFIXES {
+            if let Some(oldest) = self.insertion_order.pop_front() {
+                self.by_hash.remove(&oldest);
             }
         }
     }
 
     pub(crate) fn evict(&mut self, engine: EngineIndex, hash: u64) {
-        if let Some(known) = self.engines.get_mut(&hash) {
-            known.retain(|&(other, _)| other != engine);
+        if let Some(entries) = self.by_hash.get_mut(&hash) {
+            entries.retain(|&(other, _)| other != engine);
         }
     }
 
     /// Drops all that is known of an engine's cache.
-    pub(crate) fn forget(&mut self, engine: EngineIndex) {
+    pub(crate) fn invalidate(&mut self, engine: EngineIndex) {
         *self.generations.entry(engine).or_default() += 1;
     }
 
--- a/clayplank-schedule/src/rates.rs
+++ b/clayplank-schedule/src/rates.rs
@@ -11,57 +11,64 @@
 pub(crate) struct Rates {
     pub(crate) prefill_ms_per_token: f64,
     pub(crate) decode_ms_per_token: f64,
-    spell: Option<Spell>,
+    busy_period: Option<BusyPeriod>,
 }
 
 /// A time in which the engine had prompts to read without a break.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Spell {
-    began_ms: u64,
-    read_tokens: u64,
+struct BusyPeriod {
+    start_ms: u64,
+    prefill_tokens: u64,
 }
 
 impl Rates {
     pub(crate) fn new(prefill_ms_per_token: f64, decode_ms_per_token: f64) -> Self {
-        Self { prefill_ms_per_token, decode_ms_per_token, spell: None }
+        Self { prefill_ms_per_token, decode_ms_per_token, busy_period: None }
     }
 
     /// Notes that a prompt was sent to the engine.
-    pub(crate) fn begin_prefill(&mut self, now_ms: u64) {
-        self.spell.get_or_insert(Spell { began_ms: now_ms, read_tokens: 0 });
+    pub(crate) fn start_prefill(&mut self, now_ms: u64) {
+        self.busy_period.get_or_insert(BusyPeriod { start_ms: now_ms, prefill_tokens: 0 });
     }
 
     /// Notes that a prompt was read, and how many tokens are still being read.
-    pub(crate) fn end_prefill(&mut self, now_ms: u64, read_tokens: u64, left_tokens: u64) {
-        let Some(spell) = &mut self.spell else {
+    pub(crate) fn end_prefill(&mut self, now_ms: u64, prefill_tokens: u64, remaining_tokens: u64) {
+        let Some(busy_period) = &mut self.busy_period else {
             return;
         };
-        spell.read_tokens += read_tokens;
-        let spell = *spell;
+        busy_period.prefill_tokens += prefill_tokens;
+        let busy_period = *busy_period;
         // What is half read would falsify the sample, unless it is a small part.
-        if left_tokens * 4 > spell.read_tokens {
+        if remaining_tokens * 4 > busy_period.prefill_tokens {
             return;
         }
-        self.spell = (left_tokens > 0).then_some(Spell { began_ms: now_ms, read_tokens: 0 });
-        if spell.read_tokens >= MIN_SAMPLE_TOKENS {
-            let spell_ms = now_ms.saturating_sub(spell.began_ms).max(1);
-            blend(&mut self.prefill_ms_per_token, spell_ms as f64 / spell.read_tokens as f64);
+        self.busy_period =
+            (remaining_tokens > 0).then_some(BusyPeriod { start_ms: now_ms, prefill_tokens: 0 });
+        if busy_period.prefill_tokens >= MIN_SAMPLE_TOKENS {
+            let busy_ms = now_ms.saturating_sub(busy_period.start_ms).max(1);
+            update_average(
+                &mut self.prefill_ms_per_token,
+                busy_ms as f64 / busy_period.prefill_tokens as f64,
+            );
         }
     }
 
     /// Forgets a spell that ended without an answer.
-    pub(crate) fn drop_spell(&mut self) {
-        self.spell = None;
+    pub(crate) fn discard_busy_period(&mut self) {
+        self.busy_period = None;
     }
 
     /// Notes the time between the tokens of an answer.
     pub(crate) fn end_decode(&mut self, output_tokens: u64, decode_ms: u64) {
         if output_tokens > 1 {
-            blend(&mut self.decode_ms_per_token, decode_ms as f64 / (output_tokens - 1) as f64);
+            update_average(
+                &mut self.decode_ms_per_token,
+                decode_ms as f64 / (output_tokens - 1) as f64,
+            );
         }
     }
 }
 
-fn blend(value: &mut f64, sample: f64) {
+fn update_average(value: &mut f64, sample: f64) {
     *value += SAMPLE_WEIGHT * (sample - *value);
 }
--- a/clayplank-schedule/src/scheduler.rs
+++ b/clayplank-schedule/src/scheduler.rs
@@ -8,17 +8,17 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::admission::{Forecast, plan_service_ms};
-use crate::ask::{Ask, Decision, Holder};
-use crate::choose::View;
+use crate::admission::{Forecast, estimate_service_ms};
+use crate::choose::SchedulerView;
 use crate::engine::{Engine, EngineSpec};
-use crate::fair::{AccountIndex, Waiting};
+use crate::fair_queue::{AccountIndex, Waiting};
 use crate::fleet::{EngineIndex, Fleet};
 use crate::grants::{EndedAttempts, GrantTable};
 use crate::lanes::ModelLanes;
 use crate::policy::{Discipline, Lane, Policy};
 use crate::prefix::PrefixTable;
 use crate::rates::Rates;
+use crate::reservation::{Ask, Decision, Holder};
 
 /// The shortest time after which a caller is told to come back.
 const MIN_RETRY_MS: u64 = 100;
@@ -30,7 +30,7 @@
 const NO_ENGINE_RETRY_MS: u64 = 1_000;
 
 /// Accounts of a lane whose last request is looked at again in each tick.
-const MAX_TAILS: usize = 64;
+const MAX_CHECKED_ACCOUNTS: usize = 64;
 
 /// A request that waits.
 #[derive(Debug)]
@@ -140,14 +140,14 @@
 
     /// Ends waits that are over; to be called every few hundred milliseconds.
     pub fn tick(&mut self, now_ms: u64) {
-        self.lapse_overdue(now_ms);
+        self.revoke_expired(now_ms);
         self.refuse_expired(now_ms);
-        self.refuse_hopeless(now_ms);
+        self.refuse_predicted_late(now_ms);
         let models: Vec<String> = self.models.keys().cloned().collect();
         for model in &models {
             self.dispatch_model(now_ms, model);
         }
-        self.assert_sums();
+        self.assert_reservations_match();
     }
 
     /// When a request would run if it came now.
@@ -156,14 +156,16 @@
             return Forecast { wait_ms: 0.0, service_ms: 0.0 };
         };
         let rates = self.typical_rates(&ask.model);
-        let service_ms = plan_service_ms(&self.policy, ask, lane, rates);
-        let entry = lanes.lane(lane);
+        let service_ms = estimate_service_ms(&self.policy, ask, lane, rates);
+        let lane_queue = lanes.lane(lane);
         let engines = self.fleet.model(&ask.model).map_or(0, |model| model.count()).max(1);
-        let guess = engines as f64 / rates.0 * if lane.is_heavy() { 0.5 } else { 0.9 };
-        let tokens_per_ms = entry.throughput.tokens_per_ms(guess);
+        let initial_tokens_per_ms =
+            engines as f64 / rates.0 * if lane.is_heavy() { 0.5 } else { 0.9 };
+        let tokens_per_ms = lane_queue.throughput.tokens_per_ms(initial_tokens_per_ms);
         let account = self.accounts.get(&ask.account).copied().unwrap_or(AccountIndex::MAX);
-        let (account, share) = self.queue_account(account, ask);
-        let ahead_tokens = entry.queue.tokens_ahead(account, share, ask.priority, ask.request_id);
+        let (account, share) = self.fair_queue_key(account, ask);
+        let ahead_tokens =
+            lane_queue.queue.tokens_ahead(account, share, ask.priority, ask.request_id);
         Forecast { wait_ms: ahead_tokens / tokens_per_ms, service_ms }
     }
 
@@ -204,23 +206,23 @@
         let lane = if ask.memory_tokens() > one_engine_tokens {
             Lane::Gang
         } else {
-            self.policy.plan_lane(ask.prompt_tokens)
+            self.policy.classify_lane(ask.prompt_tokens)
         };
         if lane == Lane::Gang && !self.view().fits_any_gang(&ask, model) {
             return refuse(RefusalReason::PromptTooLarge, MAX_RETRY_MS);
         }
         let forecast = self.forecast(&ask, lane);
-        let left_ms = ask.deadline_ms.saturating_sub(now_ms);
+        let remaining_ms = ask.deadline_ms.saturating_sub(now_ms);
         if self.pending.len() >= self.policy.max_waiting {
-            let retry_ms = self.plan_retry_ms(forecast.wait_ms as u64);
+            let retry_ms = self.jittered_retry_ms(forecast.wait_ms as u64);
             return refuse(RefusalReason::QueueFull, retry_ms);
         }
         let end_in_ms = match self.policy.mechanisms.early_refusal {
             true => forecast.end_in_ms(),
             false => forecast.service_ms.ceil() as u64,
         };
-        if end_in_ms > left_ms {
-            let retry_ms = self.plan_retry_ms(end_in_ms - left_ms);
+        if end_in_ms > remaining_ms {
+            let retry_ms = self.jittered_retry_ms(end_in_ms - remaining_ms);
             return refuse(RefusalReason::DeadlineOutOfReach, retry_ms);
         }
         let latest_start_ms = ask.deadline_ms - forecast.service_ms.ceil() as u64;
@@ -230,16 +232,16 @@
     }
 
     /// Spreads the callers that come back over a quarter of the time.
-    fn plan_retry_ms(&mut self, wait_ms: u64) -> u64 {
-        let least_ms = wait_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS);
-        least_ms + self.rng.random_range(0..=least_ms / 4)
+    fn jittered_retry_ms(&mut self, wait_ms: u64) -> u64 {
+        let min_ms = wait_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS);
+        min_ms + self.rng.random_range(0..=min_ms / 4)
     }
 
     fn enqueue(&mut self, now_ms: u64, pending: Pending) {
         let request_id = pending.ask.request_id;
         let next_index = self.accounts.len() as AccountIndex;
-        let known = *self.accounts.entry(pending.ask.account.clone()).or_insert(next_index);
-        let (account, share) = self.queue_account(known, &pending.ask);
+        let account_index = *self.accounts.entry(pending.ask.account.clone()).or_insert(next_index);
+        let (account, share) = self.fair_queue_key(account_index, &pending.ask);
         let (class, rank) = match self.policy.discipline {
             Discipline::Current => (pending.ask.priority, pending.ask.deadline_ms),
             Discipline::FirstCome => (Priority::Normal, now_ms),
@@ -249,16 +251,16 @@
         let waiting =
             Waiting { request_id, account, share, class, arrived_ms: now_ms, rank, cost_tokens };
         if let Some(lanes) = self.models.get_mut(&pending.ask.model) {
-            let entry = lanes.lane_mut(pending.lane);
-            entry.queue.push(waiting);
-            entry.throughput.note_waiting(now_ms);
+            let lane_queue = lanes.lane_mut(pending.lane);
+            lane_queue.queue.push(waiting);
+            lane_queue.throughput.record_waiting(now_ms);
         }
         self.expiry.insert((pending.latest_start_ms, request_id));
         self.pending.insert(request_id, pending);
     }
 
     /// Without fair shares, all requests count as those of one account.
-    fn queue_account(&self, account: AccountIndex, ask: &Ask) -> (AccountIndex, u64) {
+    fn fair_queue_key(&self, account: AccountIndex, ask: &Ask) -> (AccountIndex, u64) {
         let is_fair =
             self.policy.mechanisms.fair_share && self.policy.discipline == Discipline::Current;
         if is_fair { (account, ask.share.max(1)) } else { (0, 1) }
@@ -282,7 +284,7 @@
                 return;
             };
             let forecast = self.forecast(&pending.ask, pending.lane);
-            let retry_ms = self.plan_retry_ms(forecast.wait_ms as u64);
+            let retry_ms = self.jittered_retry_ms(forecast.wait_ms as u64);
             let refusal = Refusal::new(RefusalReason::DeadlineOutOfReach, retry_ms);
             self.decisions.push(Decision::Refused(request_id, refusal));
         }
@@ -290,14 +292,14 @@
 
     /// Refuses what would expire later, as soon as that is known: the queue may
     /// move more slowly than it did when the request came.
-    fn refuse_hopeless(&mut self, now_ms: u64) {
+    fn refuse_predicted_late(&mut self, now_ms: u64) {
         if !self.policy.mechanisms.early_refusal {
             return;
         }
         let lanes = self.models.values().flat_map(|lanes| Lane::ALL.map(|lane| lanes.lane(lane)));
-        let tails: BTreeSet<RequestId> =
-            lanes.flat_map(|lane| lane.queue.tails(MAX_TAILS)).collect();
-        for request_id in tails {
+        let last_requests: BTreeSet<RequestId> =
+            lanes.flat_map(|lane| lane.queue.last_requests(MAX_CHECKED_ACCOUNTS)).collect();
+        for request_id in last_requests {
             let Some(pending) = self.pending.get(&request_id) else {
                 continue;
             };
@@ -305,7 +307,7 @@
             let late_ms = (now_ms + wait_ms).saturating_sub(pending.latest_start_ms);
             if late_ms > 0 {
                 self.remove_pending(request_id);
-                let retry_ms = self.plan_retry_ms(late_ms);
+                let retry_ms = self.jittered_retry_ms(late_ms);
                 let refusal = Refusal::new(RefusalReason::DeadlineOutOfReach, retry_ms);
                 self.decisions.push(Decision::Refused(request_id, refusal));
             }
@@ -324,8 +326,8 @@
         }
     }
 
-    pub(crate) fn view(&self) -> View<'_> {
-        View { policy: &self.policy, fleet: &self.fleet, prefixes: &self.prefixes }
+    pub(crate) fn view(&self) -> SchedulerView<'_> {
+        SchedulerView { policy: &self.policy, fleet: &self.fleet, prefixes: &self.prefixes }
     }
 
     /// The engine's index by its name.
