--- a/clayplank-schedule/benches/decision.rs
+++ b/clayplank-schedule/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Time of a decision by the number of engines and accounts.
+//! Benchmark of the time per decision, by number of engines and accounts.
 
 #![allow(missing_docs, reason = "criterion's macros write undocumented functions")]
 
@@ -9,7 +9,8 @@
 const SIZES: [(usize, usize); 6] =
     [(20, 10), (20, 43_000), (1_200, 10), (1_200, 43_000), (4_900, 10), (4_900, 43_000)];
 
-/// Requests that wait behind full engines, from as many accounts.
+/// Number of requests queued behind full engines before the measurement, from up to as many
+/// accounts.
 const WAITING: usize = 2_000;
 
 fn new_scheduler(engines: usize) -> Scheduler {
@@ -30,7 +31,7 @@
     Ask::new(RequestId(number), attempt_id, account, "base", 1_500, u64::MAX / 2)
 }
 
-/// One request in, its grant out, its first token and its end.
+/// Submits one request and completes every grant that results: first token, then end.
 fn decide(scheduler: &mut Scheduler, number: u64, accounts: usize) {
     scheduler.submit(number, Holder::default(), new_ask(number, accounts));
     for decision in scheduler.take_decisions() {
@@ -47,7 +48,7 @@
     for (engines, accounts) in SIZES {
         let mut scheduler = new_scheduler(engines);
         let mut number = 0;
-        // Every account is known, and every engine reads something.
+        // Make every account known and give every engine a prompt to prefill.
         for _ in 0..accounts.max(engines) {
             number += 1;
             scheduler.submit(number, Holder::default(), new_ask(number, accounts));
--- a/clayplank-schedule/src/admission.rs
+++ b/clayplank-schedule/src/admission.rs
@@ -1,36 +1,37 @@
-//! Whether a request can end in time.
+//! Prediction of whether a request can complete before its deadline.
 
 use crate::policy::{Lane, Policy};
 use crate::reservation::Ask;
 
-/// Weight of one window of a lane's throughput.
+/// Weight of a new window in the moving average of a lane's throughput.
 const WINDOW_WEIGHT: f64 = 0.3;
 
-/// Windows shorter than this say little.
+/// Windows shorter than this are too short for a useful sample and are ignored.
 const MIN_WINDOW_MS: u64 = 500;
 
 const MAX_WINDOW_MS: u64 = 2_000;
 
-/// Heavy prompts are overtaken by short ones while they are read.
+/// Factor on the prefill time of heavy prompts, because short ones overtake them meanwhile.
 const HEAVY_PREFILL_FACTOR: f64 = 1.6;
 
-/// When a request would run.
+/// Predicted wait and service time of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Forecast {
-    /// Time until it starts.
+    /// Time until it starts, in ms.
     pub wait_ms: f64,
-    /// Time from its start to its end, with a margin.
+    /// Time from its start to its end, in ms, with a safety margin.
     pub service_ms: f64,
 }
 
 impl Forecast {
-    /// The predicted end, from now.
+    /// Predicted time from now until the request completes, in ms.
     pub fn end_in_ms(&self) -> u64 {
         (self.wait_ms + self.service_ms).ceil() as u64
     }
 }
 
-/// Time that a request needs once it was sent to an engine.
+/// Predicted time from dispatch to completion of a request, in ms, with the margin of the
+/// policy. `rates` are the prefill and decode times per token, in ms.
 pub(crate) fn estimate_service_ms(
     policy: &Policy,
     ask: &Ask,
@@ -44,7 +45,8 @@
     (prefill_ms + decode_ms) * policy.finish_margin
 }
 
-/// Tokens that leave a lane's queue in a millisecond, learned while it is not empty.
+/// Moving average of the tokens per ms that leave a lane's queue, measured while the queue
+/// is not empty.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Throughput {
     tokens_per_ms: Option<f64>,
@@ -58,12 +60,13 @@
 }
 
 impl Throughput {
-    /// Notes that the queue has requests.
+    /// Records that a request was queued, which starts a window if none is open.
     pub(crate) fn record_waiting(&mut self, now_ms: u64) {
         self.window.get_or_insert(Window { start_ms: now_ms, tokens: 0 });
     }
 
-    /// Notes that a request left the queue for an engine.
+    /// Records that a request of `tokens` tokens was dispatched, and whether the queue is now
+    /// empty.
     pub(crate) fn record_dispatched(&mut self, now_ms: u64, tokens: u64, is_empty: bool) {
         let Some(window) = &mut self.window else {
             return;
@@ -86,7 +89,8 @@
         });
     }
 
-    /// The learned value, or a first guess.
+    /// The measured throughput, or the initial estimate while nothing is measured. It is never
+    /// below 5 % of the initial estimate.
     pub(crate) fn tokens_per_ms(&self, initial_tokens_per_ms: f64) -> f64 {
         self.tokens_per_ms.unwrap_or(initial_tokens_per_ms).max(initial_tokens_per_ms * 0.05)
     }
--- a/clayplank-schedule/src/choose.rs
+++ b/clayplank-schedule/src/choose.rs
@@ -1,4 +1,4 @@
-//! Choice of engines for a request; nothing is changed here.
+//! Selection of engines for a request, on a read-only view of the scheduler.
 
 use clayplank_types::PREFIX_BLOCK_TOKENS;
 
@@ -8,19 +8,20 @@
 use crate::prefix::PrefixTable;
 use crate::reservation::Ask;
 
-/// Engines that are looked at in the order of their wait.
+/// Maximum number of engines considered from one index, except as below.
 const MAX_CANDIDATES: usize = 8;
 
-/// Engines that are looked at in the order of their free memory.
+/// Maximum number of engines considered by free memory for brief and short prompts.
 const MAX_FREE_MEMORY_CANDIDATES: usize = 4;
 
-/// Keeps a second try away from the engine that failed, if there is another.
+/// Penalty on an engine where an earlier attempt failed, so that a retry goes to another
+/// engine if one fits.
 const AVOID_PENALTY_MS: f64 = 60_000.0;
 
-/// Time that an engine is assumed to take to load an adapter.
+/// Assumed time for an engine to load an adapter.
 const ADAPTER_LOAD_MS: f64 = 500.0;
 
-/// What the choice looks at.
+/// Read-only state that engine selection is based on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SchedulerView<'a> {
     pub(crate) policy: &'a Policy,
@@ -28,14 +29,14 @@
     pub(crate) prefixes: &'a PrefixTable,
 }
 
-/// One engine, and how much of the prompt it has cached.
+/// A selected engine and the number of prompt tokens it has cached.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Choice {
     pub(crate) engine: EngineIndex,
     pub(crate) cached_tokens: u64,
 }
 
-/// What one engine is to read, and the memory that it needs for that.
+/// Prompt tokens planned for one engine, and the KV cache to reserve for them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PlannedPart {
     pub(crate) engine: EngineIndex,
@@ -44,7 +45,7 @@
 }
 
 impl SchedulerView<'_> {
-    /// The engine on which a prompt that somebody waits for is read soonest.
+    /// Selects the engine with the earliest predicted first token for a brief or short prompt.
     pub(crate) fn choose_light(&self, ask: &Ask, lane: Lane) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
         let by_wait = model.by_wait.iter().map(|&(_, _, engine)| engine).take(MAX_CANDIDATES);
@@ -66,9 +67,9 @@
         })
     }
 
-    /// An engine for a prompt that is read for long: one that reads such a
-    /// prompt already, so that the others stay free for short ones, or else,
-    /// within the limit, another one.
+    /// Selects an engine for a medium or long prompt. Engines with a heavy prompt in prefill
+    /// are preferred, so that the others stay free for short prompts; another engine is used
+    /// only while fewer than `limit` engines prefill heavy prompts.
     pub(crate) fn choose_heavy(&self, ask: &Ask, lane: Lane, limit: usize) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
         let fits =
@@ -91,8 +92,9 @@
         self.choose_soonest(ask, lane, candidates, fits)
     }
 
-    /// Baselines: the engine with the least to read. The order by length is
-    /// kept only if engines are given one prompt at a time.
+    /// Selects the engine with the fewest tokens to prefill, for the baseline disciplines.
+    /// `ShortestFirst` gives an engine one prompt at a time: otherwise the order by length
+    /// would not hold at the engine.
     pub(crate) fn choose_least_loaded(&self, ask: &Ask) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
         let accepts_prompt = |engine: &Engine| match self.policy.discipline {
@@ -107,7 +109,8 @@
             .map(|engine| Choice { engine, cached_tokens: 0 })
     }
 
-    /// The engines with the most free memory that together hold the request.
+    /// Selects the engines with the most free memory that together can hold the request once
+    /// their heavy memory is free. Each member is counted with room for the whole output.
     pub(crate) fn choose_gang(&self, ask: &Ask) -> Option<Vec<EngineIndex>> {
         let model = self.fleet.model(&ask.model)?;
         let mut members = Vec::new();
@@ -122,14 +125,15 @@
         None
     }
 
-    /// Whether all engines of the model together could ever hold the request.
+    /// Whether all live engines of the model together could hold the request when idle.
     pub(crate) fn fits_any_gang(&self, ask: &Ask, model: &ModelIndex) -> bool {
         let heavy_tokens =
             model.total_memory_tokens * (100 - self.policy.short_reserve_percent) / 100;
         heavy_tokens >= ask.prompt_tokens + ask.max_output_tokens * model.count() as u64
     }
 
-    /// What each member of a gang reads, by its memory; the last one also writes.
+    /// Splits the prompt among the members of a gang in proportion to their memory. The last
+    /// member gets the remainder and the memory for the output.
     pub(crate) fn plan_parts(&self, ask: &Ask, members: &[EngineIndex]) -> Vec<PlannedPart> {
         let total: u64 = members.iter().map(|&index| self.heavy_memory_tokens(index)).sum();
         let part = |&engine: &EngineIndex| {
@@ -153,6 +157,8 @@
         engine.has_room(lane, ask.memory_tokens(), self.policy.short_reserve_percent)
     }
 
+    /// Live engines of the model that have a prefix of the prompt cached. At least one token
+    /// always counts as uncached.
     fn cached_choices(&self, ask: &Ask) -> Vec<Choice> {
         if !self.policy.mechanisms.prefix_reuse {
             return Vec::new();
@@ -183,7 +189,8 @@
         scored.min_by(|left, right| left.0.total_cmp(&right.0)).map(|(_, choice)| choice)
     }
 
-    /// Predicted time until the first token.
+    /// Predicted time to the first token in ms, with penalties for engines to avoid and for
+    /// loading an adapter.
     fn first_token_ms(&self, ask: &Ask, lane: Lane, choice: Choice) -> f64 {
         let engine = self.fleet.engine(choice.engine);
         let uncached_tokens = ask.prompt_tokens - choice.cached_tokens.min(ask.prompt_tokens);
--- a/clayplank-schedule/src/dispatch.rs
+++ b/clayplank-schedule/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends what waits to engines, and reserves their capacity.
+//! Dispatch of waiting requests: reserves engine capacity and issues grants.
 
 use clayplank_types::{EnginePriority, RequestId};
 
@@ -11,7 +11,7 @@
 use crate::scheduler::{Pending, Scheduler};
 
 impl Scheduler {
-    /// Sends what fits, lane by lane.
+    /// Grants waiting requests of the model that fit, lane by lane.
     pub(crate) fn dispatch_model(&mut self, now_ms: u64, model: &str) {
         for lane in Lane::ALL {
             self.dispatch_lane(now_ms, model, lane);
@@ -68,7 +68,7 @@
         true
     }
 
-    /// How many engines may read heavy prompts at a time.
+    /// Maximum number of the model's engines that may prefill heavy prompts at the same time.
     fn heavy_limit(&mut self, now_ms: u64, model: &str) -> usize {
         let engines = self.fleet.model(model).map_or(0, |model| model.count());
         if !self.policy.mechanisms.heavy_limit {
@@ -80,6 +80,8 @@
             .map_or(1, |lanes| lanes.heavy_limit(now_ms, engines, prefill_ms_per_token))
     }
 
+    /// Grants a gang request if it fits all its engines at once. Otherwise its engines are
+    /// kept free of other heavy work until it does. Returns whether it was granted.
     fn dispatch_gang(&mut self, now_ms: u64, model: &str, first: RequestId) -> bool {
         let pending_gang = self.models.get(model).and_then(|lanes| lanes.pending_gang.as_ref());
         let request_id = pending_gang.map_or(first, |gang| gang.request_id);
@@ -129,18 +131,19 @@
         }
     }
 
+    /// Frees the engines of a pending gang whose request no longer waits.
     fn clear_stale_gang(&mut self, model: &str) {
-        let pending_gang = self
+        let gang_request_id = self
             .models
             .get(model)
             .and_then(|lanes| lanes.pending_gang.as_ref())
             .map(|gang| gang.request_id);
-        if pending_gang.is_some_and(|request_id| !self.pending.contains_key(&request_id)) {
+        if gang_request_id.is_some_and(|request_id| !self.pending.contains_key(&request_id)) {
             self.clear_pending_gang(model);
         }
     }
 
-    /// Reserves the parts and answers the ask.
+    /// Reserves the parts on their engines and issues the grant.
     fn grant(
         &mut self,
         now_ms: u64,
--- a/clayplank-schedule/src/engine.rs
+++ b/clayplank-schedule/src/engine.rs
@@ -1,4 +1,4 @@
-//! What the owner knows of one engine.
+//! State of one engine as its pool's owner tracks it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +7,22 @@
 use crate::policy::Lane;
 use crate::rates::Rates;
 
-/// Prompt tokens that an engine is assumed to read in one step.
+/// Prompt tokens that an engine is assumed to prefill in one step.
 const STEP_TOKENS: f64 = 1_024.0;
 
-/// An engine as the settings describe it.
+/// Configuration of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Its name.
+    /// Identifier of the engine.
     pub id: UpstreamId,
-    /// KV cache that it holds.
+    /// Size of its KV cache, in tokens.
     pub memory_tokens: u64,
-    /// Models that it serves.
+    /// Names of the models that it serves.
     pub models: Vec<String>,
 }
 
 impl EngineSpec {
-    /// Joins a name, a size and models.
+    /// Describes an engine by its identifier, KV cache size in tokens, and models.
     pub fn new<'a>(
         id: UpstreamId,
         memory_tokens: u64,
@@ -32,32 +32,32 @@
     }
 }
 
-/// What an engine says of itself; it lags.
+/// Load report of an engine. It describes a past state: newer grants may be missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
-    /// A restart draws a new one.
+    /// Incarnation of the engine, which changes at each restart.
     pub incarnation: Incarnation,
-    /// KV cache that it holds.
+    /// Size of its KV cache, in tokens.
     pub memory_tokens: u64,
-    /// Attempts in its batch and what is reserved for each.
+    /// Attempts in its batch, with the KV cache tokens reserved for each.
     pub running: BTreeMap<AttemptId, u64>,
-    /// Adapters that it has loaded.
+    /// Names of the adapters that are loaded.
     pub adapters: BTreeSet<String>,
-    /// Whether it asks for no more work.
+    /// Whether the engine is draining and accepts no new work.
     pub is_leaving: bool,
 }
 
-/// Whether an engine may get work.
+/// Whether an engine may be given new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Availability {
     Live,
-    /// Its reports stopped.
+    /// Its load reports stopped.
     Unresponsive,
-    /// It is about to stop; sticky for its incarnation.
+    /// It is about to stop; this is final for its incarnation.
     Draining,
 }
 
-/// The exact state of one engine's reservations.
+/// An engine with its reservations, its prefills and its measured rates.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) id: UpstreamId,
@@ -66,19 +66,20 @@
     pub(crate) memory_tokens: u64,
     pub(crate) incarnation: Incarnation,
     pub(crate) availability: Availability,
-    /// Reserved by grants that are held or lapsing.
+    /// KV cache reserved by grants, held or revoked but not yet released, in tokens.
     pub(crate) granted_tokens: u64,
-    /// The part of it that short prompts have.
+    /// The share of `granted_tokens` that requests of [`Lane::Brief`] and [`Lane::Short`] hold.
     short_tokens: u64,
-    /// Attempts that the engine reports and no grant accounts for.
+    /// Attempts that the engine reports but no grant accounts for, with their reserved tokens.
     pub(crate) foreign: BTreeMap<AttemptId, u64>,
     pub(crate) foreign_tokens: u64,
     pub(crate) grants: u32,
-    /// Prompt tokens being read, by lane.
+    /// Prompt tokens in prefill, by lane.
     prefill_tokens: [u64; Lane::ALL.len()],
-    /// Prompts being read, by lane.
+    /// Number of prompts in prefill, by lane.
     prefills: [u32; Lane::ALL.len()],
-    /// A gang waits for this engine: no new heavy work.
+    /// A gang request waits for memory on this engine: it takes no new medium or long
+    /// prompts, and brief and short ones only within their memory reserve.
     pub(crate) is_reserved_for_gang: bool,
     pub(crate) rates: Rates,
 }
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Memory that no grant and no foreign attempt uses.
+    /// KV cache that neither grants nor foreign attempts use, in tokens.
     pub(crate) fn free_tokens(&self) -> u64 {
         self.memory_tokens.saturating_sub(self.granted_tokens + self.foreign_tokens)
     }
@@ -113,7 +114,7 @@
         self.availability == Availability::Live
     }
 
-    /// Whether it can run a request with an adapter at once.
+    /// Whether it can run a request with the adapter without loading it first.
     pub(crate) fn has_adapter(&self, adapter: Option<&String>) -> bool {
         adapter.is_none_or(|adapter| self.adapters.contains(adapter))
     }
@@ -122,12 +123,12 @@
         self.prefills[lane as usize]
     }
 
-    /// Whether it reads a prompt that takes long.
+    /// Whether a prompt of a heavy lane is in prefill.
     pub(crate) fn is_heavy(&self) -> bool {
         Lane::ALL.into_iter().any(|lane| lane.is_heavy() && self.prefills_in(lane) > 0)
     }
 
-    /// Whether it reads prompts that one of the lane overtakes.
+    /// Whether a prompt of a later lane, which one of `lane` overtakes, is in prefill.
     fn overtakes_prefill(&self, lane: Lane) -> bool {
         Lane::ALL.into_iter().any(|other| other > lane && self.prefills_in(other) > 0)
     }
@@ -136,22 +137,23 @@
         self.prefill_tokens.iter().sum()
     }
 
-    /// Time until the prompts are read that a new one of the lane does not overtake.
+    /// Time to prefill the prompts that a new one of the lane does not overtake, in ms.
     pub(crate) fn wait_ahead_ms(&self, lane: Lane) -> f64 {
         let ahead_tokens: u64 = self.prefill_tokens[..=lane as usize].iter().sum();
         ahead_tokens as f64 * self.rates.prefill_ms_per_token
     }
 
-    /// Time until the engine turns to a new prompt of the lane.
+    /// Predicted time until the prefill of a new prompt of the lane starts, in ms.
     pub(crate) fn predicted_wait_ms(&self, lane: Lane) -> f64 {
-        // On the average, half of a full step is over.
+        // On average, half of the current full step remains.
         let overtakes = self.overtakes_prefill(lane);
         let step_ms =
             if overtakes { STEP_TOKENS * self.rates.prefill_ms_per_token / 2.0 } else { 0.0 };
         self.wait_ahead_ms(lane) + step_ms
     }
 
-    /// Time that it takes to read a prompt. Beside one that it overtakes, every step is full.
+    /// Predicted prefill time of a prompt of `tokens` tokens, in ms. If it overtakes another
+    /// prompt, tokens of that one fill up each step, so that every step takes its full time.
     pub(crate) fn predicted_prefill_ms(&self, lane: Lane, tokens: u64) -> f64 {
         let steps = (tokens as f64 / STEP_TOKENS).ceil();
         let prefill_tokens =
@@ -159,22 +161,22 @@
         prefill_tokens * self.rates.prefill_ms_per_token
     }
 
-    /// Time until all prompts that it was given are read.
+    /// Time to prefill all prompts given to the engine, in ms.
     pub(crate) fn total_wait_ms(&self) -> f64 {
         self.total_prefill_tokens() as f64 * self.rates.prefill_ms_per_token
     }
 
-    /// Memory kept for short prompts.
+    /// KV cache reserved for brief and short prompts, in tokens.
     fn short_reserve_tokens(&self, reserve_percent: u64) -> u64 {
         self.memory_tokens * reserve_percent / 100
     }
 
-    /// Memory that prompts of other lanes may have at most.
+    /// Maximum KV cache for prompts of the heavy lanes, in tokens.
     pub(crate) fn heavy_memory_tokens(&self, reserve_percent: u64) -> u64 {
         self.memory_tokens - self.short_reserve_tokens(reserve_percent)
     }
 
-    /// Whether a prompt fits, now.
+    /// Whether `tokens` of KV cache can be granted to a request of the lane now.
     pub(crate) fn has_room(&self, lane: Lane, tokens: u64, reserve_percent: u64) -> bool {
         let heavy_tokens = self.granted_tokens - self.short_tokens + self.foreign_tokens;
         let heavy_fits = heavy_tokens + tokens <= self.heavy_memory_tokens(reserve_percent);
@@ -192,7 +194,8 @@
         self.adopt(lane, tokens);
     }
 
-    /// Counts a grant of an earlier owner; the engine runs it already.
+    /// Counts a grant without checking that it fits, as for a grant of an earlier owner that
+    /// the engine runs already.
     pub(crate) fn adopt(&mut self, lane: Lane, tokens: u64) {
         self.granted_tokens += tokens;
         self.grants += 1;
@@ -221,7 +224,7 @@
         self.prefills[lane as usize] -= 1;
     }
 
-    /// Counts an attempt that no grant accounts for; its memory may be more than is free.
+    /// Counts an attempt that no grant accounts for. Its memory may exceed what is free.
     pub(crate) fn add_foreign(&mut self, attempt_id: AttemptId, tokens: u64) {
         if let Some(before) = self.foreign.insert(attempt_id, tokens) {
             self.foreign_tokens -= before;
--- a/clayplank-schedule/src/fair_queue.rs
+++ b/clayplank-schedule/src/fair_queue.rs
@@ -1,23 +1,24 @@
 //! Weighted fair queueing among accounts, with priority classes that age.
 //!
 //! Start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996): an account's
-//! virtual time grows by the tokens it is given, divided by its weight; the
-//! account that is furthest behind goes first. An account that comes back
-//! starts at the queue's clock, so unused share is lent and is back at once.
+//! virtual time advances by the tokens served to it, divided by its weight, and
+//! the account with the lowest virtual time is served first. An account that
+//! becomes active again starts at the queue's virtual clock: while it was idle
+//! others used its share, and it regains the share at once.
 
 use std::collections::{BTreeSet, HashMap};
 
 use clayplank_types::{Priority, RequestId};
 
-/// Virtual time for one token at a weight of one.
+/// Virtual time that one token takes at a weight of one.
 const VIRTUAL_TIME_PER_TOKEN: u64 = 1_000;
 
 const CLASSES: usize = Priority::ALL.len();
 
-/// An account, numbered by the scheduler.
+/// Number of an account, assigned by the scheduler.
 pub(crate) type AccountIndex = u32;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Waiting {
     pub(crate) request_id: RequestId,
@@ -25,7 +26,7 @@
     pub(crate) share: u64,
     pub(crate) class: Priority,
     pub(crate) arrived_ms: u64,
-    /// Within an account, the lowest goes first.
+    /// Order within an account and class: the lowest goes first.
     pub(crate) rank: u64,
     pub(crate) cost_tokens: u64,
 }
@@ -44,15 +45,15 @@
     }
 }
 
-/// Requests of many accounts.
+/// Queue of requests of many accounts.
 #[derive(Debug)]
 pub(crate) struct FairQueue {
     ageing_ms: u64,
     requests: HashMap<RequestId, Waiting>,
     accounts: HashMap<AccountIndex, AccountBacklog>,
-    /// Accounts with requests of a class, by virtual time.
+    /// Accounts with waiting requests of a class, by virtual time.
     by_virtual_time: [BTreeSet<(u64, AccountIndex)>; CLASSES],
-    /// Requests of a class, by arrival.
+    /// Waiting requests of a class, by arrival time.
     by_arrival: [BTreeSet<(u64, RequestId)>; CLASSES],
     virtual_clock: u64,
     queued_tokens: u64,
@@ -77,10 +78,11 @@
         self.requests.len()
     }
 
-    /// Tokens of all accounts that go before a request, whether it waits or is new.
+    /// Estimated tokens of all accounts served before a request, which may be queued already
+    /// or new.
     ///
-    /// The queue's clock moves by the tokens served over the sum of the active
-    /// weights; a request starts when the clock reaches its account's time.
+    /// The virtual clock advances by the tokens served divided by the sum of the active
+    /// weights. A request starts when the clock reaches the virtual time of its account.
     pub(crate) fn tokens_ahead(
         &self,
         account: AccountIndex,
@@ -101,7 +103,7 @@
         let ahead_in_account = (queued - request_tokens.min(queued)) as f64 / share as f64;
         let virtual_wait = lead as f64 / VIRTUAL_TIME_PER_TOKEN as f64 + ahead_in_account;
         let total_share = self.active_share + if is_active { 0 } else { share };
-        // Beside that, the request that is next takes its time.
+        // The request at the head of the queue is served in any case; it has average cost.
         let next_tokens = self.queued_tokens as f64 / self.requests.len() as f64;
         virtual_wait * total_share as f64 + next_tokens
     }
@@ -122,7 +124,7 @@
         self.requests.insert(waiting.request_id, waiting);
     }
 
-    /// The request of each account that goes last, up to `max` accounts.
+    /// Returns the last request of each account, for up to `max` accounts.
     pub(crate) fn last_requests(&self, max: usize) -> Vec<RequestId> {
         let waiting = self.by_virtual_time.iter().flatten().map(|&(_, account)| account).take(max);
         let last = |account: AccountIndex| {
@@ -132,7 +134,7 @@
         waiting.filter_map(last).collect()
     }
 
-    /// The request that goes next.
+    /// Returns the request to be served next.
     pub(crate) fn peek(&self) -> Option<RequestId> {
         let class = self.choose_class()?;
         let (_, account) = self.by_virtual_time[class].first()?;
@@ -140,7 +142,9 @@
         Some(*request_id)
     }
 
-    /// The most urgent class, where each `ageing_ms` of waiting counts as one class.
+    /// The class to be served next. Waiting for `ageing_ms` makes a request one class more
+    /// urgent, so the oldest request of each class is compared by its arrival time plus
+    /// `ageing_ms` per class below the highest.
     fn choose_class(&self) -> Option<usize> {
         let aged_arrival_ms = |class: usize| {
             let (arrived_ms, _) = self.by_arrival[class].first()?;
@@ -149,7 +153,7 @@
         (0..CLASSES).filter_map(aged_arrival_ms).min().map(|(_, class)| class)
     }
 
-    /// Takes a request out because it runs: its account is charged.
+    /// Removes a request that is dispatched, and charges its account for it.
     pub(crate) fn take(&mut self, request_id: RequestId) -> Option<Waiting> {
         let waiting = self.requests.get(&request_id).copied()?;
         let start = self.accounts.get(&waiting.account)?.virtual_time;
@@ -157,7 +161,7 @@
         self.remove(request_id, waiting.cost_tokens)
     }
 
-    /// Takes a request out because it does not run.
+    /// Removes a request that is not going to run; its account is not charged.
     pub(crate) fn discard(&mut self, request_id: RequestId) -> Option<Waiting> {
         self.remove(request_id, 0)
     }
@@ -184,7 +188,8 @@
         Some(waiting)
     }
 
-    /// An idle account that is not ahead of the clock would start anew at the clock.
+    /// Removes an idle account that is not ahead of the virtual clock: on its return it would
+    /// start at the clock anyway.
     fn remove_if_idle(&mut self, account: AccountIndex) {
         let idle = |backlog: &AccountBacklog| {
             backlog.is_empty() && backlog.virtual_time <= self.virtual_clock
--- a/clayplank-schedule/src/fleet.rs
+++ b/clayplank-schedule/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The engines of a pool, found by what they have left.
+//! The engines of a pool, indexed by predicted wait and by memory.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,17 +7,17 @@
 use crate::engine::Engine;
 use crate::policy::{Discipline, Lane};
 
-/// The place of an engine in its fleet.
+/// Position of an engine in its [`Fleet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct EngineIndex(pub(crate) u32);
 
-/// Live engines that serve one model.
+/// Live engines that serve one model, in sorted indexes.
 #[derive(Debug, Default)]
 pub(crate) struct ModelIndex {
-    /// By predicted wait in microseconds, then by grants.
+    /// By predicted wait in microseconds, then by number of grants.
     pub(crate) by_wait: BTreeSet<(u64, u32, EngineIndex)>,
     pub(crate) by_free_tokens: BTreeSet<(u64, EngineIndex)>,
-    /// Those that read a prompt that is not short.
+    /// Engines with a prompt of a heavy lane in prefill; see [`Lane::is_heavy`].
     pub(crate) heavy: BTreeSet<EngineIndex>,
     pub(crate) by_memory: BTreeSet<(u64, EngineIndex)>,
     pub(crate) total_memory_tokens: u64,
@@ -43,12 +43,12 @@
         }
     }
 
-    /// How many live engines serve the model.
+    /// Number of live engines that serve the model.
     pub(crate) fn count(&self) -> usize {
         self.by_memory.len()
     }
 
-    /// The memory of the largest engine.
+    /// KV cache of the largest live engine, in tokens.
     pub(crate) fn largest_memory_tokens(&self) -> u64 {
         self.by_memory.last().map_or(0, |&(tokens, _)| tokens)
     }
@@ -95,7 +95,8 @@
         self.by_model.get(model)
     }
 
-    /// Changes an engine and its places in the indexes.
+    /// Changes an engine and updates its entries in the indexes. An engine that is not live
+    /// has no entries.
     pub(crate) fn update<R>(
         &mut self,
         index: EngineIndex,
--- a/clayplank-schedule/src/grants.rs
+++ b/clayplank-schedule/src/grants.rs
@@ -1,4 +1,4 @@
-//! Grants and who holds them.
+//! Table of grants, their holders and their leases.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -8,42 +8,43 @@
 use crate::policy::Lane;
 use crate::reservation::{GrantId, GrantPart, Holder};
 
-/// A grant as its holder describes it to the owner.
+/// A grant as its holder reports it to the pool's owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldGrant {
-    /// Its name within the owner's life that gave it.
+    /// Identifier of the grant, unique within the issuing owner's incarnation.
     pub grant_id: GrantId,
-    /// That life.
+    /// Incarnation of the owner that issued it.
     pub owner: Incarnation,
-    /// The dispatch that it is for.
+    /// The attempt that it is for.
     pub attempt_id: AttemptId,
-    /// What is reserved.
+    /// Reserved capacity, by engine.
     pub parts: Vec<GrantPart>,
 }
 
-/// Capacity that counts as used at one engine.
+/// Capacity that a grant reserves on one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ReservedPart {
     pub(crate) engine: EngineIndex,
-    /// The life of the engine in which it was given.
+    /// Incarnation of the engine for which it was reserved.
     pub(crate) incarnation: Incarnation,
     pub(crate) reserved_tokens: u64,
-    /// Prompt tokens still being read.
+    /// Prompt tokens to prefill; in progress while `is_prefilling`.
     pub(crate) prefill_tokens: u64,
     pub(crate) is_prefilling: bool,
     pub(crate) is_released: bool,
 }
 
-/// Whether somebody still answers for a grant.
+/// Whether a grant still has a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantState {
-    /// Lasts until the given time, unless it is renewed.
+    /// Valid until the given time, unless it is renewed.
     Held { until_ms: u64 },
-    /// Nobody does; its memory comes back when the engine says so.
+    /// Ended by its holder without the engine's confirmation, or not renewed in time. Its
+    /// memory is released once the engine no longer runs the attempt.
     Revoked { since_ms: u64 },
 }
 
-/// A grant and its parts.
+/// A grant, its holder and its parts.
 #[derive(Clone, Debug)]
 pub(crate) struct GrantRecord {
     pub(crate) attempt_id: AttemptId,
@@ -53,7 +54,7 @@
     pub(crate) parts: Vec<ReservedPart>,
 }
 
-/// All grants of a scheduler.
+/// All grants of a scheduler, indexed by attempt, holder and expiry.
 #[derive(Debug, Default)]
 pub(crate) struct GrantTable {
     records: HashMap<GrantId, GrantRecord>,
@@ -123,7 +124,7 @@
         };
     }
 
-    /// Grants for which nobody answers any more.
+    /// Revoked grants whose memory is not yet released.
     pub(crate) fn revoked(&self) -> impl Iterator<Item = (GrantId, &GrantRecord)> {
         self.revoked
             .iter()
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Held grants whose time is over.
+    /// Held grants whose lease has expired.
     pub(crate) fn expired(&self, now_ms: u64) -> Vec<GrantId> {
         self.by_expiry
             .iter()
@@ -145,7 +146,7 @@
             .collect()
     }
 
-    /// Grants of earlier lives of a holder's host.
+    /// Grants held by earlier incarnations of the holder's host.
     pub(crate) fn of_earlier_incarnations(&self, holder: &Holder) -> Vec<GrantId> {
         let same_host =
             |other: &&Holder| other.host == holder.host && other.incarnation < holder.incarnation;
@@ -154,7 +155,8 @@
     }
 }
 
-/// Attempts that engines said have ended, while older reports may still list them.
+/// Attempts that engines confirmed as ended, kept while delayed load reports may still
+/// list them.
 #[derive(Debug, Default)]
 pub(crate) struct EndedAttempts {
     by_time: VecDeque<(u64, AttemptId)>,
--- a/clayplank-schedule/src/lanes.rs
+++ b/clayplank-schedule/src/lanes.rs
@@ -1,4 +1,4 @@
-//! The queues of one model, by lane.
+//! Queues of one model, one per lane, and the limit on engines with heavy prompts.
 
 use clayplank_types::RequestId;
 
@@ -7,37 +7,39 @@
 use crate::fleet::EngineIndex;
 use crate::policy::Lane;
 
-/// Time over which the demand of short prompts is averaged.
+/// Time constant of the exponentially decaying demand of short prompts.
 const DEMAND_WINDOW_MS: f64 = 10_000.0;
 
-/// Engines kept free of heavy prompts, for each that short ones keep busy.
+/// Engines kept free of heavy prompts per engine that short prompts keep busy.
 const SHORT_HEADROOM_FACTOR: f64 = 1.3;
 
-/// Engines kept free of heavy prompts in any case.
+/// Engines kept free of heavy prompts in addition, regardless of demand. One engine is
+/// always left to heavy prompts.
 const MIN_SHORT_ENGINES: f64 = 1.0;
 
-/// The limit rises only when this many more engines are free.
+/// Spare engines required beyond the next whole one before the limit rises.
 const LIMIT_HYSTERESIS_ENGINES: f64 = 0.5;
 
-/// A queue and how fast it moves.
+/// The queue of one lane and its measured throughput.
 #[derive(Debug)]
 pub(crate) struct LaneQueue {
     pub(crate) queue: FairQueue,
     pub(crate) throughput: Throughput,
 }
 
-/// Engines that take no heavy work until the gang's request fits them.
+/// A gang request that waits for memory; its engines take no other heavy work until it fits.
 #[derive(Debug)]
 pub(crate) struct PendingGang {
     pub(crate) request_id: RequestId,
     pub(crate) members: Vec<EngineIndex>,
 }
 
-/// The queues of one model.
+/// The lanes of one model.
 #[derive(Debug)]
 pub(crate) struct ModelLanes {
     lanes: [LaneQueue; Lane::ALL.len()],
     pub(crate) pending_gang: Option<PendingGang>,
+    /// Prefill tokens of recent short prompts, decayed with `DEMAND_WINDOW_MS`.
     short_tokens: f64,
     last_decay_ms: u64,
     heavy_limit: usize,
@@ -68,7 +70,7 @@
         self.lanes.iter().map(|lane| lane.queue.len()).sum()
     }
 
-    /// Notes that a short prompt was sent to an engine.
+    /// Adds the prefill tokens of a dispatched brief or short prompt to the demand.
     pub(crate) fn record_short_prefill(&mut self, now_ms: u64, tokens: u64) {
         self.decay(now_ms);
         self.short_tokens += tokens as f64;
@@ -80,7 +82,8 @@
         self.last_decay_ms = now_ms;
     }
 
-    /// How many engines may read heavy prompts at a time.
+    /// Maximum number of engines that may prefill heavy prompts at the same time: those that
+    /// the recent demand of short prompts leaves over, and at least one.
     pub(crate) fn heavy_limit(
         &mut self,
         now_ms: u64,
--- a/clayplank-schedule/src/lib.rs
+++ b/clayplank-schedule/src/lib.rs
@@ -1,7 +1,9 @@
-//! Decisions under load: queue, admission, choice of engine, grants, limits.
+//! Scheduling of requests onto model engines: queueing, admission control,
+//! engine selection, capacity grants and rate limits.
 //!
-//! Nothing here knows a socket or a clock: every call takes `now_ms`, a time
-//! that never goes back, and leaves its [`Decision`]s to be taken out.
+//! The crate does no I/O and reads no clock. Time-dependent calls take `now_ms`, a
+//! monotonic time in milliseconds. The resulting [`Decision`]s are collected with
+//! [`Scheduler::take_decisions`].
 //!
 //! ```
 //! use clayplank_schedule::{Ask, Decision, EngineSpec, Holder, Policy, Scheduler};
--- a/clayplank-schedule/src/lifecycle.rs
+++ b/clayplank-schedule/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! What happens to grants after they were given, and what engines report.
+//! Life cycle of grants after they are issued, and handling of engine load reports.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,8 @@
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
-    /// Notes that the first token of a grant's answer was seen.
+    /// Records that the first output token of a grant's attempt was observed, which ends its
+    /// prefill.
     pub fn note_first_token(&mut self, now_ms: u64, grant_id: GrantId) {
         let Some(record) = self.grants.get_mut(grant_id) else {
             return;
@@ -29,7 +30,7 @@
                 engine.end_prefill(lane, tokens);
                 let remaining_tokens = engine.total_prefill_tokens();
                 match is_gang {
-                    // The members of a gang wait for each other: that is no sign of their speed.
+                    // The engines of a gang wait for each other, so this is no sample of their speed.
                     true => engine.rates.discard_busy_period(),
                     false => engine.rates.end_prefill(now_ms, tokens, remaining_tokens),
                 }
@@ -38,7 +39,7 @@
         self.dispatch_models_of(now_ms, prefilled.iter().map(|&(index, _)| index));
     }
 
-    /// Ends the grant of an attempt, whoever gave it; see [`Scheduler::finish`].
+    /// Ends the grant of an attempt, whichever owner issued it; see [`Scheduler::finish`].
     pub fn finish_attempt(&mut self, now_ms: u64, attempt_id: AttemptId, usage: Usage) {
         match self.grants.find(attempt_id) {
             Some(grant_id) => self.finish(now_ms, grant_id, usage),
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Ends a grant. Memory that the engine may still use comes back when it says so.
+    /// Ends a grant. If the engine has not confirmed the end of the attempt, the grant is
+    /// revoked, and its memory is released once the engine's reports no longer list it.
     pub fn finish(&mut self, now_ms: u64, grant_id: GrantId, usage: Usage) {
         let Some(record) = self.grants.get(grant_id) else {
             return;
@@ -68,7 +70,8 @@
         self.dispatch_models_of(now_ms, engines.into_iter());
     }
 
-    /// Renews all grants of a holder, and takes over those of a former owner.
+    /// Renews the listed grants of a holder and adopts those issued by an earlier owner.
+    /// Grants of the host's earlier incarnations are revoked.
     pub fn renew(&mut self, now_ms: u64, holder: &Holder, held: &[HeldGrant]) {
         for grant_id in self.grants.of_earlier_incarnations(holder) {
             self.revoke(now_ms, grant_id);
@@ -89,7 +92,8 @@
         }
     }
 
-    /// A grant of this owner's own life that is not known has ended; others are taken over.
+    /// Adopts a grant that is not in the table. One issued by this incarnation of the owner
+    /// has already ended and is ignored.
     fn adopt(&mut self, holder: &Holder, held: &HeldGrant, until_ms: u64) {
         if held.owner == self.incarnation || self.ended.contains(held.attempt_id) {
             return;
@@ -130,6 +134,8 @@
         }
     }
 
+    /// Cancels the attempt of a held grant at its engines. The memory stays reserved until
+    /// the engines no longer run the attempt.
     fn revoke(&mut self, now_ms: u64, grant_id: GrantId) {
         let Some(record) = self.grants.get(grant_id) else {
             return;
@@ -147,6 +153,7 @@
         self.stop_prefill(grant_id);
     }
 
+    /// Ends the prefills of a grant without a first token; they give no sample of speed.
     fn stop_prefill(&mut self, grant_id: GrantId) {
         let Some(record) = self.grants.get_mut(grant_id) else {
             return;
@@ -173,7 +180,8 @@
         }
     }
 
-    /// Gives back the part of a grant that an engine no longer uses.
+    /// Releases the part of a grant on an engine that no longer runs it. A grant that is
+    /// still held stays in the table until its holder ends it or it is revoked.
     fn release_part(&mut self, grant_id: GrantId, index: EngineIndex) {
         self.stop_prefill(grant_id);
         let Some(record) = self.grants.get_mut(grant_id) else {
@@ -192,7 +200,8 @@
         }
     }
 
-    /// Takes in a load report, and gives back what the engine no longer runs.
+    /// Applies an engine's load report, and releases the memory of revoked grants that the
+    /// engine no longer runs.
     pub fn report(&mut self, now_ms: u64, engine: &UpstreamId, report: &EngineReport) {
         let Some(index) = self.find_engine(engine) else {
             return;
@@ -212,7 +221,9 @@
         self.dispatch_models_of(now_ms, std::iter::once(index));
     }
 
-    /// A new life of an engine runs nothing that was given to the former one.
+    /// Applies the incarnation of a report and returns whether the engine was restarted. A
+    /// restarted engine no longer runs what was granted on its earlier incarnation. In the
+    /// first report the incarnation was unknown before, and existing grants take it on.
     fn apply_incarnation(&mut self, index: EngineIndex, report: &EngineReport) -> bool {
         let before = self.fleet.engine(index).incarnation;
         if before == report.incarnation {
@@ -251,7 +262,7 @@
 
     fn release_ended(&mut self, now_ms: u64, index: EngineIndex, report: &EngineReport) {
         let grace_ms = self.policy.report_grace_ms;
-        // The report may be older than the cancelling; the grace covers its lag.
+        // The report may be older than the cancellation; the grace period covers its lag.
         let is_ended = |record: &GrantRecord| match record.state {
             GrantState::Held { .. } => false,
             GrantState::Revoked { since_ms } => {
@@ -269,6 +280,8 @@
         }
     }
 
+    /// Counts the reported attempts that no grant accounts for, such as those of an earlier
+    /// owner. Attempts that ended within the grace period are left out.
     fn count_foreign(&mut self, now_ms: u64, index: EngineIndex, report: &EngineReport) {
         self.ended.remove_before(now_ms.saturating_sub(self.policy.report_grace_ms));
         let is_foreign = |attempt_id: &AttemptId| {
@@ -282,9 +295,9 @@
             .collect();
         self.fleet.update(index, |engine| {
             let listed: BTreeSet<_> = foreign.iter().map(|&(attempt_id, _)| attempt_id).collect();
-            let ended: Vec<_> =
+            let no_longer_running: Vec<_> =
                 engine.foreign.keys().filter(|id| !listed.contains(id)).copied().collect();
-            for attempt_id in ended {
+            for attempt_id in no_longer_running {
                 engine.remove_foreign(attempt_id);
             }
             for (attempt_id, tokens) in foreign {
@@ -293,12 +306,12 @@
         });
     }
 
-    /// Notes that an engine's reports stopped: it gets no new work until one comes.
+    /// Records that an engine's reports stopped: it gets no new work until the next one.
     pub fn note_silent(&mut self, engine: &UpstreamId) {
         self.change_availability(engine, Availability::Live, Availability::Unresponsive);
     }
 
-    /// Notes that an engine is about to stop, whoever says so.
+    /// Records that an engine is about to stop, whatever the source of this information.
     pub fn note_leaving(&mut self, engine: &UpstreamId) {
         self.change_availability(engine, Availability::Live, Availability::Draining);
         self.change_availability(engine, Availability::Unresponsive, Availability::Draining);
@@ -313,21 +326,22 @@
         }
     }
 
-    /// Notes that an engine has loaded an adapter, before its next report says so.
+    /// Records that an engine loaded an adapter, ahead of its next report.
     pub fn note_adapter(&mut self, engine: &UpstreamId, adapter: &str) {
         if let Some(index) = self.find_engine(engine) {
             self.fleet.update(index, |engine| engine.adapters.insert(adapter.to_owned()));
         }
     }
 
-    /// Notes that an engine dropped a prefix from its cache.
+    /// Records that an engine evicted a prefix from its cache.
     pub fn note_evicted(&mut self, engine: &UpstreamId, prefix_hash: u64) {
         if let Some(index) = self.find_engine(engine) {
             self.prefixes.evict(index, prefix_hash);
         }
     }
 
-    /// Notes that cache events of an engine were missed: what they told is void.
+    /// Records that cache events of an engine were missed: all that is known of its cache
+    /// is discarded.
     pub fn note_cache_gap(&mut self, engine: &UpstreamId) {
         if let Some(index) = self.find_engine(engine) {
             self.prefixes.invalidate(index);
@@ -345,7 +359,8 @@
         }
     }
 
-    /// Reserved memory is the sum of the parts of all grants, at every engine.
+    /// Asserts that the reserved memory of every engine is the sum of its unreleased parts
+    /// of grants.
     pub(crate) fn assert_reservations_match(&self) {
         let mut sums = vec![0; self.fleet.iter().count()];
         for (_, record) in self.grants.iter() {
@@ -357,7 +372,7 @@
             let sum = sums[index.0 as usize];
             assert_eq!(
                 sum, engine.granted_tokens,
-                "{}: reserved is not the sum of the grants",
+                "{}: reserved tokens differ from the sum of the grants",
                 engine.id
             );
         }
--- a/clayplank-schedule/src/limits.rs
+++ b/clayplank-schedule/src/limits.rs
@@ -1,28 +1,30 @@
-//! Limits of one account at one entry host.
+//! Request rate limit and retry budget of one account at one entry host.
 
-/// Bursts may use up this many seconds of the rate at once.
+/// Maximum burst, in seconds of the allowed rate.
 const BURST_S: u64 = 2;
 
+/// Credit is counted in thousandths of a request: at 1 request per second, each
+/// millisecond adds one.
 const MILLIS_PER_REQUEST: u64 = 1_000;
 
-/// A token bucket over requests.
+/// Token bucket that limits requests per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateLimit {
-    /// Thousandths of a request that may pass now.
+    /// Available credit, in thousandths of a request.
     credit_milli: u64,
     last_refill_ms: u64,
 }
 
 impl RateLimit {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(requests_per_s: u64, now_ms: u64) -> Self {
         Self { credit_milli: requests_per_s * BURST_S * MILLIS_PER_REQUEST, last_refill_ms: now_ms }
     }
 
-    /// Lets a request pass.
+    /// Takes the credit for one request from the bucket.
     ///
     /// # Errors
-    /// The time in milliseconds after which one will pass.
+    /// If there is too little credit: the time in ms until there is enough.
     pub fn pass(&mut self, requests_per_s: u64, now_ms: u64) -> Result<(), u64> {
         let elapsed_ms = now_ms.saturating_sub(self.last_refill_ms);
         let full_milli = requests_per_s * BURST_S * MILLIS_PER_REQUEST;
@@ -37,31 +39,31 @@
     }
 }
 
-/// Second tries are paid for by first tries.
+/// Budget that limits retries to a percentage of the first attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryBudget {
-    /// Hundredths of a second try that may be spent.
+    /// Available credit, in hundredths of a retry.
     credit_percent: u64,
 }
 
-/// Second tries that may be saved up.
+/// Maximum number of retries that can be saved up.
 const MAX_SAVED_RETRIES: u64 = 10;
 
-/// Second tries that are free at the start, so that a quiet account has one.
+/// Retries available at the start, so that an account with few requests has one.
 const INITIAL_RETRIES: u64 = 1;
 
 impl RetryBudget {
-    /// A budget of one second try.
+    /// Creates a budget of one retry.
     pub fn new() -> Self {
         Self { credit_percent: INITIAL_RETRIES * 100 }
     }
 
-    /// Notes a first try.
+    /// Adds `retry_percent` hundredths of a retry to the budget, for a first attempt.
     pub fn earn(&mut self, retry_percent: u64) {
         self.credit_percent = (self.credit_percent + retry_percent).min(MAX_SAVED_RETRIES * 100);
     }
 
-    /// Pays for a second try; `false` if there is nothing left.
+    /// Takes one retry from the budget; returns `false` if less than one is left.
     pub fn spend(&mut self) -> bool {
         let enough = self.credit_percent >= 100;
         if enough {
--- a/clayplank-schedule/src/policy.rs
+++ b/clayplank-schedule/src/policy.rs
@@ -1,33 +1,33 @@
-//! What may be set of a scheduler.
+//! Settings of a scheduler.
 
 use clayplank_types::EnginePriority;
 
-/// In which order and where requests run.
+/// Queueing discipline: the order of requests and the selection of engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discipline {
-    /// Lanes by length, fair among accounts.
+    /// Lanes by prompt length, with fair queueing among accounts.
     #[default]
     Current,
-    /// Baseline: one queue, the least loaded engine.
+    /// Baseline: one first-come, first-served queue; the least loaded engine is used.
     FirstCome,
-    /// Baseline: one queue by length of prompt, the least loaded engine.
+    /// Baseline: one queue, shortest prompt first; the least loaded engine is used.
     ShortestFirst,
 }
 
-/// Parts of the current discipline that can be switched off.
+/// Mechanisms of [`Discipline::Current`] that can be switched off one by one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// Share the capacity among accounts by weight.
+    /// Shares the capacity among accounts by weight.
     pub fair_share: bool,
-    /// Bound how many engines read long prompts at a time.
+    /// Limits how many engines prefill heavy prompts at the same time.
     pub heavy_limit: bool,
-    /// Let engines read short prompts first.
+    /// Has engines prefill short prompts first.
     pub engine_priority: bool,
-    /// Prefer engines that have a prefix cached.
+    /// Prefers engines that have a prefix of the prompt cached.
     pub prefix_reuse: bool,
-    /// Keep the queue at the owner, not at the engine.
+    /// Limits the prefill work queued at an engine, so that requests wait at the pool's owner.
     pub prefill_cap: bool,
-    /// Refuse at arrival what is predicted to miss its deadline.
+    /// Refuses requests as soon as they are predicted to miss their deadline.
     pub early_refusal: bool,
 }
 
@@ -44,18 +44,18 @@
     }
 }
 
-/// Requests that compete for the same places, by the length of the prompt.
+/// Class of requests by prompt length; each lane has its own queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Lane {
-    /// One line; read before all else.
+    /// The shortest prompts; prefilled before all others.
     Brief,
-    /// Read in well under a second.
+    /// Prefill takes well under a second.
     Short,
-    /// Read one at a time by an engine, before long ones.
+    /// An engine prefills one of them at a time, before long ones.
     Medium,
-    /// Read one at a time by an engine.
+    /// An engine prefills one of them at a time.
     Long,
-    /// Needs the memory of several engines.
+    /// The prompt needs the memory of several engines.
     Gang,
 }
 
@@ -63,7 +63,7 @@
     /// Every lane, in the order in which they are served.
     pub const ALL: [Self; 5] = [Self::Brief, Self::Short, Self::Medium, Self::Gang, Self::Long];
 
-    /// The class in which an engine reads prompts of the lane.
+    /// Priority class in which an engine prefills prompts of the lane; 0 is the most urgent.
     pub fn engine_priority(self) -> EnginePriority {
         EnginePriority(match self {
             Self::Brief => 0,
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Whether an engine reads prompts of the lane for longer than somebody waits.
+    /// Whether the prefill of a prompt of the lane takes longer than an interactive caller waits.
     pub(crate) fn is_heavy(self) -> bool {
         match self {
             Self::Brief | Self::Short => false,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Settings of a scheduler.
+/// Settings of a scheduler, built with [`Policy::builder`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
     pub(crate) discipline: Discipline,
@@ -90,12 +90,16 @@
     pub(crate) brief_prompt_tokens: u64,
     pub(crate) short_prompt_tokens: u64,
     pub(crate) medium_prompt_tokens: u64,
+    /// A short prompt goes only to engines with at most this much prefill work ahead of it.
     pub(crate) max_prefill_ahead_ms: f64,
+    /// Percentage of each engine's KV cache that heavy prompts may not use.
     pub(crate) short_reserve_percent: u64,
     pub(crate) ageing_ms: u64,
     pub(crate) grant_lease_ms: u64,
+    /// Time after a cancellation before a load report without the attempt counts as its end.
     pub(crate) report_grace_ms: u64,
     pub(crate) max_waiting: usize,
+    /// Factor on predicted service times, as a safety margin.
     pub(crate) finish_margin: f64,
     pub(crate) prefill_ms_per_token: f64,
     pub(crate) decode_ms_per_token: f64,
@@ -125,12 +129,12 @@
 }
 
 impl Policy {
-    /// Starts from the defaults.
+    /// Returns a builder with the default settings.
     pub fn builder() -> PolicyBuilder {
         PolicyBuilder { policy: Self::default() }
     }
 
-    /// The lane of a prompt that fits one engine.
+    /// Lane of a prompt that fits one engine. The baseline disciplines use a single lane.
     pub(crate) fn classify_lane(&self, prompt_tokens: u64) -> Lane {
         match self.discipline {
             Discipline::FirstCome | Discipline::ShortestFirst => Lane::Short,
@@ -149,19 +153,19 @@
 }
 
 impl PolicyBuilder {
-    /// The order of requests.
+    /// Sets the queueing discipline.
     pub fn discipline(mut self, discipline: Discipline) -> Self {
         self.policy.discipline = discipline;
         self
     }
 
-    /// Switches parts on and off.
+    /// Switches mechanisms of the current discipline on and off.
     pub fn mechanisms(mut self, mechanisms: Mechanisms) -> Self {
         self.policy.mechanisms = mechanisms;
         self
     }
 
-    /// Up to which length a prompt is brief, short, and medium.
+    /// Sets the maximum prompt lengths of the lanes brief, short and medium, in tokens.
     pub fn lane_bounds_tokens(mut self, brief: u64, short: u64, medium: u64) -> Self {
         self.policy.brief_prompt_tokens = brief;
         self.policy.short_prompt_tokens = short;
@@ -169,38 +173,40 @@
         self
     }
 
-    /// How long a grant lasts without a renewal.
+    /// Sets the time after which a grant expires unless it is renewed, in ms.
     pub fn grant_lease_ms(mut self, lease_ms: u64) -> Self {
         self.policy.grant_lease_ms = lease_ms;
         self
     }
 
-    /// After this time a request counts as one class more urgent.
+    /// Sets the waiting time per priority class, in ms, after which a request counts as one
+    /// class more urgent.
     pub fn ageing_ms(mut self, ageing_ms: u64) -> Self {
         self.policy.ageing_ms = ageing_ms;
         self
     }
 
-    /// The most requests that wait.
+    /// Sets the maximum number of waiting requests; further ones are refused.
     pub fn max_waiting(mut self, max_waiting: usize) -> Self {
         self.policy.max_waiting = max_waiting;
         self
     }
 
-    /// Rates that are assumed until an engine has shown its own.
+    /// Sets the prefill and decode times per token, in ms, that are assumed until an engine's
+    /// own are measured.
     pub fn starting_rates(mut self, prefill_ms_per_token: f64, decode_ms_per_token: f64) -> Self {
         self.policy.prefill_ms_per_token = prefill_ms_per_token;
         self.policy.decode_ms_per_token = decode_ms_per_token;
         self
     }
 
-    /// Starts the spread of retry times.
+    /// Sets the random seed of the jitter on retry delays.
     pub fn seed(mut self, seed: u64) -> Self {
         self.policy.seed = seed;
         self
     }
 
-    /// The finished settings.
+    /// Returns the settings.
     pub fn build(self) -> Policy {
         self.policy
     }
--- a/clayplank-schedule/src/pools.rs
+++ b/clayplank-schedule/src/pools.rs
@@ -1,23 +1,23 @@
-//! Choice of the pool that a request asks first.
+//! Selection of the pool that a request is sent to first.
 
 use clayplank_types::PoolId;
 use rand::{Rng, RngExt};
 
-/// What an entry host knows of a pool.
+/// Load and distance of a pool, as an entry host knows them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolLoad {
-    /// Its name.
+    /// Identifier of the pool.
     pub pool: PoolId,
-    /// The wait that its owner told last.
+    /// Wait last reported by the pool's owner, in ms.
     pub wait_ms: u64,
-    /// Time for a message to its engines and back.
+    /// Round-trip time to its engines, in ms.
     pub distance_ms: u64,
 }
 
-/// Chooses the better one of two pools drawn by chance.
+/// Chooses the pool with the lower wait and round-trip time out of two random ones.
 ///
-/// Two choices keep hosts with old knowledge from all running to the same pool
-/// (Mitzenmacher, "The power of two choices in randomized load balancing", 2001).
+/// With two random choices, hosts that act on stale load reports do not all choose the
+/// same pool (Mitzenmacher, "The power of two choices in randomized load balancing", 2001).
 pub fn choose_pool<'a>(pools: &'a [PoolLoad], rng: &mut impl Rng) -> Option<&'a PoolLoad> {
     let cost = |pool: &&PoolLoad| pool.wait_ms + pool.distance_ms;
     match pools {
--- a/clayplank-schedule/src/prefix.rs
+++ b/clayplank-schedule/src/prefix.rs
@@ -1,16 +1,17 @@
-//! Which engines have which prompt prefixes cached, as far as is known.
+//! Table of the prompt prefixes that engines are believed to have cached.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::fleet::EngineIndex;
 
-/// The most prefixes that are remembered.
+/// Maximum number of prefixes in the table; the oldest are removed first.
 const MAX_PREFIXES: usize = 1 << 16;
 
-/// The most engines that are remembered for a prefix.
+/// Maximum number of engines kept per prefix; the most recent ones are kept.
 const MAX_ENGINES: usize = 4;
 
-/// Engines by prefix. An entry of an older generation of its engine is void.
+/// Engines by prefix hash, with the engine's generation at the time of the entry. An entry
+/// whose generation is older than the engine's current one is invalid.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixTable {
     by_hash: HashMap<u64, Vec<(EngineIndex, u64)>>,
@@ -19,7 +20,8 @@
 }
 
 impl PrefixTable {
-    /// The engines that have a prefix of the prompt, with the number of blocks.
+    /// Returns engines that have a prefix of the prompt cached, with the length of the longest
+    /// one in blocks. `hashes` are those of the prompt's prefixes, shortest first.
     pub(crate) fn matches(&self, hashes: &[u64]) -> Vec<(EngineIndex, u64)> {
         let mut found: Vec<(EngineIndex, u64)> = Vec::new();
         for (position, hash) in hashes.iter().enumerate().rev() {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Drops all that is known of an engine's cache.
+    /// Invalidates all entries of an engine.
     pub(crate) fn invalidate(&mut self, engine: EngineIndex) {
         *self.generations.entry(engine).or_default() += 1;
     }
--- a/clayplank-schedule/src/rates.rs
+++ b/clayplank-schedule/src/rates.rs
@@ -1,12 +1,12 @@
-//! How fast an engine is, learned from what it did.
+//! Prefill and decode rates of an engine, measured on its past requests.
 
-/// Weight of one new sample against all former ones.
+/// Weight of a new sample in the exponentially weighted moving average.
 const SAMPLE_WEIGHT: f64 = 0.2;
 
-/// A busy spell must have read this many tokens to count.
+/// Busy periods with fewer prefilled tokens are not sampled.
 const MIN_SAMPLE_TOKENS: u64 = 512;
 
-/// Learned times of one engine.
+/// Moving averages of one engine's prefill and decode times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Rates {
     pub(crate) prefill_ms_per_token: f64,
@@ -14,7 +14,7 @@
     busy_period: Option<BusyPeriod>,
 }
 
-/// A time in which the engine had prompts to read without a break.
+/// A period in which the engine had prompts to prefill without interruption.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct BusyPeriod {
     start_ms: u64,
@@ -26,19 +26,21 @@
         Self { prefill_ms_per_token, decode_ms_per_token, busy_period: None }
     }
 
-    /// Notes that a prompt was sent to the engine.
+    /// Records that a prompt was sent to the engine.
     pub(crate) fn start_prefill(&mut self, now_ms: u64) {
         self.busy_period.get_or_insert(BusyPeriod { start_ms: now_ms, prefill_tokens: 0 });
     }
 
-    /// Notes that a prompt was read, and how many tokens are still being read.
+    /// Records the end of the prefill of `prefill_tokens` tokens, while `remaining_tokens` of
+    /// other prompts are still in prefill.
     pub(crate) fn end_prefill(&mut self, now_ms: u64, prefill_tokens: u64, remaining_tokens: u64) {
         let Some(busy_period) = &mut self.busy_period else {
             return;
         };
         busy_period.prefill_tokens += prefill_tokens;
         let busy_period = *busy_period;
-        // What is half read would falsify the sample, unless it is a small part.
+        // Work done on prompts still in prefill is not counted and would bias the sample, unless
+        // they are small against the counted tokens.
         if remaining_tokens * 4 > busy_period.prefill_tokens {
             return;
         }
@@ -53,12 +55,12 @@
         }
     }
 
-    /// Forgets a spell that ended without an answer.
+    /// Discards the current busy period without a sample, as when a prompt got no first token.
     pub(crate) fn discard_busy_period(&mut self) {
         self.busy_period = None;
     }
 
-    /// Notes the time between the tokens of an answer.
+    /// Records the time from the first to the last of `output_tokens` tokens.
     pub(crate) fn end_decode(&mut self, output_tokens: u64, decode_ms: u64) {
         if output_tokens > 1 {
             update_average(
--- a/clayplank-schedule/src/reservation.rs
+++ b/clayplank-schedule/src/reservation.rs
@@ -1,41 +1,41 @@
-//! What is asked of a scheduler and what it decides.
+//! Reservation requests to a scheduler, and its decisions on them.
 
 use clayplank_types::{
     AccountId, AttemptId, EnginePriority, HostId, Incarnation, Priority, Refusal, RequestId,
     UpstreamId,
 };
 
-/// A request for engines.
+/// A reservation request: asks for capacity on one or more engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ask {
     /// The request, unique within the scheduler.
     pub request_id: RequestId,
-    /// The dispatch that the grant is for.
+    /// The attempt that the grant is for.
     pub attempt_id: AttemptId,
-    /// Who asks.
+    /// The account that is charged for the request.
     pub account: AccountId,
-    /// Weight of the account.
+    /// Weight of the account in fair queueing; 0 counts as 1.
     pub share: u64,
-    /// Class of the request.
+    /// Priority class of the request.
     pub priority: Priority,
-    /// The model that must run it.
+    /// Name of the model that must run it.
     pub model: String,
-    /// The adapter on the model.
+    /// Name of the adapter that must be loaded on the model, if any.
     pub adapter: Option<String>,
     /// Length of the prompt.
     pub prompt_tokens: u64,
-    /// The most tokens of the answer.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u64,
-    /// When it must have ended.
+    /// Time in ms, on the scheduler's clock, by which the request must complete.
     pub deadline_ms: u64,
-    /// Hashes of the prompt's prefixes, the shortest first.
+    /// Hashes of the prompt's block-aligned prefixes, shortest first.
     pub prefix_hashes: Vec<u64>,
     /// Engines on which an earlier attempt failed.
     pub avoid: Vec<UpstreamId>,
 }
 
 impl Ask {
-    /// An ask of usual priority and weight, with a short answer.
+    /// A request of normal priority and default weight (100), with at most 16 output tokens.
     pub fn new(
         request_id: RequestId,
         attempt_id: AttemptId,
@@ -60,71 +60,71 @@
         }
     }
 
-    /// KV cache that it needs.
+    /// KV cache the request needs: its prompt and the longest allowed output, in tokens.
     pub fn memory_tokens(&self) -> u64 {
         self.prompt_tokens + self.max_output_tokens
     }
 }
 
-/// Names a grant within one life of its owner.
+/// Identifies a grant within one incarnation of the pool's owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GrantId(pub u64);
 
-/// The entry host that holds a grant.
+/// The entry host that holds a grant, in one of its incarnations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Holder {
-    /// Its name.
+    /// Identifier of the host.
     pub host: HostId,
-    /// Its life.
+    /// Incarnation of the host; a restart raises it.
     pub incarnation: Incarnation,
 }
 
 /// Capacity reserved for one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Its name.
+    /// Identifier of the grant.
     pub grant_id: GrantId,
-    /// The request that it answers.
+    /// The request that was granted.
     pub request_id: RequestId,
-    /// The class in which the engine is to read the prompt.
+    /// Priority class in which the engine schedules the prefill.
     pub engine_priority: EnginePriority,
-    /// The adapter that its engines must be ordered to load first.
+    /// Adapter that at least one of the engines must load before it can run the request.
     pub load_adapter: Option<String>,
-    /// One part for each engine; the last engine writes the answer.
+    /// One part for each engine; the last engine generates the output.
     pub parts: Vec<GrantPart>,
 }
 
-/// What is reserved at one engine.
+/// Capacity reserved on one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantPart {
-    /// The engine.
+    /// Identifier of the engine.
     pub engine: UpstreamId,
-    /// KV cache reserved there.
+    /// Reserved KV cache, in tokens.
     pub reserved_tokens: u64,
-    /// Prompt tokens that it reads.
+    /// Number of prompt tokens in this engine's share of the prompt.
     pub prompt_tokens: u64,
 }
 
-/// What a scheduler decided.
+/// A decision of the scheduler, to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The request may run.
+    /// The request may run with the granted capacity.
     Granted(Grant),
-    /// The request does not run.
+    /// The request is refused, with the reason and the time to wait before a retry.
     Refused(RequestId, Refusal),
-    /// The grant's holder is gone: end the attempt at the engine.
+    /// The attempt's grant was revoked: cancel the attempt at the engine.
     Cancel(UpstreamId, AttemptId),
 }
 
-/// What an attempt took, as its holder saw it.
+/// Outcome and resource use of an attempt, as observed by the grant's holder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Whether the engine said that the attempt ended.
+    /// Whether the engine confirmed that the attempt ended.
     pub engine_ended: bool,
-    /// Whether the engine failed rather than the caller.
+    /// Whether the attempt failed at the engine rather than at the caller.
     pub engine_failed: bool,
-    /// Tokens written.
+    /// Number of output tokens generated.
     pub output_tokens: u64,
-    /// From the first token to the last.
+    /// Time from the first output token to the last, in ms.
     pub decode_ms: u64,
 }
--- a/clayplank-schedule/src/scheduler.rs
+++ b/clayplank-schedule/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The owner of a pool: asks in, decisions out.
+//! The scheduler of a pool: takes reservation requests and produces decisions.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -20,19 +20,19 @@
 use crate::rates::Rates;
 use crate::reservation::{Ask, Decision, Holder};
 
-/// The shortest time after which a caller is told to come back.
+/// Lower bound of the retry delay that a refusal names.
 const MIN_RETRY_MS: u64 = 100;
 
-/// The longest.
+/// Upper bound of the retry delay that a refusal names, before jitter.
 const MAX_RETRY_MS: u64 = 60_000;
 
-/// When no engine serves a model, it may be back after this time.
+/// Retry delay, and assumed wait, while no engine is live.
 const NO_ENGINE_RETRY_MS: u64 = 1_000;
 
-/// Accounts of a lane whose last request is looked at again in each tick.
+/// Maximum number of accounts per lane whose last request each tick checks against its deadline.
 const MAX_CHECKED_ACCOUNTS: usize = 64;
 
-/// A request that waits.
+/// A request waiting in a queue.
 #[derive(Debug)]
 pub(crate) struct Pending {
     pub(crate) ask: Ask,
@@ -41,24 +41,24 @@
     pub(crate) latest_start_ms: u64,
 }
 
-/// Sums over a scheduler.
+/// Load of a scheduler, summed over its queues and live engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: usize,
-    /// Grants that are held or lapsing.
+    /// Number of grants, held or revoked but not yet released.
     pub grants: usize,
-    /// Memory reserved by them.
+    /// KV cache reserved by grants, in tokens.
     pub granted_tokens: u64,
-    /// Memory of attempts that no grant accounts for.
+    /// KV cache used by attempts that engines report but no grant accounts for, in tokens.
     pub foreign_tokens: u64,
-    /// Memory of all engines.
+    /// KV cache of all live engines, in tokens.
     pub memory_tokens: u64,
-    /// Predicted wait of a short prompt at the best engine.
+    /// Predicted wait of a prompt of [`Lane::Brief`] on the engine with the shortest wait, in ms.
     pub short_wait_ms: u64,
 }
 
-/// Decides for the engines of one pool.
+/// Admits requests to one pool, queues them, and grants them capacity on its engines.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) policy: Policy,
@@ -76,7 +76,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler without engines.
+    /// Creates a scheduler without engines.
     pub fn new(policy: Policy) -> Self {
         Self {
             incarnation: Incarnation::default(),
@@ -94,18 +94,19 @@
         }
     }
 
-    /// Sets the life of this owner, which tells its grants from those of others.
+    /// Sets the incarnation of this owner, which distinguishes its grants from those of
+    /// other owners.
     pub fn with_incarnation(mut self, incarnation: Incarnation) -> Self {
         self.incarnation = incarnation;
         self
     }
 
-    /// The life of this owner.
+    /// Incarnation of this owner.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Adds an engine; one that is known already stays as it is.
+    /// Adds an engine. If an engine with this identifier exists, it is left unchanged.
     pub fn add_engine(&mut self, spec: EngineSpec) {
         if self.fleet.find(&spec.id).is_some() {
             return;
@@ -118,12 +119,12 @@
         self.fleet.add(Engine::new(spec, rates));
     }
 
-    /// Takes out what was decided since the last call.
+    /// Returns and clears the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Asks for engines; the answer is among the decisions, now or later.
+    /// Submits a reservation request. Its result is among the decisions, now or later.
     pub fn submit(&mut self, now_ms: u64, holder: Holder, ask: Ask) {
         match self.admit(now_ms, holder, ask) {
             Ok((model, lane)) => self.dispatch_lane(now_ms, &model, lane),
@@ -133,12 +134,13 @@
         }
     }
 
-    /// Takes back an ask that was not answered yet.
+    /// Removes a request that is still waiting; no decision on it follows.
     pub fn withdraw(&mut self, request_id: RequestId) {
         self.remove_pending(request_id);
     }
 
-    /// Ends waits that are over; to be called every few hundred milliseconds.
+    /// Revokes expired grants, refuses requests that cannot meet their deadline, and
+    /// dispatches what fits. Call it every few hundred milliseconds.
     pub fn tick(&mut self, now_ms: u64) {
         self.revoke_expired(now_ms);
         self.refuse_expired(now_ms);
@@ -150,7 +152,7 @@
         self.assert_reservations_match();
     }
 
-    /// When a request would run if it came now.
+    /// Predicts the wait and the service time of a request in a lane, as of now.
     pub fn forecast(&self, ask: &Ask, lane: Lane) -> Forecast {
         let Some(lanes) = self.models.get(&ask.model) else {
             return Forecast { wait_ms: 0.0, service_ms: 0.0 };
@@ -169,12 +171,12 @@
         Forecast { wait_ms: ahead_tokens / tokens_per_ms, service_ms }
     }
 
-    /// Whether an engine that serves the model has reported.
+    /// Whether a live engine serves the model.
     pub fn has_engine(&self, model: &str) -> bool {
         self.fleet.model(model).is_some_and(|model| model.count() > 0)
     }
 
-    /// Sums over all engines and queues.
+    /// Current totals over all live engines and queues.
     pub fn totals(&self) -> Totals {
         let mut totals =
             Totals { waiting: self.pending.len(), grants: self.grants.len(), ..Totals::default() };
@@ -190,6 +192,8 @@
         totals
     }
 
+    /// Queues a request, or refuses it if no engine serves it, it is too large, the queue
+    /// is full, or its deadline is predicted to be missed.
     fn admit(
         &mut self,
         now_ms: u64,
@@ -231,7 +235,8 @@
         Ok((model, lane))
     }
 
-    /// Spreads the callers that come back over a quarter of the time.
+    /// Clamps a retry delay and adds a random jitter of up to a quarter of it, so that
+    /// callers do not all retry at the same time.
     fn jittered_retry_ms(&mut self, wait_ms: u64) -> u64 {
         let min_ms = wait_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS);
         min_ms + self.rng.random_range(0..=min_ms / 4)
@@ -259,7 +264,8 @@
         self.pending.insert(request_id, pending);
     }
 
-    /// Without fair shares, all requests count as those of one account.
+    /// The account and weight under which a request is queued. Without fair sharing, all
+    /// requests belong to one account.
     fn fair_queue_key(&self, account: AccountIndex, ask: &Ask) -> (AccountIndex, u64) {
         let is_fair =
             self.policy.mechanisms.fair_share && self.policy.discipline == Discipline::Current;
@@ -275,6 +281,7 @@
         Some(pending)
     }
 
+    /// Refuses requests whose latest start time has passed.
     fn refuse_expired(&mut self, now_ms: u64) {
         while let Some(&(latest_start_ms, request_id)) = self.expiry.first() {
             if latest_start_ms >= now_ms {
@@ -290,8 +297,9 @@
         }
     }
 
-    /// Refuses what would expire later, as soon as that is known: the queue may
-    /// move more slowly than it did when the request came.
+    /// Refuses requests as soon as they are predicted to miss their deadline, rather than
+    /// once it is too late to start them: the queue may drain more slowly than it did when
+    /// a request was admitted.
     fn refuse_predicted_late(&mut self, now_ms: u64) {
         if !self.policy.mechanisms.early_refusal {
             return;
@@ -314,7 +322,8 @@
         }
     }
 
-    /// Rates of the engine with the least wait, which stands for its model's.
+    /// Prefill and decode time per token, in ms, of the model's engine with the shortest
+    /// wait, taken as representative of the model.
     pub(crate) fn typical_rates(&self, model: &str) -> (f64, f64) {
         let first = self.fleet.model(model).and_then(|model| model.by_wait.first());
         match first {
@@ -330,7 +339,6 @@
         SchedulerView { policy: &self.policy, fleet: &self.fleet, prefixes: &self.prefixes }
     }
 
-    /// The engine's index by its name.
     pub(crate) fn find_engine(&self, id: &UpstreamId) -> Option<EngineIndex> {
         self.fleet.find(id)
     }
--- a/clayplank-schedule/tests/decisions.rs
+++ b/clayplank-schedule/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the scheduler.
+//! Tests of single scheduler decisions, and of the rate limit and the retry budget.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -45,29 +45,29 @@
 fn granted(decisions: &[Decision]) -> &Grant {
     match decisions {
         [Decision::Granted(grant)] => grant,
-        other => panic!("not one grant: {other:?}"),
+        other => panic!("expected exactly one grant, got {other:?}"),
     }
 }
 
 fn refusal(decisions: &[Decision]) -> Refusal {
     match decisions {
         [Decision::Refused(_, refusal)] => *refusal,
-        other => panic!("not one refusal: {other:?}"),
+        other => panic!("expected exactly one refusal, got {other:?}"),
     }
 }
 
 #[rstest]
-#[case::line(1_000, 0)]
-#[case::page(5_000, 1)]
-#[case::report(40_000, 2)]
-#[case::season(200_000, 3)]
-fn shorter_prompts_are_read_first(#[case] prompt_tokens: u64, #[case] class: u8) {
+#[case::brief(1_000, 0)]
+#[case::short(5_000, 1)]
+#[case::medium(40_000, 2)]
+#[case::long(200_000, 3)]
+fn shorter_prompts_get_a_higher_engine_priority(#[case] prompt_tokens: u64, #[case] class: u8) {
     let decisions = submit(&mut scheduler(2), 0, ask(1, "a", prompt_tokens, 600_000));
     assert_eq!(granted(&decisions).engine_priority, EnginePriority(class));
 }
 
 #[test]
-fn a_short_prompt_goes_where_no_long_one_is_read() {
+fn short_prompt_avoids_engine_prefilling_a_long_one() {
     let mut scheduler = scheduler(2);
     let long = submit(&mut scheduler, 0, ask(1, "a", 200_000, 600_000));
     let long_engine = granted(&long).parts[0].engine.clone();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_cannot_end_in_time_is_refused_at_once() {
+fn request_that_cannot_meet_its_deadline_is_refused_immediately() {
     let decisions = submit(&mut scheduler(1), 0, ask(1, "a", 200_000, 1_000));
     let refusal = refusal(&decisions);
     assert_eq!(refusal.reason, RefusalReason::DeadlineOutOfReach);
@@ -84,9 +84,9 @@
 }
 
 #[test]
-fn a_gang_gets_all_its_engines_or_none() {
+fn gang_request_is_granted_all_engines_or_none() {
     let mut scheduler = scheduler(3);
-    // One engine is nearly full: the three together cannot hold the prompt yet.
+    // One engine is nearly full, so the three together cannot hold the prompt yet.
     let first = submit(&mut scheduler, 0, ask(1, "a", 300_000, 3_600_000));
     let blocking = granted(&first).grant_id;
     assert_eq!(submit(&mut scheduler, 1, ask(2, "b", 1_000_000, 3_600_000)), vec![]);
@@ -99,13 +99,13 @@
 }
 
 #[test]
-fn a_prompt_larger_than_the_pool_is_refused() {
+fn prompt_larger_than_the_pool_is_refused() {
     let decisions = submit(&mut scheduler(2), 0, ask(1, "a", 1_000_000, 3_600_000));
     assert_eq!(refusal(&decisions).reason, RefusalReason::PromptTooLarge);
 }
 
 #[test]
-fn an_engine_that_leaves_gets_nothing_more() {
+fn draining_engine_gets_no_new_work_until_it_restarts() {
     let mut scheduler = scheduler(1);
     scheduler.note_leaving(&UpstreamId::new("e0"));
     let decisions = submit(&mut scheduler, 0, ask(1, "a", 1_000, 10_000));
@@ -120,7 +120,7 @@
     assert_eq!(
         refusal(&decisions).reason,
         RefusalReason::NoEngine,
-        "leaving is sticky for an incarnation"
+        "an incarnation that drains stays so, whatever it reports"
     );
     scheduler.report(
         20,
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_lapsed_grant_returns_only_when_the_engine_has_ended_it() {
+fn memory_of_an_expired_grant_is_released_only_once_the_engine_ended_it() {
     let mut scheduler = scheduler(1);
     let engine = UpstreamId::new("e0");
     granted(&submit(&mut scheduler, 0, ask(1, "a", 1_000, 10_000)));
@@ -149,14 +149,14 @@
         ..EngineReport::default()
     };
     scheduler.report(9_000, &engine, &report);
-    assert_eq!(scheduler.totals().granted_tokens, 1_016, "it still runs");
+    assert_eq!(scheduler.totals().granted_tokens, 1_016, "the engine still runs the attempt");
     report.running.clear();
     scheduler.report(9_500, &engine, &report);
     assert_eq!(scheduler.totals().granted_tokens, 0);
 }
 
 #[test]
-fn a_new_owner_counts_what_the_engine_runs() {
+fn new_owner_counts_attempts_that_the_engine_already_runs() {
     let mut scheduler = scheduler(1);
     let running = BTreeMap::from([(AttemptId::from_bits(77), 250_000)]);
     let report = EngineReport {
@@ -171,12 +171,12 @@
     assert_eq!(
         submit(&mut scheduler, 1, ask(1, "a", 200_000, 3_600_000)),
         vec![],
-        "there is no room beside it"
+        "no room is left beside the reported attempt"
     );
 }
 
 #[test]
-fn an_account_with_a_long_queue_does_not_hold_up_another() {
+fn account_with_a_long_queue_does_not_delay_another() {
     let mut scheduler = scheduler(1);
     for number in 0..200 {
         scheduler.submit(0, Holder::default(), ask(number, "large", 4_000, 600_000));
@@ -185,8 +185,8 @@
     scheduler.submit(1, Holder::default(), ask(1_000, "small", 4_000, 600_000));
     let mut order = Vec::new();
     let mut grants = vec![1];
-    for round in 0..20 {
-        let now_ms = 300 * (round + 1);
+    for step in 0..20 {
+        let now_ms = 300 * (step + 1);
         for grant in grants.drain(..) {
             let grant_id = clayplank_schedule::GrantId(grant);
             scheduler.note_first_token(now_ms, grant_id);
@@ -199,16 +199,16 @@
             }
         }
     }
-    let place = order.iter().position(|&request_id| request_id == RequestId(1_000)).unwrap();
-    assert!(place < 3, "it went as number {place} of {order:?}");
+    let position = order.iter().position(|&request_id| request_id == RequestId(1_000)).unwrap();
+    assert!(position < 3, "granted at position {position} of {order:?}");
 }
 
 #[test]
-fn low_priority_work_ages() {
+fn waiting_raises_the_urgency_of_low_priority_requests() {
     let mut scheduler = scheduler(1);
     let mut low = ask(1, "a", 4_000, 600_000);
     low.priority = Priority::Low;
-    // The engine is kept busy with one prompt at a time.
+    // The engine always has one prompt in prefill.
     granted(&submit(&mut scheduler, 0, ask(0, "z", 4_000, 600_000)));
     assert_eq!(submit(&mut scheduler, 1, low), vec![]);
     let mut last = 1;
@@ -223,16 +223,16 @@
             let Decision::Granted(grant) = decision else { continue };
             last = grant.grant_id.0;
             if grant.request_id == RequestId(1) {
-                assert!(now_ms >= 4_000, "two classes of ageing");
+                assert!(now_ms >= 4_000, "granted before it aged by two priority classes");
                 return;
             }
         }
     }
-    panic!("the low request never went");
+    panic!("the low-priority request was never granted");
 }
 
 #[test]
-fn wrong_starting_rates_heal() {
+fn service_time_forecast_adapts_to_measured_rates() {
     let mut scheduler = scheduler(1);
     let before =
         scheduler.forecast(&ask(0, "a", 100_000, 1), clayplank_schedule::Lane::Long).service_ms;
@@ -240,7 +240,7 @@
         let now_ms = number * 1_000;
         let decisions = submit(&mut scheduler, now_ms, ask(number, "a", 4_000, now_ms + 60_000));
         let grant_id = granted(&decisions).grant_id;
-        // The engine reads 40 tokens a millisecond, four times as fast as was assumed.
+        // The engine prefills 40 tokens per ms, four times the configured initial rate.
         scheduler.note_first_token(now_ms + 100, grant_id);
         scheduler.finish(
             now_ms + 200,
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_hot_prefix_does_not_pile_up_on_one_engine() {
+fn requests_with_a_common_prefix_spread_over_engines() {
     let mut scheduler = scheduler(4);
     let mut engines = BTreeMap::new();
     for number in 0..40 {
@@ -270,12 +270,12 @@
 }
 
 #[test]
-fn a_rate_limit_says_when_the_next_request_passes() {
+fn rate_limit_reports_the_time_until_the_next_request_is_allowed() {
     let mut limit = RateLimit::new(2, 0);
     assert_eq!(
         (0..4).filter(|_| limit.pass(2, 0).is_ok()).count(),
         4,
-        "bursts of two seconds pass"
+        "a burst of two seconds of the rate is allowed"
     );
     assert_eq!(limit.pass(2, 0), Err(500));
     assert_eq!(limit.pass(2, 499), Err(1));
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn second_tries_are_paid_for_by_first_tries() {
+fn retries_are_limited_to_a_share_of_first_attempts() {
     let mut budget = RetryBudget::new();
     assert!(budget.spend());
     assert!(!budget.spend());
--- a/clayplank-schedule/tests/random.rs
+++ b/clayplank-schedule/tests/random.rs
@@ -1,4 +1,5 @@
-//! Random histories of a scheduler; its own assertions check the sums at each tick.
+//! Property test over random event sequences. The scheduler itself asserts at each tick
+//! that the reserved memory equals the sum of all grants.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,11 +18,11 @@
 enum Step {
     Ask { account: u8, prompt_tokens: u64, deadline_ms: u64, host: u8 },
     FirstToken(prop::sample::Index),
-    Finish { which: prop::sample::Index, engine_ended: bool },
-    HostGone,
+    Finish { chosen: prop::sample::Index, engine_ended: bool },
+    HostFails,
     HostRestarts(u8),
     EngineRestarts(usize),
-    EngineSilent(usize),
+    EngineUnresponsive(usize),
     Report(usize),
     Wait(u64),
 }
@@ -32,26 +33,27 @@
             .prop_map(|(account, prompt_tokens, deadline_ms, host)| Step::Ask { account, prompt_tokens, deadline_ms, host }),
         4 => any::<prop::sample::Index>().prop_map(Step::FirstToken),
         4 => (any::<prop::sample::Index>(), any::<bool>())
-            .prop_map(|(which, engine_ended)| Step::Finish { which, engine_ended }),
-        1 => Just(Step::HostGone),
+            .prop_map(|(chosen, engine_ended)| Step::Finish { chosen, engine_ended }),
+        1 => Just(Step::HostFails),
         1 => (0..2_u8).prop_map(Step::HostRestarts),
         1 => (0..ENGINES).prop_map(Step::EngineRestarts),
-        1 => (0..ENGINES).prop_map(Step::EngineSilent),
+        1 => (0..ENGINES).prop_map(Step::EngineUnresponsive),
         6 => (0..ENGINES).prop_map(Step::Report),
         6 => (1..2_000_u64).prop_map(Step::Wait),
     ]
 }
 
-/// What the engines really run, and what the hosts were told.
+/// Model of the surroundings: what the engines actually run, and which decisions the
+/// hosts received.
 #[derive(Default)]
-struct World {
+struct Environment {
     now_ms: u64,
     running: Vec<BTreeMap<AttemptId, u64>>,
     incarnations: Vec<u64>,
-    host_lives: [u64; 2],
-    asked: BTreeMap<RequestId, (AttemptId, u8)>,
+    host_incarnations: [u64; 2],
+    requested: BTreeMap<RequestId, (AttemptId, u8)>,
     granted: BTreeMap<GrantId, AttemptId>,
-    answered: BTreeSet<RequestId>,
+    decided: BTreeSet<RequestId>,
     deadlines: BTreeMap<RequestId, u64>,
 }
 
@@ -59,27 +61,31 @@
     UpstreamId::new(format!("e{engine}"))
 }
 
-impl World {
+impl Environment {
     fn holder(&self, host: u8) -> Holder {
         Holder {
             host: HostId::new(format!("h{host}")),
-            incarnation: Incarnation(self.host_lives[host as usize]),
+            incarnation: Incarnation(self.host_incarnations[host as usize]),
         }
     }
 
-    fn carry_out(&mut self, scheduler: &mut Scheduler) {
+    fn apply_decisions(&mut self, scheduler: &mut Scheduler) {
         for decision in scheduler.take_decisions() {
             match decision {
                 Decision::Granted(grant) => {
-                    assert!(self.answered.insert(grant.request_id), "answered twice");
+                    assert!(self.decided.insert(grant.request_id), "request decided twice");
                     assert!(
                         self.deadlines[&grant.request_id] >= self.now_ms,
                         "granted after its deadline"
                     );
-                    let (attempt_id, _) = self.asked[&grant.request_id];
+                    let (attempt_id, _) = self.requested[&grant.request_id];
                     let engines: BTreeSet<_> =
                         grant.parts.iter().map(|part| part.engine.clone()).collect();
-                    assert_eq!(engines.len(), grant.parts.len(), "one part for an engine");
+                    assert_eq!(
+                        engines.len(),
+                        grant.parts.len(),
+                        "an engine has more than one part of a grant"
+                    );
                     for part in &grant.parts {
                         let engine =
                             (0..ENGINES).find(|&engine| engine_id(engine) == part.engine).unwrap();
@@ -88,8 +94,8 @@
                     self.granted.insert(grant.grant_id, attempt_id);
                 }
                 Decision::Refused(request_id, refusal) => {
-                    assert!(self.answered.insert(request_id), "answered twice");
-                    assert!(refusal.retry_after_ms > 0, "a refusal says when to come back");
+                    assert!(self.decided.insert(request_id), "request decided twice");
+                    assert!(refusal.retry_after_ms > 0, "a refusal without a retry delay");
                 }
                 Decision::Cancel(engine, attempt_id) => {
                     let engine = (0..ENGINES).find(|&index| engine_id(index) == engine).unwrap();
@@ -118,18 +124,18 @@
                 let deadline_ms = self.now_ms + deadline_ms;
                 let ask =
                     Ask::new(request_id, attempt_id, account, "base", prompt_tokens, deadline_ms);
-                self.asked.insert(request_id, (attempt_id, host));
+                self.requested.insert(request_id, (attempt_id, host));
                 self.deadlines.insert(request_id, deadline_ms);
                 scheduler.submit(self.now_ms, self.holder(host), ask);
             }
-            Step::FirstToken(ref which) if !self.granted.is_empty() => {
+            Step::FirstToken(ref chosen) if !self.granted.is_empty() => {
                 let grants: Vec<_> = self.granted.keys().copied().collect();
-                scheduler.note_first_token(self.now_ms, *which.get(&grants));
+                scheduler.note_first_token(self.now_ms, *chosen.get(&grants));
             }
-            Step::Finish { ref which, engine_ended } if !self.granted.is_empty() => {
+            Step::Finish { ref chosen, engine_ended } if !self.granted.is_empty() => {
                 let grants: Vec<_> =
                     self.granted.iter().map(|(&grant, &attempt)| (grant, attempt)).collect();
-                let &(grant_id, attempt_id) = which.get(&grants);
+                let &(grant_id, attempt_id) = chosen.get(&grants);
                 self.granted.remove(&grant_id);
                 if engine_ended {
                     self.running.iter_mut().for_each(|running| {
@@ -139,10 +145,10 @@
                 scheduler.finish(self.now_ms, grant_id, Usage { engine_ended, ..Usage::default() });
             }
             Step::FirstToken(_) | Step::Finish { .. } => {}
-            // Its grants are no longer renewed.
-            Step::HostGone => self.granted.clear(),
+            // The failed host's grants are no longer renewed.
+            Step::HostFails => self.granted.clear(),
             Step::HostRestarts(host) => {
-                self.host_lives[host as usize] += 1;
+                self.host_incarnations[host as usize] += 1;
                 scheduler.renew(self.now_ms, &self.holder(host), &[]);
             }
             Step::EngineRestarts(engine) => {
@@ -150,16 +156,16 @@
                 self.incarnations[engine] += 1;
                 scheduler.report(self.now_ms, &engine_id(engine), &self.report(engine));
             }
-            Step::EngineSilent(engine) => scheduler.note_silent(&engine_id(engine)),
+            Step::EngineUnresponsive(engine) => scheduler.note_silent(&engine_id(engine)),
             Step::Report(engine) => {
                 scheduler.report(self.now_ms, &engine_id(engine), &self.report(engine))
             }
-            Step::Wait(span_ms) => {
-                self.now_ms += span_ms;
+            Step::Wait(elapsed_ms) => {
+                self.now_ms += elapsed_ms;
                 scheduler.tick(self.now_ms);
             }
         }
-        self.carry_out(scheduler);
+        self.apply_decisions(scheduler);
     }
 }
 
@@ -167,33 +173,34 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn capacity_always_returns_and_each_ask_is_answered_once(steps in prop::collection::vec(step(), 1..200)) {
+    fn capacity_is_always_released_and_each_request_is_decided_once(steps in prop::collection::vec(step(), 1..200)) {
         let mut scheduler = Scheduler::new(Policy::default());
         for engine in 0..ENGINES {
             scheduler.add_engine(EngineSpec::new(engine_id(engine), MEMORY_TOKENS, ["base"]));
         }
-        let mut world = World {
+        let mut environment = Environment {
             running: vec![BTreeMap::new(); ENGINES],
             incarnations: vec![1; ENGINES],
-            host_lives: [1, 1],
-            ..World::default()
+            host_incarnations: [1, 1],
+            ..Environment::default()
         };
         for (number, step) in steps.into_iter().enumerate() {
-            world.apply(&mut scheduler, &step, number as u64 + 1);
+            environment.apply(&mut scheduler, &step, number as u64 + 1);
         }
-        // Nobody renews any more: within the lease, the grace and a report, all is free again.
+        // No grant is renewed from here on: after the lease, the grace period and one report,
+        // all capacity must be released.
         for _ in 0..200 {
-            world.now_ms += 500;
-            scheduler.tick(world.now_ms);
-            world.carry_out(&mut scheduler);
+            environment.now_ms += 500;
+            scheduler.tick(environment.now_ms);
+            environment.apply_decisions(&mut scheduler);
             for engine in 0..ENGINES {
-                let report = world.report(engine);
-                scheduler.report(world.now_ms, &engine_id(engine), &report);
+                let report = environment.report(engine);
+                scheduler.report(environment.now_ms, &engine_id(engine), &report);
             }
-            world.carry_out(&mut scheduler);
+            environment.apply_decisions(&mut scheduler);
         }
         let totals = scheduler.totals();
         prop_assert_eq!((totals.granted_tokens, totals.foreign_tokens, totals.waiting), (0, 0, 0));
-        prop_assert_eq!(world.answered.len(), world.asked.len(), "every ask got its answer");
+        prop_assert_eq!(environment.decided.len(), environment.requested.len(), "some requests were never decided");
     }
 }
