--- a/clayplank-schedule/src/admission.rs
+++ b/clayplank-schedule/src/admission.rs
@@ -6,12 +6,13 @@
 /// Weight of a new window in the moving average of a lane's throughput.
 const WINDOW_WEIGHT: f64 = 0.3;
 
-/// Windows shorter than this are too short for a useful sample and are ignored.
+/// Shorter windows give no useful sample and are ignored.
 const MIN_WINDOW_MS: u64 = 500;
 
+/// A window is closed at this length even if the queue is not empty.
 const MAX_WINDOW_MS: u64 = 2_000;
 
-/// Factor on the prefill time of heavy prompts, because short ones overtake them meanwhile.
+/// Factor on the prefill time of heavy prompts, which short ones overtake in the meantime.
 const HEAVY_PREFILL_FACTOR: f64 = 1.6;
 
 /// Predicted wait and service time of a request.
--- a/clayplank-schedule/src/choose.rs
+++ b/clayplank-schedule/src/choose.rs
@@ -8,10 +8,12 @@
 use crate::prefix::PrefixTable;
 use crate::reservation::Ask;
 
-/// Maximum number of engines considered from one index, except as below.
+/// Maximum number of engines considered in the order of their wait, or, for medium and long
+/// prompts, of their free memory.
 const MAX_CANDIDATES: usize = 8;
 
-/// Maximum number of engines considered by free memory for brief and short prompts.
+/// Maximum number of engines considered in the order of their free memory, for brief and
+/// short prompts.
 const MAX_FREE_MEMORY_CANDIDATES: usize = 4;
 
 /// Penalty on an engine where an earlier attempt failed, so that a retry goes to another
--- a/clayplank-schedule/src/grants.rs
+++ b/clayplank-schedule/src/grants.rs
@@ -34,7 +34,7 @@
     pub(crate) is_released: bool,
 }
 
-/// Whether a grant still has a holder.
+/// State of a grant's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantState {
     /// Valid until the given time, unless it is renewed.
--- a/clayplank-schedule/src/lanes.rs
+++ b/clayplank-schedule/src/lanes.rs
@@ -13,8 +13,8 @@
 /// Engines kept free of heavy prompts per engine that short prompts keep busy.
 const SHORT_HEADROOM_FACTOR: f64 = 1.3;
 
-/// Engines kept free of heavy prompts in addition, regardless of demand. One engine is
-/// always left to heavy prompts.
+/// Further engines kept free of heavy prompts, regardless of demand. Nevertheless at least
+/// one engine may prefill heavy prompts.
 const MIN_SHORT_ENGINES: f64 = 1.0;
 
 /// Spare engines required beyond the next whole one before the limit rises.
--- a/clayplank-schedule/src/lifecycle.rs
+++ b/clayplank-schedule/src/lifecycle.rs
@@ -49,7 +49,8 @@
     }
 
     /// Ends a grant. If the engine has not confirmed the end of the attempt, the grant is
-    /// revoked, and its memory is released once the engine's reports no longer list it.
+    /// revoked, and its memory is released once the engine's reports no longer list the
+    /// attempt.
     pub fn finish(&mut self, now_ms: u64, grant_id: GrantId, usage: Usage) {
         let Some(record) = self.grants.get(grant_id) else {
             return;
@@ -222,8 +223,9 @@
     }
 
     /// Applies the incarnation of a report and returns whether the engine was restarted. A
-    /// restarted engine no longer runs what was granted on its earlier incarnation. In the
-    /// first report the incarnation was unknown before, and existing grants take it on.
+    /// restarted engine no longer runs what was granted on its earlier incarnation. Before an
+    /// engine's first report its incarnation is unknown; grants issued until then take on the
+    /// reported one.
     fn apply_incarnation(&mut self, index: EngineIndex, report: &EngineReport) -> bool {
         let before = self.fleet.engine(index).incarnation;
         if before == report.incarnation {
--- a/clayplank-schedule/src/policy.rs
+++ b/clayplank-schedule/src/policy.rs
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Whether the prefill of a prompt of the lane takes longer than an interactive caller waits.
+    /// Whether the lane is heavy: its prefills take longer than an interactive caller waits.
     pub(crate) fn is_heavy(self) -> bool {
         match self {
             Self::Brief | Self::Short => false,
