--- a/clayplank-schedule/src/choose.rs
+++ b/clayplank-schedule/src/choose.rs
@@ -1,41 +1,44 @@
-//! Choice of engines for a request; nothing is changed here.
+//! Selection of engines for a request, on a read-only view of the scheduler.
 
 use clayplank_types::PREFIX_BLOCK_TOKENS;
 
-use crate::ask::Ask;
 use crate::engine::Engine;
 use crate::fleet::{EngineIndex, Fleet, ModelIndex};
 use crate::policy::{Discipline, Lane, Policy};
 use crate::prefix::PrefixTable;
+use crate::reservation::Ask;
 
-/// Engines that are looked at in the order of their wait.
-const CANDIDATES: usize = 8;
+/// Maximum number of engines considered in the order of their wait, or, for medium and long
+/// prompts, of their free memory.
+const MAX_CANDIDATES: usize = 8;
 
-/// Engines that are looked at in the order of their free memory.
-const ROOMY_CANDIDATES: usize = 4;
+/// Maximum number of engines considered in the order of their free memory, for brief and
+/// short prompts.
+const MAX_FREE_MEMORY_CANDIDATES: usize = 4;
 
-/// Keeps a second try away from the engine that failed, if there is another.
-const AVOID_MS: f64 = 60_000.0;
+/// Penalty on an engine where an earlier attempt failed, so that a retry goes to another
+/// engine if one fits.
+const AVOID_PENALTY_MS: f64 = 60_000.0;
 
-/// Time that an engine is assumed to take to load an adapter.
+/// Assumed time for an engine to load an adapter.
 const ADAPTER_LOAD_MS: f64 = 500.0;
 
-/// What the choice looks at.
+/// Read-only state that engine selection is based on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct View<'a> {
+pub(crate) struct SchedulerView<'a> {
     pub(crate) policy: &'a Policy,
     pub(crate) fleet: &'a Fleet,
     pub(crate) prefixes: &'a PrefixTable,
 }
 
-/// One engine, and how much of the prompt it has cached.
+/// A selected engine and the number of prompt tokens it has cached.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Choice {
     pub(crate) engine: EngineIndex,
     pub(crate) cached_tokens: u64,
 }
 
-/// What one engine is to read, and the memory that it needs for that.
+/// Prompt tokens planned for one engine, and the KV cache to reserve for them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PlannedPart {
     pub(crate) engine: EngineIndex,
@@ -43,66 +46,78 @@
     pub(crate) reserved_tokens: u64,
 }
 
-impl View<'_> {
-    /// The engine on which a prompt that somebody waits for is read soonest.
+impl SchedulerView<'_> {
+    /// Selects the engine with the earliest predicted first token for a brief or short prompt.
     pub(crate) fn choose_light(&self, ask: &Ask, lane: Lane) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
-        let by_wait = model.by_wait.iter().map(|&(_, _, engine)| engine).take(CANDIDATES);
-        let by_free = model.by_free.iter().rev().map(|&(_, engine)| engine).take(ROOMY_CANDIDATES);
-        let uncached = by_wait.chain(by_free).map(|engine| Choice { engine, cached_tokens: 0 });
+        let by_wait = model.by_wait.iter().map(|&(_, _, engine)| engine).take(MAX_CANDIDATES);
+        let by_free_tokens = model
+            .by_free_tokens
+            .iter()
+            .rev()
+            .map(|&(_, engine)| engine)
+            .take(MAX_FREE_MEMORY_CANDIDATES);
+        let uncached =
+            by_wait.chain(by_free_tokens).map(|engine| Choice { engine, cached_tokens: 0 });
         let mut candidates = self.cached_choices(ask);
         candidates.extend(uncached);
         self.choose_soonest(ask, lane, candidates, |engine| {
             let wait_ms = engine.wait_ahead_ms(lane);
-            let in_turn =
-                !self.policy.mechanisms.prefill_cap || wait_ms <= self.policy.prefill_ahead_ms;
-            in_turn && self.has_room(engine, lane, ask)
+            let is_below_cap =
+                !self.policy.mechanisms.prefill_cap || wait_ms <= self.policy.max_prefill_ahead_ms;
+            is_below_cap && self.has_room(engine, lane, ask)
         })
     }
 
-    /// An engine for a prompt that is read for long: one that reads such a
-    /// prompt already, so that the others stay free for short ones, or else,
-    /// within the limit, another one.
+    /// Selects an engine for a medium or long prompt. Engines with a heavy prompt in prefill
+    /// are preferred, so that the others stay free for short prompts; another engine is used
+    /// only while fewer than `limit` engines prefill heavy prompts.
     pub(crate) fn choose_heavy(&self, ask: &Ask, lane: Lane, limit: usize) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
         let fits =
-            |engine: &Engine| engine.reading_in(lane) == 0 && self.has_room(engine, lane, ask);
-        let heavy =
-            model.heavy.iter().map(|&engine| Choice { engine, cached_tokens: 0 }).take(CANDIDATES);
+            |engine: &Engine| engine.prefills_in(lane) == 0 && self.has_room(engine, lane, ask);
+        let heavy = model
+            .heavy
+            .iter()
+            .map(|&engine| Choice { engine, cached_tokens: 0 })
+            .take(MAX_CANDIDATES);
         if let Some(choice) = self.choose_soonest(ask, lane, heavy, fits) {
             return Some(choice);
         }
         if model.heavy.len() >= limit {
             return None;
         }
-        let roomy = model.by_free.iter().rev().map(|&(_, engine)| engine).take(CANDIDATES);
+        let by_free_tokens =
+            model.by_free_tokens.iter().rev().map(|&(_, engine)| engine).take(MAX_CANDIDATES);
         let mut candidates = self.cached_choices(ask);
-        candidates.extend(roomy.map(|engine| Choice { engine, cached_tokens: 0 }));
+        candidates.extend(by_free_tokens.map(|engine| Choice { engine, cached_tokens: 0 }));
         self.choose_soonest(ask, lane, candidates, fits)
     }
 
-    /// Baselines: the engine with the least to read. The order by length is
-    /// kept only if engines are given one prompt at a time.
+    /// Selects the engine with the fewest tokens to prefill, for the baseline disciplines.
+    /// `ShortestFirst` gives an engine one prompt at a time: otherwise the order by length
+    /// would not hold at the engine.
     pub(crate) fn choose_least_loaded(&self, ask: &Ask) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
-        let takes_more = |engine: &Engine| match self.policy.discipline {
-            Discipline::ShortestFirst => engine.reading_tokens_total() == 0,
+        let accepts_prompt = |engine: &Engine| match self.policy.discipline {
+            Discipline::ShortestFirst => engine.total_prefill_tokens() == 0,
             Discipline::FirstCome | Discipline::Current => true,
         };
         let fits =
-            |engine: &Engine| takes_more(engine) && engine.free_tokens() >= ask.memory_tokens();
+            |engine: &Engine| accepts_prompt(engine) && engine.free_tokens() >= ask.memory_tokens();
         let mut by_wait = model.by_wait.iter().map(|&(_, _, engine)| engine);
         by_wait
             .find(|&engine| fits(self.fleet.engine(engine)))
             .map(|engine| Choice { engine, cached_tokens: 0 })
     }
 
-    /// The engines with the most free memory that together hold the request.
+    /// Selects the engines with the most free memory that together can hold the request once
+    /// their heavy memory is free. Each member is counted with room for the whole output.
     pub(crate) fn choose_gang(&self, ask: &Ask) -> Option<Vec<EngineIndex>> {
         let model = self.fleet.model(&ask.model)?;
         let mut members = Vec::new();
         let mut capacity_tokens = 0;
-        for &(_, index) in model.by_free.iter().rev() {
+        for &(_, index) in model.by_free_tokens.iter().rev() {
             members.push(index);
             capacity_tokens += self.heavy_memory_tokens(index);
             if capacity_tokens >= ask.prompt_tokens + ask.max_output_tokens * members.len() as u64 {
@@ -112,14 +127,15 @@
         None
     }
 
-    /// Whether all engines of the model together could ever hold the request.
+    /// Whether all live engines of the model together could hold the request when idle.
     pub(crate) fn fits_any_gang(&self, ask: &Ask, model: &ModelIndex) -> bool {
         let heavy_tokens =
             model.total_memory_tokens * (100 - self.policy.short_reserve_percent) / 100;
         heavy_tokens >= ask.prompt_tokens + ask.max_output_tokens * model.count() as u64
     }
 
-    /// What each member of a gang reads, by its memory; the last one also writes.
+    /// Splits the prompt among the members of a gang in proportion to their memory. The last
+    /// member gets the remainder and the memory for the output.
     pub(crate) fn plan_parts(&self, ask: &Ask, members: &[EngineIndex]) -> Vec<PlannedPart> {
         let total: u64 = members.iter().map(|&index| self.heavy_memory_tokens(index)).sum();
         let part = |&engine: &EngineIndex| {
@@ -143,6 +159,8 @@
         engine.has_room(lane, ask.memory_tokens(), self.policy.short_reserve_percent)
     }
 
+    /// Live engines of the model that have a prefix of the prompt cached. At least one token
+    /// always counts as uncached.
     fn cached_choices(&self, ask: &Ask) -> Vec<Choice> {
         if !self.policy.mechanisms.prefix_reuse {
             return Vec::new();
@@ -153,10 +171,10 @@
         };
         let found = self.prefixes.matches(&ask.prefix_hashes).into_iter();
         let usable = found.filter(|&(engine, _)| serves(engine));
-        let most = ask.prompt_tokens.saturating_sub(1);
+        let max_cached_tokens = ask.prompt_tokens.saturating_sub(1);
         let choice = |(engine, blocks): (EngineIndex, u64)| Choice {
             engine,
-            cached_tokens: (blocks * PREFIX_BLOCK_TOKENS).min(most),
+            cached_tokens: (blocks * PREFIX_BLOCK_TOKENS).min(max_cached_tokens),
         };
         usable.map(choice).collect()
     }
@@ -173,13 +191,14 @@
         scored.min_by(|left, right| left.0.total_cmp(&right.0)).map(|(_, choice)| choice)
     }
 
-    /// Predicted time until the first token.
+    /// Predicted time to the first token in ms, with penalties for engines to avoid and for
+    /// loading an adapter.
     fn first_token_ms(&self, ask: &Ask, lane: Lane, choice: Choice) -> f64 {
         let engine = self.fleet.engine(choice.engine);
         let uncached_tokens = ask.prompt_tokens - choice.cached_tokens.min(ask.prompt_tokens);
-        let read_ms = engine.predicted_read_ms(lane, uncached_tokens);
-        let avoid_ms = if ask.avoid.contains(&engine.id) { AVOID_MS } else { 0.0 };
+        let prefill_ms = engine.predicted_prefill_ms(lane, uncached_tokens);
+        let avoid_ms = if ask.avoid.contains(&engine.id) { AVOID_PENALTY_MS } else { 0.0 };
         let load_ms = if engine.has_adapter(ask.adapter.as_ref()) { 0.0 } else { ADAPTER_LOAD_MS };
-        engine.predicted_wait_ms(lane) + read_ms + avoid_ms + load_ms
+        engine.predicted_wait_ms(lane) + prefill_ms + avoid_ms + load_ms
     }
 }
--- a/clayplank-schedule/src/fleet.rs
+++ b/clayplank-schedule/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The engines of a pool, found by what they have left.
+//! The engines of a pool, indexed by predicted wait and by memory.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,17 +7,17 @@
 use crate::engine::Engine;
 use crate::policy::{Discipline, Lane};
 
-/// The place of an engine in its fleet.
+/// Position of an engine in its [`Fleet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct EngineIndex(pub(crate) u32);
 
-/// Live engines that serve one model.
+/// Live engines that serve one model, in sorted indexes.
 #[derive(Debug, Default)]
 pub(crate) struct ModelIndex {
-    /// By predicted wait in microseconds, then by grants.
+    /// By predicted wait in microseconds, then by number of grants.
     pub(crate) by_wait: BTreeSet<(u64, u32, EngineIndex)>,
-    pub(crate) by_free: BTreeSet<(u64, EngineIndex)>,
-    /// Those that read a prompt that is not short.
+    pub(crate) by_free_tokens: BTreeSet<(u64, EngineIndex)>,
+    /// Engines with a prompt of a heavy lane in prefill; see [`Lane::is_heavy`].
     pub(crate) heavy: BTreeSet<EngineIndex>,
     pub(crate) by_memory: BTreeSet<(u64, EngineIndex)>,
     pub(crate) total_memory_tokens: u64,
@@ -26,7 +26,7 @@
 impl ModelIndex {
     fn insert(&mut self, discipline: Discipline, index: EngineIndex, engine: &Engine) {
         self.by_wait.insert(wait_key(discipline, index, engine));
-        self.by_free.insert((engine.free_tokens(), index));
+        self.by_free_tokens.insert((engine.free_tokens(), index));
         self.by_memory.insert((engine.memory_tokens, index));
         self.total_memory_tokens += engine.memory_tokens;
         if engine.is_heavy() {
@@ -36,19 +36,19 @@
 
     fn remove(&mut self, discipline: Discipline, index: EngineIndex, engine: &Engine) {
         self.by_wait.remove(&wait_key(discipline, index, engine));
-        self.by_free.remove(&(engine.free_tokens(), index));
+        self.by_free_tokens.remove(&(engine.free_tokens(), index));
         self.heavy.remove(&index);
         if self.by_memory.remove(&(engine.memory_tokens, index)) {
             self.total_memory_tokens -= engine.memory_tokens;
         }
     }
 
-    /// How many live engines serve the model.
+    /// Number of live engines that serve the model.
     pub(crate) fn count(&self) -> usize {
         self.by_memory.len()
     }
 
-    /// The memory of the largest engine.
+    /// KV cache of the largest live engine, in tokens.
     pub(crate) fn largest_memory_tokens(&self) -> u64 {
         self.by_memory.last().map_or(0, |&(tokens, _)| tokens)
     }
@@ -72,7 +72,7 @@
         let index = EngineIndex(self.engines.len() as u32);
         self.by_id.insert(engine.id.clone(), index);
         self.engines.push(engine);
-        self.change(index, |_| {});
+        self.update(index, |_| {});
         index
     }
 
@@ -95,18 +95,19 @@
         self.by_model.get(model)
     }
 
-    /// Changes an engine and its places in the indexes.
-    pub(crate) fn change<R>(
+    /// Changes an engine and updates its entries in the indexes. An engine that is not live
+    /// has no entries.
+    pub(crate) fn update<R>(
         &mut self,
         index: EngineIndex,
-        change: impl FnOnce(&mut Engine) -> R,
+        update: impl FnOnce(&mut Engine) -> R,
     ) -> R {
         let discipline = self.discipline;
         let engine = &mut self.engines[index.0 as usize];
         for model in &engine.models {
             self.by_model.entry(model.clone()).or_default().remove(discipline, index, engine);
         }
-        let result = change(engine);
+        let result = update(engine);
         for model in engine.models.iter().filter(|_| engine.is_live()) {
             self.by_model.entry(model.clone()).or_default().insert(discipline, index, engine);
         }
--- a/clayplank-schedule/src/lib.rs
+++ b/clayplank-schedule/src/lib.rs
@@ -1,7 +1,9 @@
-//! Decisions under load: queue, admission, choice of engine, grants, limits.
+//! Scheduling of requests onto model engines: queueing, admission control,
+//! engine selection, capacity grants and rate limits.
 //!
-//! Nothing here knows a socket or a clock: every call takes `now_ms`, a time
-//! that never goes back, and leaves its [`Decision`]s to be taken out.
+//! The crate does no I/O and reads no clock. Time-dependent calls take `now_ms`, a
+//! monotonic time in milliseconds. The resulting [`Decision`]s are collected with
+//! [`Scheduler::take_decisions`].
 //!
 //! ```
 //! use clayplank_schedule::{Ask, Decision, EngineSpec, Holder, Policy, Scheduler};
@@ -16,27 +18,27 @@
 //! ```
 
 mod admission;
-mod ask;
 mod choose;
 mod dispatch;
 mod engine;
-mod fair;
+mod fair_queue;
 mod fleet;
 mod grants;
 mod lanes;
+mod lifecycle;
 mod limits;
 mod policy;
 mod pools;
 mod prefix;
 mod rates;
+mod reservation;
 mod scheduler;
-mod upkeep;
 
 pub use admission::Forecast;
-pub use ask::{Ask, Decision, Grant, GrantId, GrantPart, Holder, Usage};
 pub use engine::{EngineReport, EngineSpec};
 pub use grants::HeldGrant;
 pub use limits::{RateLimit, RetryBudget};
 pub use policy::{Discipline, Lane, Mechanisms, Policy, PolicyBuilder};
 pub use pools::{PoolLoad, choose_pool};
+pub use reservation::{Ask, Decision, Grant, GrantId, GrantPart, Holder, Usage};
 pub use scheduler::{Scheduler, Totals};
--- a/clayplank-schedule/src/scheduler.rs
+++ b/clayplank-schedule/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The owner of a pool: asks in, decisions out.
+//! The scheduler of a pool: takes reservation requests and produces decisions.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,31 +8,31 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::admission::{Forecast, plan_service_ms};
-use crate::ask::{Ask, Decision, Holder};
-use crate::choose::View;
+use crate::admission::{Forecast, estimate_service_ms};
+use crate::choose::SchedulerView;
 use crate::engine::{Engine, EngineSpec};
-use crate::fair::{AccountIndex, Waiting};
+use crate::fair_queue::{AccountIndex, Waiting};
 use crate::fleet::{EngineIndex, Fleet};
 use crate::grants::{EndedAttempts, GrantTable};
 use crate::lanes::ModelLanes;
 use crate::policy::{Discipline, Lane, Policy};
 use crate::prefix::PrefixTable;
 use crate::rates::Rates;
+use crate::reservation::{Ask, Decision, Holder};
 
-/// The shortest time after which a caller is told to come back.
+/// Lower bound of the retry delay that a refusal names.
 const MIN_RETRY_MS: u64 = 100;
 
-/// The longest.
+/// Upper bound of the retry delay that a refusal names, before jitter.
 const MAX_RETRY_MS: u64 = 60_000;
 
-/// When no engine serves a model, it may be back after this time.
+/// Retry delay, and assumed wait, while no engine is live.
 const NO_ENGINE_RETRY_MS: u64 = 1_000;
 
-/// Accounts of a lane whose last request is looked at again in each tick.
-const MAX_TAILS: usize = 64;
+/// Maximum number of accounts per lane whose last request each tick checks against its deadline.
+const MAX_CHECKED_ACCOUNTS: usize = 64;
 
-/// A request that waits.
+/// A request waiting in a queue.
 #[derive(Debug)]
 pub(crate) struct Pending {
     pub(crate) ask: Ask,
@@ -41,24 +41,24 @@
     pub(crate) latest_start_ms: u64,
 }
 
-/// Sums over a scheduler.
+/// Load of a scheduler, summed over its queues and live engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: usize,
-    /// Grants that are held or lapsing.
+    /// Number of grants, held or revoked but not yet released.
     pub grants: usize,
-    /// Memory reserved by them.
+    /// KV cache reserved by grants, in tokens.
     pub granted_tokens: u64,
-    /// Memory of attempts that no grant accounts for.
+    /// KV cache used by attempts that engines report but no grant accounts for, in tokens.
     pub foreign_tokens: u64,
-    /// Memory of all engines.
+    /// KV cache of all live engines, in tokens.
     pub memory_tokens: u64,
-    /// Predicted wait of a short prompt at the best engine.
+    /// Predicted wait of a prompt of [`Lane::Brief`] on the engine with the shortest wait, in ms.
     pub short_wait_ms: u64,
 }
 
-/// Decides for the engines of one pool.
+/// Admits requests to one pool, queues them, and grants them capacity on its engines.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) policy: Policy,
@@ -76,7 +76,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler without engines.
+    /// Creates a scheduler without engines.
     pub fn new(policy: Policy) -> Self {
         Self {
             incarnation: Incarnation::default(),
@@ -94,18 +94,19 @@
         }
     }
 
-    /// Sets the life of this owner, which tells its grants from those of others.
+    /// Sets the incarnation of this owner, which distinguishes its grants from those of
+    /// other owners.
     pub fn with_incarnation(mut self, incarnation: Incarnation) -> Self {
         self.incarnation = incarnation;
         self
     }
 
-    /// The life of this owner.
+    /// Incarnation of this owner.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Adds an engine; one that is known already stays as it is.
+    /// Adds an engine. If an engine with this identifier exists, it is left unchanged.
     pub fn add_engine(&mut self, spec: EngineSpec) {
         if self.fleet.find(&spec.id).is_some() {
             return;
@@ -118,12 +119,12 @@
         self.fleet.add(Engine::new(spec, rates));
     }
 
-    /// Takes out what was decided since the last call.
+    /// Returns and clears the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Asks for engines; the answer is among the decisions, now or later.
+    /// Submits a reservation request. Its result is among the decisions, now or later.
     pub fn submit(&mut self, now_ms: u64, holder: Holder, ask: Ask) {
         match self.admit(now_ms, holder, ask) {
             Ok((model, lane)) => self.dispatch_lane(now_ms, &model, lane),
@@ -133,46 +134,49 @@
         }
     }
 
-    /// Takes back an ask that was not answered yet.
+    /// Removes a request that is still waiting; no decision on it follows.
     pub fn withdraw(&mut self, request_id: RequestId) {
         self.remove_pending(request_id);
     }
 
-    /// Ends waits that are over; to be called every few hundred milliseconds.
+    /// Revokes expired grants, refuses requests that cannot meet their deadline, and
+    /// dispatches what fits. Call it every few hundred milliseconds.
     pub fn tick(&mut self, now_ms: u64) {
-        self.lapse_overdue(now_ms);
+        self.revoke_expired(now_ms);
         self.refuse_expired(now_ms);
-        self.refuse_hopeless(now_ms);
+        self.refuse_predicted_late(now_ms);
         let models: Vec<String> = self.models.keys().cloned().collect();
         for model in &models {
             self.dispatch_model(now_ms, model);
         }
-        self.assert_sums();
+        self.assert_reservations_match();
     }
 
-    /// When a request would run if it came now.
+    /// Predicts the wait and the service time of a request in a lane, as of now.
     pub fn forecast(&self, ask: &Ask, lane: Lane) -> Forecast {
         let Some(lanes) = self.models.get(&ask.model) else {
             return Forecast { wait_ms: 0.0, service_ms: 0.0 };
         };
         let rates = self.typical_rates(&ask.model);
-        let service_ms = plan_service_ms(&self.policy, ask, lane, rates);
-        let entry = lanes.lane(lane);
+        let service_ms = estimate_service_ms(&self.policy, ask, lane, rates);
+        let lane_queue = lanes.lane(lane);
         let engines = self.fleet.model(&ask.model).map_or(0, |model| model.count()).max(1);
-        let guess = engines as f64 / rates.0 * if lane.is_heavy() { 0.5 } else { 0.9 };
-        let tokens_per_ms = entry.throughput.tokens_per_ms(guess);
+        let initial_tokens_per_ms =
+            engines as f64 / rates.0 * if lane.is_heavy() { 0.5 } else { 0.9 };
+        let tokens_per_ms = lane_queue.throughput.tokens_per_ms(initial_tokens_per_ms);
         let account = self.accounts.get(&ask.account).copied().unwrap_or(AccountIndex::MAX);
-        let (account, share) = self.queue_account(account, ask);
-        let ahead_tokens = entry.queue.tokens_ahead(account, share, ask.priority, ask.request_id);
+        let (account, share) = self.fair_queue_key(account, ask);
+        let ahead_tokens =
+            lane_queue.queue.tokens_ahead(account, share, ask.priority, ask.request_id);
         Forecast { wait_ms: ahead_tokens / tokens_per_ms, service_ms }
     }
 
-    /// Whether an engine that serves the model has reported.
+    /// Whether a live engine serves the model.
     pub fn has_engine(&self, model: &str) -> bool {
         self.fleet.model(model).is_some_and(|model| model.count() > 0)
     }
 
-    /// Sums over all engines and queues.
+    /// Current totals over all live engines and queues.
     pub fn totals(&self) -> Totals {
         let mut totals =
             Totals { waiting: self.pending.len(), grants: self.grants.len(), ..Totals::default() };
@@ -188,6 +192,8 @@
         totals
     }
 
+    /// Queues a request, or refuses it if no engine serves it, it is too large, the queue
+    /// is full, or its deadline is predicted to be missed.
     fn admit(
         &mut self,
         now_ms: u64,
@@ -204,23 +210,23 @@
         let lane = if ask.memory_tokens() > one_engine_tokens {
             Lane::Gang
         } else {
-            self.policy.plan_lane(ask.prompt_tokens)
+            self.policy.classify_lane(ask.prompt_tokens)
         };
         if lane == Lane::Gang && !self.view().fits_any_gang(&ask, model) {
             return refuse(RefusalReason::PromptTooLarge, MAX_RETRY_MS);
         }
         let forecast = self.forecast(&ask, lane);
-        let left_ms = ask.deadline_ms.saturating_sub(now_ms);
+        let remaining_ms = ask.deadline_ms.saturating_sub(now_ms);
         if self.pending.len() >= self.policy.max_waiting {
-            let retry_ms = self.plan_retry_ms(forecast.wait_ms as u64);
+            let retry_ms = self.jittered_retry_ms(forecast.wait_ms as u64);
             return refuse(RefusalReason::QueueFull, retry_ms);
         }
         let end_in_ms = match self.policy.mechanisms.early_refusal {
             true => forecast.end_in_ms(),
             false => forecast.service_ms.ceil() as u64,
         };
-        if end_in_ms > left_ms {
-            let retry_ms = self.plan_retry_ms(end_in_ms - left_ms);
+        if end_in_ms > remaining_ms {
+            let retry_ms = self.jittered_retry_ms(end_in_ms - remaining_ms);
             return refuse(RefusalReason::DeadlineOutOfReach, retry_ms);
         }
         let latest_start_ms = ask.deadline_ms - forecast.service_ms.ceil() as u64;
@@ -229,17 +235,18 @@
         Ok((model, lane))
     }
 
-    /// Spreads the callers that come back over a quarter of the time.
-    fn plan_retry_ms(&mut self, wait_ms: u64) -> u64 {
-        let least_ms = wait_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS);
-        least_ms + self.rng.random_range(0..=least_ms / 4)
+    /// Clamps a retry delay and adds a random jitter of up to a quarter of it, so that
+    /// callers do not all retry at the same time.
+    fn jittered_retry_ms(&mut self, wait_ms: u64) -> u64 {
+        let min_ms = wait_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS);
+        min_ms + self.rng.random_range(0..=min_ms / 4)
     }
 
     fn enqueue(&mut self, now_ms: u64, pending: Pending) {
         let request_id = pending.ask.request_id;
         let next_index = self.accounts.len() as AccountIndex;
-        let known = *self.accounts.entry(pending.ask.account.clone()).or_insert(next_index);
-        let (account, share) = self.queue_account(known, &pending.ask);
+        let account_index = *self.accounts.entry(pending.ask.account.clone()).or_insert(next_index);
+        let (account, share) = self.fair_queue_key(account_index, &pending.ask);
         let (class, rank) = match self.policy.discipline {
             Discipline::Current => (pending.ask.priority, pending.ask.deadline_ms),
             Discipline::FirstCome => (Priority::Normal, now_ms),
@@ -249,16 +256,17 @@
         let waiting =
             Waiting { request_id, account, share, class, arrived_ms: now_ms, rank, cost_tokens };
         if let Some(lanes) = self.models.get_mut(&pending.ask.model) {
-            let entry = lanes.lane_mut(pending.lane);
-            entry.queue.push(waiting);
-            entry.throughput.note_waiting(now_ms);
+            let lane_queue = lanes.lane_mut(pending.lane);
+            lane_queue.queue.push(waiting);
+            lane_queue.throughput.record_waiting(now_ms);
         }
         self.expiry.insert((pending.latest_start_ms, request_id));
         self.pending.insert(request_id, pending);
     }
 
-    /// Without fair shares, all requests count as those of one account.
-    fn queue_account(&self, account: AccountIndex, ask: &Ask) -> (AccountIndex, u64) {
+    /// The account and weight under which a request is queued. Without fair sharing, all
+    /// requests belong to one account.
+    fn fair_queue_key(&self, account: AccountIndex, ask: &Ask) -> (AccountIndex, u64) {
         let is_fair =
             self.policy.mechanisms.fair_share && self.policy.discipline == Discipline::Current;
         if is_fair { (account, ask.share.max(1)) } else { (0, 1) }
@@ -273,6 +281,7 @@
         Some(pending)
     }
 
+    /// Refuses requests whose latest start time has passed.
     fn refuse_expired(&mut self, now_ms: u64) {
         while let Some(&(latest_start_ms, request_id)) = self.expiry.first() {
             if latest_start_ms >= now_ms {
@@ -282,22 +291,23 @@
                 return;
             };
             let forecast = self.forecast(&pending.ask, pending.lane);
-            let retry_ms = self.plan_retry_ms(forecast.wait_ms as u64);
+            let retry_ms = self.jittered_retry_ms(forecast.wait_ms as u64);
             let refusal = Refusal::new(RefusalReason::DeadlineOutOfReach, retry_ms);
             self.decisions.push(Decision::Refused(request_id, refusal));
         }
     }
 
-    /// Refuses what would expire later, as soon as that is known: the queue may
-    /// move more slowly than it did when the request came.
-    fn refuse_hopeless(&mut self, now_ms: u64) {
+    /// Refuses requests as soon as they are predicted to miss their deadline, rather than
+    /// once it is too late to start them: the queue may drain more slowly than it did when
+    /// a request was admitted.
+    fn refuse_predicted_late(&mut self, now_ms: u64) {
         if !self.policy.mechanisms.early_refusal {
             return;
         }
         let lanes = self.models.values().flat_map(|lanes| Lane::ALL.map(|lane| lanes.lane(lane)));
-        let tails: BTreeSet<RequestId> =
-            lanes.flat_map(|lane| lane.queue.tails(MAX_TAILS)).collect();
-        for request_id in tails {
+        let last_requests: BTreeSet<RequestId> =
+            lanes.flat_map(|lane| lane.queue.last_requests(MAX_CHECKED_ACCOUNTS)).collect();
+        for request_id in last_requests {
             let Some(pending) = self.pending.get(&request_id) else {
                 continue;
             };
@@ -305,14 +315,15 @@
             let late_ms = (now_ms + wait_ms).saturating_sub(pending.latest_start_ms);
             if late_ms > 0 {
                 self.remove_pending(request_id);
-                let retry_ms = self.plan_retry_ms(late_ms);
+                let retry_ms = self.jittered_retry_ms(late_ms);
                 let refusal = Refusal::new(RefusalReason::DeadlineOutOfReach, retry_ms);
                 self.decisions.push(Decision::Refused(request_id, refusal));
             }
         }
     }
 
-    /// Rates of the engine with the least wait, which stands for its model's.
+    /// Prefill and decode time per token, in ms, of the model's engine with the shortest
+    /// wait, taken as representative of the model.
     pub(crate) fn typical_rates(&self, model: &str) -> (f64, f64) {
         let first = self.fleet.model(model).and_then(|model| model.by_wait.first());
         match first {
@@ -324,11 +335,10 @@
         }
     }
 
-    pub(crate) fn view(&self) -> View<'_> {
-        View { policy: &self.policy, fleet: &self.fleet, prefixes: &self.prefixes }
+    pub(crate) fn view(&self) -> SchedulerView<'_> {
+        SchedulerView { policy: &self.policy, fleet: &self.fleet, prefixes: &self.prefixes }
     }
 
-    /// The engine's index by its name.
     pub(crate) fn find_engine(&self, id: &UpstreamId) -> Option<EngineIndex> {
         self.fleet.find(id)
     }
