--- a/clayplank-agreement/src/bootstrap.rs
+++ b/clayplank-agreement/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! How the first replicas find each other.
+//! Bootstrap: how keepers without a log create one together, or join an existing one.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +6,22 @@
 
 use crate::configuration::{Configuration, ReplicaId};
 
-/// What a keeper answers when another introduces itself.
+/// Reply of a keeper to another keeper that introduces itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Introduction {
-    /// It has no log either.
+    /// The replying keeper has no log.
     Blank(BlankKeeper),
-    /// It has a log, which began with these members.
+    /// The replying keeper has a log.
     Member {
-        /// The first members.
+        /// Initial configuration of the log.
         genesis: Configuration,
-        /// The members as it knows them now.
+        /// Latest configuration that the replying keeper knows.
         members: Configuration,
     },
 }
 
 impl Introduction {
-    /// Whether the keeper that answers has no log.
+    /// Whether the replying keeper has no log.
     pub fn is_blank(&self) -> bool {
         matches!(self, Self::Blank(_))
     }
@@ -30,58 +30,61 @@
 /// A keeper without a log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlankKeeper {
-    /// Its name.
+    /// Host and incarnation of the keeper.
     pub id: ReplicaId,
-    /// Whether its disk was there when the whole system started for the first time: it has never
-    /// held a log then. One that has lost its disk cannot say so.
+    /// Whether the disk has been in place since the first start of the system, so that it has never
+    /// had a log. A keeper that may have lost its disk reports `false`.
     pub may_begin: bool,
 }
 
-/// What a keeper without a log does.
+/// Next step of a keeper without a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Join {
-    /// Starts the log, together with the others of the configuration; or takes its place among
-    /// the first members that another one has told.
+    /// Starts with this initial configuration: either creates the log, or takes its place as one of
+    /// the initial members that a peer reported.
     Begin(Configuration),
-    /// Receives the log as a learner under its new incarnation.
+    /// Joins the existing log as a learner.
     Learn,
-    /// Waits: not all have answered.
+    /// Waits: a peer has not replied, or another keeper has to create the log.
     Wait,
 }
 
-/// Decides what a keeper without a log does, from what the others answered.
+/// Decides the next step of a keeper without a log, from the replies of its peers.
 ///
-/// A log is begun only if every keeper of the settings is without one: as long
-/// as one of them cannot be asked, it may hold the log. Most of them must never have held one
-/// either: a log of which others have lost their disks would be begun anew. Only the first by
-/// name of those begins; the others find themselves among the first members that it tells, also
-/// if they had ended and come back meanwhile: a member that stays blank counts as a voter and
-/// never votes.
+/// A log is created only if every configured keeper has replied that it has none: an unreachable
+/// keeper may have the log. In addition, a majority of them must never have had a log; otherwise
+/// keepers that lost their disks could create a second, empty log. Of the keepers that never had
+/// one, only the first by name creates the log. The others find themselves in the initial
+/// configuration that it reports, even if they have restarted in the meantime (`may_begin` is
+/// `false` then): an initial member that never started would count as a voter without voting.
 pub fn plan_join(
-    own: &BlankKeeper,
-    others: &[String],
-    answers: &BTreeMap<String, Introduction>,
+    local: &BlankKeeper,
+    peers: &[String],
+    replies: &BTreeMap<String, Introduction>,
 ) -> Join {
-    for answer in answers.values() {
-        if let Introduction::Member { genesis, .. } = answer {
-            return match genesis.voters.contains(&own.id) {
+    for reply in replies.values() {
+        if let Introduction::Member { genesis, .. } = reply {
+            return match genesis.voters.contains(&local.id) {
                 true => Join::Begin(genesis.clone()),
                 false => Join::Learn,
             };
         }
     }
-    let mut blank = vec![own];
-    for other in others {
-        match answers.get(other) {
-            Some(Introduction::Blank(one)) => blank.push(one),
+    let mut blank = vec![local];
+    for peer in peers {
+        match replies.get(peer) {
+            Some(Introduction::Blank(keeper)) => blank.push(keeper),
             Some(Introduction::Member { .. }) | None => return Join::Wait,
         }
     }
-    let may_begin: Vec<_> = blank.iter().filter(|one| one.may_begin).map(|one| &one.id).collect();
-    let are_most = may_begin.len() > blank.len() / 2;
-    let is_first = may_begin.into_iter().min() == Some(&own.id);
-    match are_most && is_first {
-        true => Join::Begin(Configuration::of_voters(blank.into_iter().map(|one| one.id.clone()))),
+    let may_begin: Vec<_> =
+        blank.iter().filter(|keeper| keeper.may_begin).map(|keeper| &keeper.id).collect();
+    let is_majority = may_begin.len() > blank.len() / 2;
+    let is_first = may_begin.into_iter().min() == Some(&local.id);
+    match is_majority && is_first {
+        true => {
+            Join::Begin(Configuration::of_voters(blank.into_iter().map(|keeper| keeper.id.clone())))
+        }
         false => Join::Wait,
     }
 }
--- a/clayplank-agreement/src/configuration.rs
+++ b/clayplank-agreement/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Who takes part in the log.
+//! Membership of the log: replica ids, voters, learners, and single-server changes.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,14 +8,14 @@
 /// A host and the incarnation of its disk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
-    /// The host's name.
+    /// Name of the host.
     pub host: String,
-    /// Drawn when the data folder was made.
+    /// Random number drawn when the data folder was created.
     pub incarnation: u64,
 }
 
 impl ReplicaId {
-    /// Joins a name and an incarnation.
+    /// The id of a host with this incarnation of its disk.
     pub fn new(host: impl Into<String>, incarnation: u64) -> Self {
         Self { host: host.into(), incarnation }
     }
@@ -27,23 +27,24 @@
     }
 }
 
-/// Voters decide; learners only receive.
+/// Members of the log. Voters count towards quorums; learners only receive entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Those whose votes and acknowledgements count.
+    /// Replicas whose votes and acknowledgements count.
     pub voters: BTreeSet<ReplicaId>,
-    /// Those that catch up.
+    /// Replicas that receive the log until they are promoted.
     pub learners: BTreeSet<ReplicaId>,
 }
 
-/// One step from a configuration to the next.
+/// A membership change of one replica. Quorums of the configurations before and after it always
+/// overlap.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// Sends the log to one more replica.
+    /// Adds a replica as a learner.
     AddLearner(ReplicaId),
-    /// Lets a learner vote.
+    /// Makes a learner a voter.
     Promote(ReplicaId),
-    /// Takes a voter or learner out.
+    /// Removes a voter or a learner.
     Remove(ReplicaId),
 }
 
@@ -63,36 +64,38 @@
         Self { voters: voters.into_iter().collect(), learners: BTreeSet::new() }
     }
 
-    /// Whether the replica takes part.
+    /// Whether the replica is a voter or a learner.
     pub fn contains(&self, id: &ReplicaId) -> bool {
         self.voters.contains(id) || self.learners.contains(id)
     }
 
-    /// Voters and learners.
+    /// All members: the voters, then the learners.
     pub fn members(&self) -> impl Iterator<Item = &ReplicaId> {
         self.voters.iter().chain(&self.learners)
     }
 
-    /// How many voters decide.
+    /// Number of voters in a quorum.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether these voters decide; others in the set do not count.
+    /// Whether the voters among `ids` are a quorum. Other ids do not count.
     pub(crate) fn is_quorum<'a>(&self, ids: impl Iterator<Item = &'a ReplicaId>) -> bool {
         ids.filter(|id| self.voters.contains(*id)).count() >= self.quorum()
     }
 
-    /// The configuration after a change; `None` if the change makes no sense here.
+    /// The configuration after a change. `None` if the change does not apply: the replica to add
+    /// is a member, the one to promote is no learner, or the one to remove is no member or is the
+    /// last voter.
     pub fn after(&self, change: &Change) -> Option<Self> {
         let mut next = self.clone();
-        let makes_sense = match change {
+        let is_applicable = match change {
             Change::AddLearner(id) => !self.contains(id) && next.learners.insert(id.clone()),
             Change::Promote(id) => next.learners.remove(id) && next.voters.insert(id.clone()),
             Change::Remove(id) => {
                 next.learners.remove(id) || (self.voters.len() > 1 && next.voters.remove(id))
             }
         };
-        makes_sense.then_some(next)
+        is_applicable.then_some(next)
     }
 }
--- a/clayplank-agreement/src/follower.rs
+++ b/clayplank-agreement/src/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does: it takes in the leader's entries and snapshots.
+//! Followers: they accept a leader, append its entries and install its snapshots.
 
 use std::sync::Arc;
 
@@ -8,8 +8,9 @@
 use crate::replica::Replica;
 
 impl Replica {
-    /// Accepts the sender as leader; answers one of an old term with the new one.
-    pub(crate) fn follow(
+    /// Accepts the sender as leader and returns `true`. A sender with an outdated term gets a
+    /// reply with the current term instead.
+    pub(crate) fn accept_leader(
         &mut self,
         now_ms: u64,
         from: &ReplicaId,
@@ -17,7 +18,7 @@
         read_round: u64,
     ) -> bool {
         if term < self.hard_state.term {
-            // The sender steps down when it sees the term; the rest does not matter to it.
+            // The sender steps down because of the term and ignores the rest of the reply.
             let result = AppendResult::Rejected { previous_index: 0, hint_index: 0 };
             self.send(
                 from.clone(),
@@ -25,9 +26,9 @@
             );
             return false;
         }
-        assert!(!self.is_leader(), "one leader a term");
+        assert!(!self.is_leader(), "a term has at most one leader");
         self.become_follower(now_ms, term, Some(from.clone()));
-        self.heard_leader_ms = now_ms;
+        self.leader_contact_ms = now_ms;
         true
     }
 
@@ -39,47 +40,53 @@
         leader_commit_index: u64,
         read_round: u64,
     ) {
-        let fits = previous.index < self.log.before_first_index()
+        let matches_leader = previous.index < self.log.before_first_index()
             || self.log.term_at(previous.index) == Some(previous.term);
-        let result = match fits {
+        let result = match matches_leader {
             true => {
                 let index = previous.index + entries.len() as u64;
-                entries.into_iter().for_each(|entry| self.append_received(entry));
-                // Only what is known to agree with the leader's log is committed.
+                entries.into_iter().for_each(|entry| self.append_entry(entry));
+                // Only entries that are known to match the leader's log may be committed; local
+                // entries after `index` may not.
                 self.advance_commit(leader_commit_index.min(index));
                 AppendResult::Matched { index }
             }
             false => AppendResult::Rejected {
                 previous_index: previous.index,
-                hint_index: self.log.hint_below(previous.index),
+                hint_index: self.log.conflict_hint(previous.index),
             },
         };
         self.send(from, Message::AppendReply { term: self.hard_state.term, result, read_round });
     }
 
-    fn append_received(&mut self, entry: Entry) {
+    fn append_entry(&mut self, entry: Entry) {
         if entry.index <= self.log.before_first_index()
             || self.log.term_at(entry.index) == Some(entry.term)
         {
             return;
         }
         if entry.index <= self.log.last().index {
-            assert!(entry.index > self.commit_index, "committed entries are never replaced");
+            assert!(entry.index > self.commit_index, "committed entries must not be replaced");
             self.log.truncate_from(entry.index);
             self.stable_index = self.stable_index.min(entry.index - 1);
-            self.handed_index = self.handed_index.min(entry.index - 1);
+            self.submitted_index = self.submitted_index.min(entry.index - 1);
             self.reload_configuration();
         }
         self.append(entry);
     }
 
-    pub(crate) fn install(&mut self, from: ReplicaId, snapshot: Arc<Snapshot>, read_round: u64) {
+    pub(crate) fn install_snapshot(
+        &mut self,
+        from: ReplicaId,
+        snapshot: Arc<Snapshot>,
+        read_round: u64,
+    ) {
         let last = snapshot.last;
         if last.index > self.commit_index {
             if self.log.term_at(last.index) != Some(last.term) {
                 self.log.install(Arc::clone(&snapshot));
                 self.stable_index = last.index;
-                self.handed_index = last.index;
+                self.submitted_index = last.index;
                 self.commit_index = last.index;
                 self.applied_index = last.index;
                 self.installed = Some(snapshot);
--- a/clayplank-agreement/src/leader.rs
+++ b/clayplank-agreement/src/leader.rs
@@ -1,4 +1,4 @@
-//! What the leader does: replication, the commit index, reads, the quorum check.
+//! The leader: replication to followers, the commit index, read index and the quorum check.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,42 +9,44 @@
 use crate::ready::ReadId;
 use crate::replica::{NotLeader, Replica, Role};
 
-/// Entries that may be under way to a follower without an answer.
-const MAX_ENTRIES_UNDER_WAY: u64 = 4_096;
+/// Maximum number of entries sent to a follower without an acknowledgement.
+const MAX_IN_FLIGHT_ENTRIES: u64 = 4_096;
 
-/// What the leader knows of a follower.
+/// Replication state of a follower, as known to the leader.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
-    /// Up to here the follower's synced log agrees.
+    /// Highest index up to which the follower's synced log is known to match.
     matched_index: u64,
-    /// The next entry to send.
+    /// Index of the next entry to send.
     next_index: u64,
-    /// It is not known where the logs agree: one append at a time, until one is accepted.
+    /// Whether it is unknown where the logs match. Until the follower accepts one, appends are
+    /// sent without entries.
     is_probing: bool,
-    heard_ms: u64,
-    /// The newest round of reads that it answered.
+    /// Time of the follower's last reply, or of the creation of this state.
+    last_reply_ms: u64,
+    /// Latest read-index round that the follower has confirmed.
     read_round: u64,
-    /// A snapshot is under way until this time.
-    installing_until_ms: u64,
+    /// Time until which a snapshot counts as in transit and is not sent again.
+    snapshot_in_transit_until_ms: u64,
 }
 
 impl Progress {
-    /// Takes an answer in; returns whether the next append has to go out at once.
+    /// Applies a reply. Returns whether a probe has to be sent at once.
     fn apply_result(&mut self, result: AppendResult) -> bool {
         match result {
             AppendResult::Matched { index } => {
                 self.matched_index = self.matched_index.max(index);
                 self.next_index = self.next_index.max(self.matched_index + 1);
                 self.is_probing = false;
-                self.installing_until_ms = 0;
+                self.snapshot_in_transit_until_ms = 0;
                 false
             }
             AppendResult::Rejected { previous_index, hint_index } => {
-                let is_newest = !self.is_probing || previous_index + 1 == self.next_index;
-                if !is_newest || previous_index <= self.matched_index {
+                let is_current = !self.is_probing || previous_index + 1 == self.next_index;
+                if !is_current || previous_index <= self.matched_index {
                     return false;
                 }
-                // Something was lost on the way, or the logs differ: go back and probe.
+                // An append was lost, or the logs diverge: step back and probe.
                 self.next_index = (hint_index + 1).min(previous_index).max(self.matched_index + 1);
                 self.is_probing = true;
                 true
@@ -53,26 +55,28 @@
     }
 }
 
+/// A read that is not confirmed yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingRead {
     id: ReadId,
-    /// Answered once this round is confirmed; `None` until one was started.
+    /// Read-index round that confirms the read once a quorum has replied to it; `None` until the
+    /// round is started.
     round: Option<u64>,
-    /// Answered once this entry is applied.
+    /// Read index: the commit index at the start of the round.
     index: u64,
 }
 
-/// State that ends with the leadership.
+/// State of a leader, dropped when it steps down.
 #[derive(Debug)]
 pub(crate) struct Leadership {
     progress: BTreeMap<ReplicaId, Progress>,
     next_heartbeat_ms: u64,
-    began_ms: u64,
+    started_ms: u64,
     read_round: u64,
     reads: VecDeque<PendingRead>,
-    last_read: u64,
-    /// Hosts that are about to stop, and until when that counts.
-    leaving: BTreeMap<String, u64>,
+    last_read_id: u64,
+    /// Hosts that have announced their departure, with the time at which each entry expires.
+    departing: BTreeMap<String, u64>,
 }
 
 impl Leadership {
@@ -80,18 +84,18 @@
         Self {
             progress: BTreeMap::new(),
             next_heartbeat_ms: now_ms,
-            began_ms: now_ms,
+            started_ms: now_ms,
             read_round: 0,
             reads: VecDeque::new(),
-            last_read: 0,
-            leaving: BTreeMap::new(),
+            last_read_id: 0,
+            departing: BTreeMap::new(),
         }
     }
 }
 
 impl Replica {
     pub(crate) fn tick_leader(&mut self, now_ms: u64) {
-        if !self.hears_quorum(now_ms) {
+        if !self.has_quorum_contact(now_ms) {
             let term = self.hard_state.term;
             self.become_follower(now_ms, term, None);
             return;
@@ -105,38 +109,40 @@
         }
     }
 
-    /// Whether a quorum answered within an election time (section 6.2).
-    fn hears_quorum(&self, now_ms: u64) -> bool {
+    /// Whether a quorum has replied within twice the election time-out (section 6.2).
+    fn has_quorum_contact(&self, now_ms: u64) -> bool {
         let Role::Leader(leadership) = &self.role else {
             return false;
         };
-        let patience_ms = 2 * self.options.election_ms;
-        if now_ms < leadership.began_ms + patience_ms {
+        let timeout_ms = 2 * self.options.election_ms;
+        if now_ms < leadership.started_ms + timeout_ms {
             return true;
         }
-        let heard = leadership
+        let responsive = leadership
             .progress
             .iter()
-            .filter(|(_, progress)| now_ms < progress.heard_ms + patience_ms);
-        self.configuration.is_quorum(heard.map(|(id, _)| id).chain(std::iter::once(&self.id)))
+            .filter(|(_, progress)| now_ms < progress.last_reply_ms + timeout_ms);
+        self.configuration.is_quorum(responsive.map(|(id, _)| id).chain(std::iter::once(&self.id)))
     }
 
-    /// Asks for a read that sees all that was committed before it.
+    /// Requests a linearizable read: it observes all entries committed before this call. The
+    /// read is reported in [`Ready::reads`](crate::Ready::reads) once it is confirmed.
     ///
     /// # Errors
-    /// Another replica leads.
+    /// This replica is not the leader.
     pub fn read(&mut self) -> Result<ReadId, NotLeader> {
         let hint = self.leader.clone();
         let Role::Leader(leadership) = &mut self.role else {
             return Err(NotLeader { hint });
         };
-        leadership.last_read += 1;
-        let id = ReadId(leadership.last_read);
+        leadership.last_read_id += 1;
+        let id = ReadId(leadership.last_read_id);
         leadership.reads.push_back(PendingRead { id, round: None, index: 0 });
         Ok(id)
     }
 
-    /// Sends what is new to every follower, in one batch for each.
+    /// Sends new entries to the followers, at most one message to each, and updates the reads and
+    /// the commit index.
     pub(crate) fn flush_leader(&mut self, now_ms: u64) {
         if !self.is_leader() {
             return;
@@ -148,15 +154,16 @@
         self.step_down_if_removed(now_ms);
     }
 
-    /// One round of heartbeats confirms all reads that came before it (section 6.4).
+    /// Starts a read-index round if reads are waiting for one and an entry of the current term is
+    /// committed. One round of heartbeats confirms all reads requested before it (section 6.4).
     fn start_read_round(&mut self) -> bool {
-        let is_able = self.has_committed_in_term();
+        let has_committed = self.has_committed_in_term();
         let commit_index = self.commit_index;
         let Role::Leader(leadership) = &mut self.role else {
             return false;
         };
-        let has_new = leadership.reads.iter().any(|read| read.round.is_none());
-        if !is_able || !has_new {
+        let has_waiting = leadership.reads.iter().any(|read| read.round.is_none());
+        if !has_committed || !has_waiting {
             return false;
         }
         leadership.read_round += 1;
@@ -187,12 +194,12 @@
     }
 
     fn broadcast(&mut self, now_ms: u64, is_heartbeat: bool) {
-        let others: Vec<_> =
+        let peers: Vec<_> =
             self.configuration.members().filter(|id| **id != self.id).cloned().collect();
         if let Role::Leader(leadership) = &mut self.role {
-            leadership.progress.retain(|id, _| others.contains(id));
+            leadership.progress.retain(|id, _| peers.contains(id));
         }
-        for id in others {
+        for id in peers {
             self.send_entries(now_ms, id, is_heartbeat);
         }
     }
@@ -204,32 +211,32 @@
             return;
         };
         let read_round = leadership.read_round;
-        let fresh = Progress {
+        let initial = Progress {
             matched_index: 0,
             next_index: last_index + 1,
             is_probing: true,
-            heard_ms: now_ms,
+            last_reply_ms: now_ms,
             read_round: 0,
-            installing_until_ms: 0,
+            snapshot_in_transit_until_ms: 0,
         };
-        let progress = leadership.progress.entry(to.clone()).or_insert(fresh);
+        let progress = leadership.progress.entry(to.clone()).or_insert(initial);
         if !is_heartbeat && (progress.is_probing || progress.next_index > last_index) {
             return;
         }
         let previous_index = progress.next_index - 1;
         let Some(previous_term) = self.log.term_at(previous_index) else {
-            if now_ms >= progress.installing_until_ms {
-                progress.installing_until_ms = now_ms + 2 * self.options.election_ms;
+            if now_ms >= progress.snapshot_in_transit_until_ms {
+                progress.snapshot_in_transit_until_ms = now_ms + 2 * self.options.election_ms;
                 let snapshot = std::sync::Arc::clone(self.log.snapshot());
                 self.send(to, Message::Install { term, snapshot, read_round });
             }
             return;
         };
-        // A probe only asks where the logs agree. With entries, each one to a follower that is
-        // silent would wait with all of them to be sent.
-        let is_flooded = progress.next_index > progress.matched_index + MAX_ENTRIES_UNDER_WAY;
-        let sends_none = is_flooded || progress.is_probing;
-        let max = if sends_none { 0 } else { self.options.max_batch_entries };
+        // A probe has no entries, as it only determines where the logs match. Otherwise every probe
+        // to an unresponsive follower would occupy the send queue with a full batch.
+        let is_window_full = progress.next_index > progress.matched_index + MAX_IN_FLIGHT_ENTRIES;
+        let without_entries = is_window_full || progress.is_probing;
+        let max = if without_entries { 0 } else { self.options.max_batch_entries };
         let entries = self.log.entries_from(progress.next_index, max).to_vec();
         if entries.is_empty() && !is_heartbeat {
             return;
@@ -240,7 +247,7 @@
         self.send(to, Message::Append { term, previous, entries, commit_index, read_round });
     }
 
-    pub(crate) fn note_reply(
+    pub(crate) fn handle_append_reply(
         &mut self,
         now_ms: u64,
         from: &ReplicaId,
@@ -253,15 +260,16 @@
         let Some(progress) = leadership.progress.get_mut(from) else {
             return;
         };
-        progress.heard_ms = now_ms;
+        progress.last_reply_ms = now_ms;
         progress.read_round = progress.read_round.max(read_round);
-        let probes_again = progress.apply_result(result);
+        let must_probe = progress.apply_result(result);
         self.advance_leader_commit();
-        self.send_entries(now_ms, from.clone(), probes_again);
+        self.send_entries(now_ms, from.clone(), must_probe);
         self.finish_reads();
     }
 
-    /// Commits what a quorum has synced, if it is of the own term (section 3.6.2).
+    /// Advances the commit index to the highest entry that a quorum has synced, if that entry is of
+    /// the current term (section 3.6.2).
     pub(crate) fn advance_leader_commit(&mut self) {
         let Role::Leader(leadership) = &self.role else {
             return;
@@ -280,82 +288,96 @@
         }
     }
 
-    /// How many voters have synced an entry, as far as the leader knows; none if another one leads.
+    /// Number of voters known to have synced the entry at an index, including the leader. Zero if
+    /// this replica is not the leader.
     pub fn copies(&self, index: u64) -> usize {
         let Role::Leader(leadership) = &self.role else {
             return 0;
         };
         let has_synced = |id: &&ReplicaId| match **id == self.id {
             true => self.stable_index() >= index,
-            false => leadership.progress.get(*id).is_some_and(|one| one.matched_index >= index),
+            false => {
+                leadership.progress.get(*id).is_some_and(|progress| progress.matched_index >= index)
+            }
         };
         self.configuration.voters.iter().filter(has_synced).count()
     }
 
     fn step_down_if_removed(&mut self, now_ms: u64) {
-        let is_out = !self.configuration.voters.contains(&self.id);
-        if is_out && self.configuration_index <= self.commit_index {
+        let is_removed = !self.configuration.voters.contains(&self.id);
+        if is_removed && self.configuration_index <= self.commit_index {
             let term = self.hard_state.term;
             self.become_follower(now_ms, term, None);
         }
     }
 
-    /// What the leader knows of a member; nothing bad of any while another replica leads.
+    /// State of a member as observed by the leader. All flags are `false` if this replica is not
+    /// the leader.
     pub(crate) fn health(&self, now_ms: u64, id: &ReplicaId) -> Health {
         let Role::Leader(leadership) = &self.role else {
             return Health::default();
         };
-        let is_leaving = leadership.leaving.get(&id.host).is_some_and(|until| now_ms < *until);
+        let is_departing =
+            leadership.departing.get(&id.host).is_some_and(|until_ms| now_ms < *until_ms);
         Health {
             is_caught_up: self.is_caught_up(now_ms, id),
-            is_silent: *id != self.id && self.is_silent(leadership, now_ms, id),
-            is_leaving,
+            is_unresponsive: *id != self.id && self.is_unresponsive(leadership, now_ms, id),
+            is_departing,
         }
     }
 
-    /// Whether a member did not answer for `replace_silent_ms`. A new leader gives all of them
-    /// that time.
-    fn is_silent(&self, leadership: &Leadership, now_ms: u64, id: &ReplicaId) -> bool {
-        let Some(patience_ms) = self.options.replace_silent_ms else {
+    /// Whether a member has not replied for `replace_silent_ms`. For a new leader, that time starts
+    /// with its term.
+    fn is_unresponsive(&self, leadership: &Leadership, now_ms: u64, id: &ReplicaId) -> bool {
+        let Some(timeout_ms) = self.options.replace_silent_ms else {
             return false;
         };
-        let heard_ms = leadership.progress.get(id).map_or(0, |progress| progress.heard_ms);
-        now_ms >= heard_ms.max(leadership.began_ms) + patience_ms
+        let last_reply_ms =
+            leadership.progress.get(id).map_or(0, |progress| progress.last_reply_ms);
+        now_ms >= last_reply_ms.max(leadership.started_ms) + timeout_ms
     }
 
-    /// Notes that a host is about to stop. The note lapses when its silence would tell the same:
-    /// the host may come back under the same name.
+    /// Records that a host has announced its departure. The record expires after
+    /// `replace_silent_ms`, when a stopped host counts as unresponsive anyway: the host may come
+    /// back under the same name.
     pub fn note_leaving(&mut self, now_ms: u64, host: &str) {
-        let patience_ms = self.options.replace_silent_ms.unwrap_or_default();
+        let timeout_ms = self.options.replace_silent_ms.unwrap_or_default();
         if let Role::Leader(leadership) = &mut self.role {
-            leadership.leaving.insert(host.to_owned(), now_ms + patience_ms);
+            leadership.departing.insert(host.to_owned(), now_ms + timeout_ms);
         }
     }
 
-    /// Notes that a host that was to stop is there again.
-    pub(crate) fn forget_leaving(&mut self, host: &str) {
+    /// Removes the record of a host's departure, because the host has introduced itself again.
+    pub(crate) fn cancel_departure(&mut self, host: &str) {
         if let Role::Leader(leadership) = &mut self.role {
-            leadership.leaving.remove(host);
+            leadership.departing.remove(host);
         }
     }
 
-    /// Whether a follower answered within the time after which a leader without a quorum steps down.
-    pub(crate) fn has_answered_lately(&self, now_ms: u64, id: &ReplicaId) -> bool {
+    /// Whether a follower has replied within twice the election time-out: the time after which a
+    /// leader without replies from a quorum steps down.
+    pub(crate) fn has_replied_recently(&self, now_ms: u64, id: &ReplicaId) -> bool {
         let Role::Leader(leadership) = &self.role else {
             return false;
         };
-        let patience_ms = 2 * self.options.election_ms;
-        leadership.progress.get(id).is_some_and(|one| now_ms < one.heard_ms + patience_ms)
+        let timeout_ms = 2 * self.options.election_ms;
+        leadership
+            .progress
+            .get(id)
+            .is_some_and(|progress| now_ms < progress.last_reply_ms + timeout_ms)
     }
 
-    /// Whether a follower has nearly all entries and answered lately.
+    /// Whether a follower has all committed entries and has replied within the election time-out.
+    /// Always `false` if this replica is not the leader.
     pub fn is_caught_up(&self, now_ms: u64, id: &ReplicaId) -> bool {
         let Role::Leader(leadership) = &self.role else {
             return false;
         };
         leadership.progress.get(id).is_some_and(|progress| {
-            let is_heard = now_ms < progress.heard_ms + self.options.election_ms;
-            is_heard && progress.matched_index >= self.commit_index && progress.matched_index > 0
+            let is_responsive = now_ms < progress.last_reply_ms + self.options.election_ms;
+            is_responsive
+                && progress.matched_index >= self.commit_index
+                && progress.matched_index > 0
         })
     }
 }
--- a/clayplank-agreement/src/lib.rs
+++ b/clayplank-agreement/src/lib.rs
@@ -1,12 +1,14 @@
-//! A replicated log as a pure state machine, and its disk store.
+//! A replicated log: Raft as a state machine without I/O, and its store on disk.
 //!
-//! [`Replica`] takes messages, ticks and the completion of writes; what it
-//! wants done it leaves in a [`Ready`], which the caller carries out in this
-//! order: write and sync, send, apply. The rules are Raft's (Ongaro, "Consensus:
-//! Bridging Theory and Practice", 2014): elections with pre-vote (section 9.6),
-//! quorum check by the leader (6.2), read index (6.4), one change of membership
-//! at a time (4.1), snapshots (5). A replica is named by its host and by the
-//! incarnation of its disk, so that a lost disk never votes as the former one.
+//! The input of a [`Replica`] is messages, ticks and completed writes. Its output is a
+//! [`Ready`], which the caller processes in this order: write and sync, send, apply.
+//!
+//! The protocol is Raft as described in Ongaro, "Consensus: Bridging Theory and Practice"
+//! (2014), with pre-vote (section 9.6), leader step-down without a quorum (6.2), read index
+//! (6.4), single-server membership changes (4.1) and snapshots (5).
+//!
+//! A [`ReplicaId`] is a host and the incarnation of its disk. A host that has lost its disk
+//! gets a new incarnation, so it cannot vote twice in one term under the same id.
 //!
 //! ```
 //! use clayplank_agreement::{Configuration, Options, Replica, ReplicaId, StoredState};
--- a/clayplank-agreement/src/log.rs
+++ b/clayplank-agreement/src/log.rs
@@ -1,4 +1,4 @@
-//! Entries in memory: those after the last snapshot.
+//! The log in memory: the latest snapshot, the entries after it, and some retained before it.
 
 use std::sync::Arc;
 
@@ -6,53 +6,56 @@
 
 use crate::configuration::Configuration;
 
-/// What an entry holds.
+/// Payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// The first entry of a leader's term.
+    /// No-op, appended by a new leader as the first entry of its term.
     Empty,
-    /// A command of the state machine.
+    /// Command for the state machine, in its own encoding.
     Command(Vec<u8>),
-    /// The members from here on.
+    /// New configuration; it takes effect as soon as it is appended.
     Configuration(Configuration),
 }
 
-/// One place of the log.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place, counted from 1.
+    /// Position in the log, counted from 1.
     pub index: u64,
-    /// The term of the leader that appended it.
+    /// Term of the leader that appended the entry.
     pub term: u64,
-    /// What it holds.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
-/// Names an entry: no two entries with one id differ.
+/// Term and index of an entry. Entries with the same id are identical (Raft's log matching
+/// property).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EntryId {
-    /// The term comes first: a log whose last id is higher is newer.
+    /// Term of the entry. It is the first field, so that the order of ids is Raft's rule for the
+    /// more up-to-date of two logs.
     pub term: u64,
-    /// Its place.
+    /// Position in the log.
     pub index: u64,
 }
 
-/// The state machine after an entry.
+/// State of the log and the state machine after an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that it covers.
+    /// Last entry that the snapshot includes.
     pub last: EntryId,
-    /// The members at that entry.
+    /// Configuration at that entry.
     pub configuration: Configuration,
-    /// The state machine, in its own encoding.
+    /// State machine, in its own encoding.
     pub data: Vec<u8>,
 }
 
-/// A snapshot and the entries after it.
+/// The latest snapshot and the entries in memory.
 #[derive(Clone, Debug)]
 pub(crate) struct Log {
     snapshot: Arc<Snapshot>,
-    /// Entries from `first` on; some may lie before the snapshot's end, for slow followers.
+    /// The entry that precedes `entries`. It may lie before the end of the snapshot: compaction
+    /// retains some entries for slow followers.
     before_first: EntryId,
     entries: Vec<Entry>,
 }
@@ -73,7 +76,7 @@
             .map_or(self.before_first, |entry| EntryId { term: entry.term, index: entry.index })
     }
 
-    /// The place before the first entry in memory.
+    /// Index of the entry that precedes the first entry in memory.
     pub(crate) fn before_first_index(&self) -> u64 {
         self.before_first.index
     }
@@ -82,7 +85,7 @@
         self.entries.len()
     }
 
-    /// The term at an index; `None` where it is not known any more, or not yet.
+    /// Term of the entry at an index; `None` if the entry was compacted or does not exist yet.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.before_first.index {
             return Some(self.before_first.term);
@@ -93,17 +96,18 @@
         self.position(index).map(|position| self.entries[position].term)
     }
 
-    /// The highest index below one that does not agree at which another log may:
-    /// the whole term of a conflicting entry is passed over.
-    pub(crate) fn hint_below(&self, index: u64) -> u64 {
-        let Some(conflicting) = self.position(index).map(|position| self.entries[position].term)
+    /// Highest index below a mismatch at which this log may match the leader's. All entries of the
+    /// conflicting entry's term are skipped.
+    pub(crate) fn conflict_hint(&self, index: u64) -> u64 {
+        let Some(conflicting_term) =
+            self.position(index).map(|position| self.entries[position].term)
         else {
             return self.last().index.min(index.saturating_sub(1));
         };
-        let before = self.entries.iter().rev().filter(|entry| entry.index < index);
-        before
+        let lower_entries = self.entries.iter().rev().filter(|entry| entry.index < index);
+        lower_entries
             .into_iter()
-            .find(|entry| entry.term != conflicting)
+            .find(|entry| entry.term != conflicting_term)
             .map_or(self.before_first.index, |entry| entry.index)
     }
 
@@ -112,7 +116,7 @@
         (position < self.entries.len()).then_some(position)
     }
 
-    /// Entries from an index on, at most `max`.
+    /// Up to `max` entries, starting at an index.
     pub(crate) fn entries_from(&self, index: u64, max: usize) -> &[Entry] {
         match self.position(index) {
             Some(position) => {
@@ -123,41 +127,42 @@
     }
 
     pub(crate) fn push(&mut self, entry: Entry) {
-        assert_eq!(entry.index, self.last().index + 1, "entries follow each other");
+        assert_eq!(entry.index, self.last().index + 1, "entries must have consecutive indexes");
         self.entries.push(entry);
     }
 
-    /// Drops an index and all after it.
+    /// Removes the entry at an index and all entries after it.
     pub(crate) fn truncate_from(&mut self, index: u64) {
         if let Some(position) = self.position(index) {
             self.entries.truncate(position);
         }
     }
 
-    /// The newest configuration, committed or not, and its index.
+    /// Latest configuration, committed or not, and its index.
     pub(crate) fn configuration(&self) -> (&Configuration, u64) {
-        let newest = self.entries.iter().rev().find_map(|entry| match &entry.payload {
+        let latest = self.entries.iter().rev().find_map(|entry| match &entry.payload {
             Payload::Configuration(configuration) if entry.index > self.snapshot.last.index => {
                 Some((configuration, entry.index))
             }
             Payload::Configuration(_) | Payload::Command(_) | Payload::Empty => None,
         });
-        newest.unwrap_or((&self.snapshot.configuration, self.snapshot.last.index))
+        latest.unwrap_or((&self.snapshot.configuration, self.snapshot.last.index))
     }
 
-    /// The configuration that held at an index.
+    /// Configuration in effect at an index.
     pub(crate) fn configuration_at(&self, index: u64) -> &Configuration {
-        let newest = self.entries.iter().rev().find_map(|entry| match &entry.payload {
+        let latest = self.entries.iter().rev().find_map(|entry| match &entry.payload {
             Payload::Configuration(configuration) if entry.index <= index => Some(configuration),
             Payload::Configuration(_) | Payload::Command(_) | Payload::Empty => None,
         });
-        newest.unwrap_or(&self.snapshot.configuration)
+        latest.unwrap_or(&self.snapshot.configuration)
     }
 
-    /// Replaces the snapshot by a newer one of the own state, and keeps the last `keep` entries before it.
-    pub(crate) fn compact(&mut self, snapshot: Snapshot, keep: u64) {
-        let drop_to = snapshot.last.index.saturating_sub(keep);
-        if let Some(position) = self.position(drop_to) {
+    /// Replaces the snapshot by a newer one of the local state machine. Retains the last
+    /// `retained_entries` entries that it includes.
+    pub(crate) fn compact(&mut self, snapshot: Snapshot, retained_entries: u64) {
+        let drop_until = snapshot.last.index.saturating_sub(retained_entries);
+        if let Some(position) = self.position(drop_until) {
             let dropped = &self.entries[position];
             self.before_first = EntryId { term: dropped.term, index: dropped.index };
             self.entries.drain(..=position);
@@ -165,7 +170,7 @@
         self.snapshot = Arc::new(snapshot);
     }
 
-    /// Replaces everything by the snapshot of a leader.
+    /// Replaces the snapshot and all entries by a snapshot received from the leader.
     pub(crate) fn install(&mut self, snapshot: Arc<Snapshot>) {
         self.before_first = snapshot.last;
         self.entries.clear();
--- a/clayplank-agreement/src/membership.rs
+++ b/clayplank-agreement/src/membership.rs
@@ -1,27 +1,28 @@
-//! Who becomes a voter, and who stays one: decided by the leader, one change at a time.
+//! Membership changes that the leader makes on its own: promotion of learners, removal of voters.
 //!
-//! A keeper only makes itself known, or tells that it stops for good. Each further step is the
-//! leader's own, so that no voter that is gone waits for somebody to ask: of six voters, one of
-//! them gone, four decide, and the loss of two disks leaves three.
+//! A keeper only introduces itself, or announces that it departs. All further changes are made by
+//! the leader, one at a time, without a request. Otherwise a failed voter would remain in the
+//! configuration until somebody asks for its removal, and raise the quorum: with six voters, one
+//! of them failed, the quorum is four, and the loss of two more disks leaves only three.
 
 use crate::configuration::{Change, Configuration, ReplicaId};
 use crate::replica::Replica;
 
-/// What the leader knows of a member.
+/// State of a member as observed by the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Health {
-    /// It has nearly all entries, and answered lately.
+    /// Whether it has all committed entries and has replied recently.
     pub(crate) is_caught_up: bool,
-    /// It did not answer for `replace_silent_ms`.
-    pub(crate) is_silent: bool,
-    /// It said that it stops.
-    pub(crate) is_leaving: bool,
+    /// Whether it has not replied for `replace_silent_ms`.
+    pub(crate) is_unresponsive: bool,
+    /// Whether it has announced its departure.
+    pub(crate) is_departing: bool,
 }
 
-/// The next change for a replica that made itself known; `None` if it is a member already.
+/// The next change towards making a replica a learner; `None` if it is already a member.
 ///
-/// Its former incarnation is taken out first: its disk is gone, so it could neither vote nor
-/// acknowledge.
+/// A former incarnation of its host is removed first: its disk is lost, so it can neither vote
+/// nor acknowledge entries.
 pub(crate) fn plan_admission(configuration: &Configuration, joiner: &ReplicaId) -> Option<Change> {
     let is_former =
         |id: &&ReplicaId| id.host == joiner.host && id.incarnation != joiner.incarnation;
@@ -31,75 +32,80 @@
     (!configuration.contains(joiner)).then(|| Change::AddLearner(joiner.clone()))
 }
 
-/// The next change that brings the voters back to those that are there and needed.
+/// The next change that removes surplus voters or promotes a learner; `None` if there is none.
 ///
-/// With 24 plays of a planned replacement, and the tolerated number of disks lost 15 s after it, on
-/// three deployments (three voters; five), nobody led any more in 12 before the leader did this
-/// by itself, and in none since.
+/// While there are more than `target_voters` voters, one that departs or is unresponsive is
+/// removed; if it returns, it joins again as a learner. With `target_voters` or fewer it stays:
+/// without it, fewer failures could be tolerated, and its disk still has acknowledged entries.
+/// A learner is promoted as soon as it has caught up.
 ///
-/// A learner votes as soon as it has caught up. Beyond `wanted` voters, one that stops or is
-/// silent is taken out; should it come back, it joins anew. With no more than `wanted`, it
-/// stays: without it a loss would count for more than before, and its disk still holds what was
-/// acknowledged.
-pub(crate) fn plan_upkeep(
+/// In 24 runs of a planned replacement (three deployments, with three or five voters), followed
+/// 15 s later by the loss of the tolerated number of disks, no leader was left in 12 when the leader
+/// did not make these changes on its own, and in none when it did.
+pub(crate) fn plan_membership_change(
     configuration: &Configuration,
-    wanted: usize,
+    target_voters: usize,
     health: impl Fn(&ReplicaId) -> Health,
 ) -> Option<Change> {
     let voters = &configuration.voters;
-    if voters.len() > wanted {
-        let leaving = voters.iter().find(|id| health(id).is_leaving);
-        let gone = leaving.or_else(|| voters.iter().find(|id| health(id).is_silent));
-        if let Some(id) = gone {
+    if voters.len() > target_voters {
+        let departing = voters.iter().find(|id| health(id).is_departing);
+        let removable = departing.or_else(|| voters.iter().find(|id| health(id).is_unresponsive));
+        if let Some(id) = removable {
             return Some(Change::Remove(id.clone()));
         }
     }
-    let ready = configuration.learners.iter().find(|id| health(id).is_caught_up);
-    ready.map(|id| Change::Promote(id.clone()))
+    let caught_up = configuration.learners.iter().find(|id| health(id).is_caught_up);
+    caught_up.map(|id| Change::Promote(id.clone()))
 }
 
 impl Replica {
-    /// Takes the first steps that bring a replica in that made itself known; to be called again
-    /// until it is a member. Returns the step that was begun; only a leader begins one.
+    /// Proposes the next change towards making a replica a learner that has introduced itself. To
+    /// be called repeatedly until the replica is a member. Returns the proposed change; only a
+    /// leader proposes one.
     pub fn admit(&mut self, joiner: &ReplicaId) -> Option<Change> {
-        self.forget_leaving(&joiner.host);
+        self.cancel_departure(&joiner.host);
         let change = plan_admission(&self.configuration, joiner)?;
         self.propose_change(&change).is_ok().then_some(change)
     }
 
-    /// Takes the next step that the members need; to be called again and again. Returns the step
-    /// that was begun; only a leader begins one.
+    /// Proposes the next promotion of a learner or removal of a surplus voter. To be called
+    /// periodically. Returns the proposed change; only a leader proposes one.
     pub fn keep_members(&mut self, now_ms: u64) -> Option<Change> {
         if !self.may_propose_change() {
             return None;
         }
-        let wanted = self.options.wanted_voters();
-        let change = plan_upkeep(&self.configuration, wanted, |id| self.health(now_ms, id))?;
+        let target_voters = self.options.target_voters();
+        let change = plan_membership_change(&self.configuration, target_voters, |id| {
+            self.health(now_ms, id)
+        })?;
         self.propose_change(&change).is_ok().then_some(change)
     }
 
-    /// Whether a host that is about to stop can: it votes no more, or nobody is there to vote in
-    /// its place. Only a leader says so.
+    /// Whether a host that has announced its departure may stop: it is no longer a voter, or there
+    /// are no surplus voters and no learner that could replace it. Only a leader returns `true`.
     pub fn may_stop(&self, now_ms: u64, host: &str) -> bool {
         if !self.is_leader() || !self.is_configuration_committed() {
             return false;
         }
         let voters = &self.configuration.voters;
         let has_successor =
-            self.configuration.learners.iter().any(|id| !self.health(now_ms, id).is_silent);
-        let is_needed = voters.len() <= self.options.wanted_voters() && !has_successor;
+            self.configuration.learners.iter().any(|id| !self.health(now_ms, id).is_unresponsive);
+        let is_needed = voters.len() <= self.options.target_voters() && !has_successor;
         is_needed || voters.iter().all(|id| id.host != host)
     }
 
-    /// The voter after the leader in the order of names, among those that answered lately: whoever
-    /// stands in for a leader that falls silent. Only a leader names one.
+    /// The voter that substitutes for this leader if the leader becomes unresponsive: the next one
+    /// in the order of ids, cyclically, among those that have replied recently. `None` unless this
+    /// replica leads.
     pub fn deputy(&self, now_ms: u64) -> Option<&ReplicaId> {
         if !self.is_leader() {
             return None;
         }
-        let answers = |id: &&ReplicaId| **id != self.id && self.has_answered_lately(now_ms, id);
-        let mut others = self.configuration.voters.iter().filter(answers);
-        let first = others.clone().next();
-        others.find(|id| **id > self.id).or(first)
+        let is_responsive =
+            |id: &&ReplicaId| **id != self.id && self.has_replied_recently(now_ms, id);
+        let mut candidates = self.configuration.voters.iter().filter(is_responsive);
+        let first = candidates.clone().next();
+        candidates.find(|id| **id > self.id).or(first)
     }
 }
--- a/clayplank-agreement/src/message.rs
+++ b/clayplank-agreement/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use std::sync::Arc;
 
@@ -7,100 +7,105 @@
 use crate::configuration::ReplicaId;
 use crate::log::{Entry, EntryId, Snapshot};
 
-/// A message on its way. One to another incarnation is dropped.
+/// A message with its sender and recipient. A replica drops messages addressed to another
+/// incarnation of its host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sent it.
+    /// Sender.
     pub from: ReplicaId,
-    /// For whom it is.
+    /// Recipient.
     pub to: ReplicaId,
-    /// What it says.
+    /// Payload.
     pub message: Message,
 }
 
-/// What a follower makes of an append.
+/// Result of an append on the follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendResult {
-    /// The logs agree, and are synced, up to here.
+    /// The logs match up to `index`, and the follower has synced them.
     Matched {
-        /// The last entry of the append.
+        /// Index of the last entry of the append or snapshot.
         index: u64,
     },
-    /// The entry before the first one was not there, or another one.
+    /// The follower has no entry, or an entry of another term, at the append's previous index.
     Rejected {
-        /// Its index, which tells whether this answers the newest append.
+        /// Previous index of the rejected append. The leader uses it to ignore rejections of
+        /// older appends.
         previous_index: u64,
-        /// The highest index at which the logs may agree.
+        /// Highest index at which the logs may match.
         hint_index: u64,
     },
 }
 
-/// What is said. Every message carries the sender's term.
+/// A request or reply of the Raft protocol. Every message carries a term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me in this term? Changes nothing.
+    /// Pre-vote request: whether the recipient would vote for the sender. It changes no
+    /// persistent state.
     PreVote {
-        /// The term of the election that would follow.
+        /// Term of the election that would follow.
         term: u64,
-        /// The end of the sender's log.
+        /// Last entry of the sender's log.
         last: EntryId,
     },
-    /// The answer to a pre-vote.
+    /// Reply to a pre-vote request.
     PreVoteReply {
-        /// The term that was asked for, or the own one on a refusal.
+        /// Requested term if the pre-vote is granted, else the current term of the replica that
+        /// replies.
         term: u64,
-        /// Whether it would.
+        /// Whether the pre-vote is granted.
         granted: bool,
     },
-    /// Vote for me.
+    /// Vote request of a candidate.
     Vote {
-        /// The term of the election.
+        /// Term of the election.
         term: u64,
-        /// The end of the sender's log.
+        /// Last entry of the sender's log.
         last: EntryId,
     },
-    /// The answer to a vote.
+    /// Reply to a vote request.
     VoteReply {
-        /// The term.
+        /// Current term of the replica that replies.
         term: u64,
-        /// Whether the vote was given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries of the leader, or none as a heartbeat.
+    /// Log entries from the leader; without entries it is a heartbeat or a probe.
     Append {
-        /// The leader's term.
+        /// Term of the leader.
         term: u64,
-        /// The entry before the first one here.
+        /// Entry that precedes `entries` in the leader's log.
         previous: EntryId,
-        /// Entries that follow it.
+        /// Entries after `previous`.
         entries: Vec<Entry>,
-        /// The leader's commit index.
+        /// Commit index of the leader.
         commit_index: u64,
-        /// The round of reads that an answer confirms.
+        /// Latest read-index round that the leader has started; a reply confirms it.
         read_round: u64,
     },
-    /// The answer to an append or a snapshot.
+    /// Reply to an append or a snapshot.
     AppendReply {
-        /// The follower's term.
+        /// Current term of the follower.
         term: u64,
-        /// Whether the logs agree there.
+        /// Whether the logs match.
         result: AppendResult,
-        /// The round of the message that is answered.
+        /// Read-index round of the request.
         read_round: u64,
     },
-    /// The state in place of entries that the leader no longer has.
+    /// A snapshot, sent if the leader no longer has the entries that the follower needs.
     Install {
-        /// The leader's term.
+        /// Term of the leader.
         term: u64,
-        /// The state.
+        /// State machine and configuration at the snapshot's last entry.
         snapshot: Arc<Snapshot>,
-        /// The round of reads that an answer confirms.
+        /// Latest read-index round that the leader has started; a reply confirms it.
         read_round: u64,
     },
 }
 
 impl Message {
-    /// The sender's term, or the one that it proposes.
+    /// The sender's term; of a pre-vote request or a granted pre-vote, the term of the proposed
+    /// election.
     pub fn term(&self) -> u64 {
         match self {
             Self::PreVote { term, .. }
--- a/clayplank-agreement/src/options.rs
+++ b/clayplank-agreement/src/options.rs
@@ -1,20 +1,22 @@
-//! Settings of a replica.
+//! Options of a replica: time-outs, batch size, log retention and the target number of voters.
 
-/// Settings of a replica.
+/// Options of a [`Replica`](crate::Replica).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// A follower that hears nothing for this long, up to twice this long, asks for an election.
+    /// Minimum election time-out, in ms. A follower without contact to a leader starts an
+    /// election after a random time between this and twice this.
     pub election_ms: u64,
-    /// Between two heartbeats of a leader.
+    /// Interval between two heartbeats of a leader, in ms.
     pub heartbeat_ms: u64,
-    /// The most entries in one message.
+    /// Maximum number of entries in one append message.
     pub max_batch_entries: usize,
-    /// Entries kept before a snapshot, for slow followers.
+    /// Number of entries before the snapshot that compaction keeps in memory, so that slow
+    /// followers do not need the snapshot.
     pub keep_entries: u64,
-    /// Beyond the voters that are needed, one that is silent for this long is taken out; `None`
-    /// where places are fixed by name.
+    /// Time without a reply, in ms, after which the leader removes a voter if there are more voters
+    /// than the target. `None` disables this, for members that are fixed by the settings.
     pub replace_silent_ms: Option<u64>,
-    /// How many replicas may be lost at once.
+    /// Number of replicas that may fail at the same time without stopping the log.
     pub tolerated_losses: usize,
 }
 
@@ -32,9 +34,10 @@
 }
 
 impl Options {
-    /// As many voters as survive the losses that are tolerated; more are kept while all of them
-    /// answer. Three at least: of fewer, one that is lost stops the others.
-    pub(crate) fn wanted_voters(&self) -> usize {
+    /// Target number of voters: the smallest number that keeps a quorum after
+    /// `tolerated_losses` failures. Additional voters stay as long as they respond. The minimum
+    /// is three, because with fewer voters a single failure stops the log.
+    pub(crate) fn target_voters(&self) -> usize {
         2 * self.tolerated_losses.max(1) + 1
     }
 }
--- a/clayplank-agreement/src/ready.rs
+++ b/clayplank-agreement/src/ready.rs
@@ -1,4 +1,4 @@
-//! What a replica wants done.
+//! The output of a replica: what its caller has to write, send, apply and answer.
 
 use std::sync::Arc;
 
@@ -6,36 +6,38 @@
 use crate::message::Envelope;
 use crate::stored::HardState;
 
-/// Up to where a write reaches.
+/// Last entry covered by a write, for [`Replica::note_persisted`](crate::Replica::note_persisted).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Written {
     pub(crate) last: Option<EntryId>,
 }
 
-/// What the caller has to carry out, in the order of the fields.
+/// Work for the caller, to be done in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ready {
-    /// Write this.
+    /// Term and vote to write, if they have changed.
     pub hard_state: Option<HardState>,
-    /// Write this, and drop all entries.
+    /// Snapshot received from the leader, to write in place of the former one and all entries.
     pub installed: Option<Arc<Snapshot>>,
-    /// Write these; they replace all entries from the first one's index on.
+    /// Entries to write. They replace all entries that have the index of the first one or a higher
+    /// index.
     pub entries: Vec<Entry>,
-    /// Once all that is synced, send these.
+    /// Messages to send, once everything above is synced.
     pub messages: Vec<Envelope>,
-    /// Apply these, after `installed` if there is one.
+    /// Committed entries to apply to the state machine, after `installed`.
     pub committed: Vec<Entry>,
-    /// Answer these reads once the entry was applied.
+    /// Confirmed reads, each with its read index. A read may be answered once the entry at that
+    /// index is applied.
     pub reads: Vec<(ReadId, u64)>,
 }
 
 impl Ready {
-    /// Whether something has to be synced.
+    /// Whether anything has to be written and synced.
     pub fn must_sync(&self) -> bool {
         self.hard_state.is_some() || self.installed.is_some() || !self.entries.is_empty()
     }
 
-    /// Whether there is nothing to do.
+    /// Whether there is no work.
     pub fn is_empty(&self) -> bool {
         !self.must_sync()
             && self.messages.is_empty()
@@ -43,7 +45,8 @@
             && self.reads.is_empty()
     }
 
-    /// What to tell the replica once the write is synced.
+    /// Argument for [`Replica::note_persisted`](crate::Replica::note_persisted), to be called
+    /// once the write is synced.
     pub fn last_written(&self) -> Written {
         let entry =
             self.entries.last().map(|entry| EntryId { term: entry.term, index: entry.index });
@@ -51,6 +54,7 @@
     }
 }
 
-/// Names a read.
+/// Identifies a read within a leader's term. Numbers start at 1 in each term that a replica
+/// leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReadId(pub u64);
--- a/clayplank-agreement/src/replica.rs
+++ b/clayplank-agreement/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica: its state, and what every role does alike.
+//! A replica: its state, message dispatch, and the rules common to all roles.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,29 +14,29 @@
 use crate::ready::{ReadId, Ready, Written};
 use crate::stored::{HardState, StoredState};
 
-/// Only the leader can do this.
+/// The operation requires the leader, and this replica is not the leader.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not the leader")]
 pub struct NotLeader {
-    /// Who may be.
+    /// Leader as known to this replica, if any.
     pub hint: Option<ReplicaId>,
 }
 
-/// Why a change of membership was not begun.
+/// Reason why a membership change was not proposed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Only the leader can do this.
+    /// This replica is not the leader.
     #[error(transparent)]
     NotLeader(#[from] NotLeader),
-    /// An earlier change, or the start of the term, is not committed yet.
+    /// An earlier membership change, or the first entry of the leader's term, is not committed yet.
     #[error("an earlier change is not committed yet")]
     ChangeInProgress,
-    /// The change makes no sense in the present configuration.
+    /// The change does not apply to the current configuration.
     #[error("the change does not fit the configuration")]
     Unfit,
 }
 
-/// What a replica is doing.
+/// Role of a replica, with the state that belongs to it. Learners are followers.
 #[derive(Debug)]
 pub(crate) enum Role {
     Follower,
@@ -45,35 +45,39 @@
     Leader(Leadership),
 }
 
-/// A replica of the log.
+/// A replica of the log. It does no I/O and has no clock: the caller passes the time, in ms.
 #[derive(Debug)]
 pub struct Replica {
     pub(crate) id: ReplicaId,
     pub(crate) options: Options,
     pub(crate) hard_state: HardState,
     pub(crate) log: Log,
+    /// Latest configuration in the log, committed or not.
     pub(crate) configuration: Configuration,
+    /// Index of the entry or snapshot that holds `configuration`.
     pub(crate) configuration_index: u64,
     pub(crate) role: Role,
     pub(crate) leader: Option<ReplicaId>,
     pub(crate) commit_index: u64,
-    pub(crate) election_due_ms: u64,
-    pub(crate) heard_leader_ms: u64,
+    pub(crate) election_deadline_ms: u64,
+    /// Time of the last message from the current leader.
+    pub(crate) leader_contact_ms: u64,
     pub(crate) messages: Vec<Envelope>,
     pub(crate) reads: Vec<(ReadId, u64)>,
-    /// Up to here entries are synced.
+    /// Index of the last synced entry.
     pub(crate) stable_index: u64,
-    /// Up to here entries were handed out to be written.
-    pub(crate) handed_index: u64,
-    /// Up to here entries were handed out to be applied.
+    /// Index of the last entry returned in [`Ready::entries`] to be written.
+    pub(crate) submitted_index: u64,
+    /// Index of the last entry returned in [`Ready::committed`] to be applied.
     pub(crate) applied_index: u64,
     is_hard_state_dirty: bool,
+    /// Snapshot received from the leader, for [`Ready::installed`].
     pub(crate) installed: Option<Arc<Snapshot>>,
     rng: SmallRng,
 }
 
 impl Replica {
-    /// Starts from what the disk holds.
+    /// Starts a replica as a follower from its stored state.
     pub fn new(id: ReplicaId, stored: StoredState, options: Options, now_ms: u64) -> Self {
         let seed = id
             .host
@@ -91,12 +95,12 @@
             role: Role::Follower,
             leader: None,
             commit_index,
-            election_due_ms: 0,
-            heard_leader_ms: now_ms,
+            election_deadline_ms: 0,
+            leader_contact_ms: now_ms,
             messages: Vec::new(),
             reads: Vec::new(),
             stable_index,
-            handed_index: stable_index,
+            submitted_index: stable_index,
             applied_index: commit_index,
             is_hard_state_dirty: false,
             installed: None,
@@ -104,31 +108,32 @@
             log,
         };
         replica.reload_configuration();
-        replica.set_first_election(now_ms);
+        replica.schedule_first_election(now_ms);
         replica
     }
 
-    /// The own name.
+    /// Host and incarnation of this replica.
     pub fn id(&self) -> &ReplicaId {
         &self.id
     }
 
-    /// Term and vote.
+    /// Current term, and the vote in it.
     pub fn hard_state(&self) -> &HardState {
         &self.hard_state
     }
 
-    /// The newest term that was seen.
+    /// Latest term that this replica knows.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
 
-    /// Whether this replica leads, as far as it knows.
+    /// Whether this replica is the leader of its term. A newer leader may exist that it does not
+    /// know of yet.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The name of what this replica is doing, for logs.
+    /// Name of the role, for logs: a follower that is not a voter is a "learner".
     pub fn role_name(&self) -> &'static str {
         match self.role {
             Role::Follower if !self.configuration.voters.contains(&self.id) => "learner",
@@ -139,7 +144,8 @@
         }
     }
 
-    /// Who granted its vote so far, while this replica asks for an election.
+    /// Replicas that have granted their vote or pre-vote, including this one; `None` unless an
+    /// election is in progress.
     pub fn granted_votes(&self) -> Option<&BTreeSet<ReplicaId>> {
         match &self.role {
             Role::PreCandidate { granted } | Role::Candidate { granted } => Some(granted),
@@ -147,59 +153,60 @@
         }
     }
 
-    /// Who leads, as far as it is known.
+    /// Leader of the current term, if known.
     pub fn leader(&self) -> Option<&ReplicaId> {
         self.leader.as_ref()
     }
 
-    /// The newest members, committed or not.
+    /// Latest configuration in the log, committed or not.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Whether the newest members are those of a committed entry.
+    /// Whether the latest configuration in the log is committed.
     pub fn is_configuration_committed(&self) -> bool {
         self.configuration_index <= self.commit_index
     }
 
-    /// Up to here entries are committed.
+    /// Index of the last entry known to be committed.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// The end of the log.
+    /// Index of the last entry of the log.
     pub fn last_index(&self) -> u64 {
         self.log.last().index
     }
 
-    /// The term of an entry that is still in memory.
+    /// Term of the entry at an index; `None` if the entry was compacted or does not exist yet.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         self.log.term_at(index)
     }
 
-    /// Entries in memory.
+    /// Number of entries in memory.
     pub fn log_len(&self) -> usize {
         self.log.len()
     }
 
-    /// The newest snapshot.
+    /// Latest snapshot.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         self.log.snapshot()
     }
 
-    /// Lets time pass.
+    /// Processes time-outs: a leader sends heartbeats and checks its quorum, other replicas start
+    /// an election when their time-out has expired. To be called periodically.
     pub fn tick(&mut self, now_ms: u64) {
         match &self.role {
             Role::Leader(_) => self.tick_leader(now_ms),
             Role::Follower | Role::PreCandidate { .. } | Role::Candidate { .. } => {
-                if now_ms >= self.election_due_ms {
+                if now_ms >= self.election_deadline_ms {
                     self.start_pre_vote(now_ms);
                 }
             }
         }
     }
 
-    /// Takes a message in.
+    /// Processes a message. Messages addressed to another incarnation are dropped.
     pub fn receive(&mut self, now_ms: u64, envelope: Envelope) {
         let Envelope { from, to, message } = envelope;
         if to != self.id {
@@ -209,31 +216,35 @@
             self.become_follower(now_ms, message.term(), None);
         }
         match message {
-            Message::PreVote { term, last } => self.answer_pre_vote(now_ms, from, term, last),
+            Message::PreVote { term, last } => self.handle_pre_vote(now_ms, from, term, last),
             Message::PreVoteReply { term, granted } => {
-                self.count_pre_vote(now_ms, from, term, granted)
+                self.handle_pre_vote_reply(now_ms, from, term, granted)
+            }
+            Message::Vote { term, last } => self.handle_vote(now_ms, from, term, last),
+            Message::VoteReply { term, granted } => {
+                self.handle_vote_reply(now_ms, from, term, granted)
             }
-            Message::Vote { term, last } => self.answer_vote(now_ms, from, term, last),
-            Message::VoteReply { term, granted } => self.count_vote(now_ms, from, term, granted),
             Message::Append { term, previous, entries, commit_index, read_round } => {
-                if self.follow(now_ms, &from, term, read_round) {
+                if self.accept_leader(now_ms, &from, term, read_round) {
                     self.append_entries(from, previous, entries, commit_index, read_round);
                 }
             }
             Message::AppendReply { term, result, read_round } => {
                 if term == self.hard_state.term {
-                    self.note_reply(now_ms, &from, result, read_round);
+                    self.handle_append_reply(now_ms, &from, result, read_round);
                 }
             }
             Message::Install { term, snapshot, read_round } => {
-                if self.follow(now_ms, &from, term, read_round) {
-                    self.install(from, snapshot, read_round);
+                if self.accept_leader(now_ms, &from, term, read_round) {
+                    self.install_snapshot(from, snapshot, read_round);
                 }
             }
         }
     }
 
-    /// A pre-vote changes no term; a vote is not heeded while the leader is heard (section 4.2.3).
+    /// Whether the replica adopts the higher term of a message. A pre-vote request does not change
+    /// the term, and a vote request does not while the leader is in contact (section 4.2.3), so
+    /// that removed members cannot disrupt the others.
     fn adopts_term(&self, now_ms: u64, message: &Message) -> bool {
         match message {
             Message::PreVote { .. } => false,
@@ -246,53 +257,53 @@
         }
     }
 
-    /// Whether a leader spoke within the shortest election time.
+    /// Whether the leader is known and was in contact within the minimum election time-out.
     pub fn hears_leader(&self, now_ms: u64) -> bool {
-        self.leader.is_some() && now_ms < self.heard_leader_ms + self.options.election_ms
+        self.leader.is_some() && now_ms < self.leader_contact_ms + self.options.election_ms
     }
 
-    /// Who leads, if it is this replica, or one that it heard after this time.
-    pub fn leader_heard_after(&self, asked_ms: u64) -> Option<&ReplicaId> {
-        let is_heard = self.is_leader() || self.heard_leader_ms > asked_ms;
-        self.leader.as_ref().filter(|_| is_heard)
+    /// The leader, if it is this replica or one that was in contact after `asked_ms`.
+    pub fn leader_heard_after(&self, since_ms: u64) -> Option<&ReplicaId> {
+        let is_in_contact = self.is_leader() || self.leader_contact_ms > since_ms;
+        self.leader.as_ref().filter(|_| is_in_contact)
     }
 
     pub(crate) fn become_follower(&mut self, now_ms: u64, term: u64, leader: Option<ReplicaId>) {
-        assert!(term >= self.hard_state.term, "terms only rise");
+        assert!(term >= self.hard_state.term, "terms must not decrease");
         if term > self.hard_state.term {
             self.set_hard_state(HardState { term, vote: None });
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.reset_election(now_ms);
+        self.reset_election_timer(now_ms);
     }
 
     pub(crate) fn set_hard_state(&mut self, hard_state: HardState) {
         let same_term = hard_state.term == self.hard_state.term;
         let keeps_vote = self.hard_state.vote.is_none() || self.hard_state.vote == hard_state.vote;
-        assert!(!same_term || keeps_vote, "one vote a term");
+        assert!(!same_term || keeps_vote, "a replica votes at most once per term");
         self.hard_state = hard_state;
         self.is_hard_state_dirty = true;
     }
 
-    /// A replica that has just started asks early: after a loss of power nobody leads,
-    /// and a leader that does is heard before, or refuses the vote that changes nothing.
-    fn set_first_election(&mut self, now_ms: u64) {
-        let earliest_ms = 2 * self.options.heartbeat_ms;
-        let span_ms = earliest_ms..=self.options.election_ms.max(earliest_ms);
-        self.election_due_ms = now_ms + self.rng.random_range(span_ms);
+    /// Schedules the first election after a start, earlier than usual: after a power failure there
+    /// is no leader. If there is one, its heartbeat arrives first, or the pre-vote is refused.
+    fn schedule_first_election(&mut self, now_ms: u64) {
+        let min_delay_ms = 2 * self.options.heartbeat_ms;
+        let delay_range_ms = min_delay_ms..=self.options.election_ms.max(min_delay_ms);
+        self.election_deadline_ms = now_ms + self.rng.random_range(delay_range_ms);
     }
 
-    /// Asks for an election within a heartbeat: others wait for one that only this replica,
-    /// or one with a longer log, can win.
-    pub(crate) fn ask_soon(&mut self, now_ms: u64) {
-        let due_ms = now_ms + self.rng.random_range(0..=self.options.heartbeat_ms);
-        self.election_due_ms = self.election_due_ms.min(due_ms);
+    /// Schedules an election within a heartbeat interval. Called when a replica with an outdated
+    /// log requests a pre-vote: only this replica, or one with a more up-to-date log, can win.
+    pub(crate) fn start_election_soon(&mut self, now_ms: u64) {
+        let deadline_ms = now_ms + self.rng.random_range(0..=self.options.heartbeat_ms);
+        self.election_deadline_ms = self.election_deadline_ms.min(deadline_ms);
     }
 
-    pub(crate) fn reset_election(&mut self, now_ms: u64) {
+    pub(crate) fn reset_election_timer(&mut self, now_ms: u64) {
         let election_ms = self.options.election_ms;
-        self.election_due_ms = now_ms + self.rng.random_range(election_ms..=2 * election_ms);
+        self.election_deadline_ms = now_ms + self.rng.random_range(election_ms..=2 * election_ms);
     }
 
     pub(crate) fn append(&mut self, entry: Entry) {
@@ -310,7 +321,7 @@
     }
 
     pub(crate) fn advance_commit(&mut self, index: u64) {
-        assert!(index <= self.log.last().index, "only entries in the log are committed");
+        assert!(index <= self.log.last().index, "the commit index must not exceed the log");
         self.commit_index = self.commit_index.max(index);
     }
 
@@ -318,18 +329,20 @@
         self.messages.push(Envelope { from: self.id.clone(), to, message });
     }
 
-    /// Appends a command; the entry counts once it is committed.
+    /// Appends a command to the leader's log. The entry is not durable before it is reported in
+    /// [`Ready::committed`].
     ///
     /// # Errors
-    /// Another replica leads.
+    /// This replica is not the leader.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<EntryId, NotLeader> {
-        self.append_own(Payload::Command(command))
+        self.append_as_leader(Payload::Command(command))
     }
 
-    /// Begins a change of membership.
+    /// Appends a membership change to the leader's log.
     ///
     /// # Errors
-    /// Nothing was begun.
+    /// This replica is not the leader, an earlier change is not committed yet, or the change does
+    /// not apply. The log is unchanged.
     pub fn propose_change(&mut self, change: &Change) -> Result<EntryId, ProposeError> {
         if !self.is_leader() {
             return Err(NotLeader { hint: self.leader.clone() }.into());
@@ -338,15 +351,16 @@
             return Err(ProposeError::ChangeInProgress);
         }
         let next = self.configuration.after(change).ok_or(ProposeError::Unfit)?;
-        Ok(self.append_own(Payload::Configuration(next))?)
+        Ok(self.append_as_leader(Payload::Configuration(next))?)
     }
 
-    /// Whether a leader may begin a change: the former one, and an entry of its term, are committed.
+    /// Whether this replica may propose a membership change: it is the leader, and the former
+    /// change and an entry of its term are committed.
     pub(crate) fn may_propose_change(&self) -> bool {
         self.is_leader() && self.is_configuration_committed() && self.has_committed_in_term()
     }
 
-    pub(crate) fn append_own(&mut self, payload: Payload) -> Result<EntryId, NotLeader> {
+    pub(crate) fn append_as_leader(&mut self, payload: Payload) -> Result<EntryId, NotLeader> {
         if !self.is_leader() {
             return Err(NotLeader { hint: self.leader.clone() });
         }
@@ -359,17 +373,17 @@
         self.log.term_at(self.commit_index) == Some(self.hard_state.term)
     }
 
-    /// Hands out what is to be done.
+    /// Returns the outstanding work of the caller. Each entry, message and read is returned once.
     pub fn take_ready(&mut self, now_ms: u64) -> Ready {
         self.flush_leader(now_ms);
         let last_index = self.log.last().index;
-        let new_entries = self.log.entries_from(self.handed_index + 1, usize::MAX).to_vec();
-        self.handed_index = last_index;
-        let apply_to = self.commit_index;
-        let count = (apply_to - self.applied_index) as usize;
+        let new_entries = self.log.entries_from(self.submitted_index + 1, usize::MAX).to_vec();
+        self.submitted_index = last_index;
+        let apply_until = self.commit_index;
+        let count = (apply_until - self.applied_index) as usize;
         let committed = self.log.entries_from(self.applied_index + 1, count).to_vec();
-        assert_eq!(committed.len(), count, "what is committed is in the log");
-        self.applied_index = apply_to;
+        assert_eq!(committed.len(), count, "committed entries must be in the log");
+        self.applied_index = apply_until;
         let hard_state =
             std::mem::take(&mut self.is_hard_state_dirty).then(|| self.hard_state.clone());
         Ready {
@@ -382,12 +396,12 @@
         }
     }
 
-    /// Notes that what a [`Ready`] held is synced.
+    /// Records that the write of a [`Ready`] is synced.
     pub fn note_persisted(&mut self, written: Written) {
         let Some(last) = written.last else {
             return;
         };
-        // A write that was replaced meanwhile says nothing.
+        // The written entries may have been replaced in the meantime.
         if self.log.term_at(last.index) == Some(last.term) {
             self.stable_index = self.stable_index.max(last.index);
             self.advance_leader_commit();
@@ -398,10 +412,10 @@
         self.stable_index
     }
 
-    /// Replaces entries by a snapshot of the state after `index`.
+    /// Replaces entries by a snapshot, `data`, of the state machine after `index`.
     ///
-    /// Returns what the store is to hold from now on. `None` if the entry was
-    /// not applied or is covered already.
+    /// Returns the new content of the store. `None` if the entry at `index` is not applied yet or
+    /// is already included in a snapshot.
     pub fn compact(&mut self, index: u64, data: Vec<u8>) -> Option<StoredState> {
         if index > self.applied_index || index <= self.log.snapshot().last.index {
             return None;
--- a/clayplank-agreement/src/store.rs
+++ b/clayplank-agreement/src/store.rs
@@ -1,7 +1,7 @@
-//! A replica's folder: identity, snapshot and log.
+//! The data folder of a replica: identity, snapshot and log.
 //!
-//! Nothing is acknowledged before it is synced. A file is replaced by writing
-//! a new one beside it, syncing, renaming, and syncing the folder.
+//! A write is acknowledged only after it is synced. Files are replaced atomically: a new file is
+//! written beside the old one and synced, renamed over it, and the folder is synced.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{Read, Write};
@@ -12,7 +12,7 @@
 use crate::configuration::{Configuration, ReplicaId};
 use crate::log::{Entry, Snapshot};
 use crate::ready::Ready;
-use crate::record::{Found, UnfitRecord, has_record_after, put_record, scan_record};
+use crate::record::{Decoded, UnfitRecord, decode_record, encode_record, has_record_after};
 use crate::stored::{HardState, StoredState};
 
 const IDENTITY_FILE: &str = "identity";
@@ -20,60 +20,61 @@
 const LOG_FILE: &str = "log";
 const LOCK_FILE: &str = "lock";
 
-/// Why a folder cannot be used.
+/// Error of an operation on the data folder.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// A file operation failed.
     #[error("cannot use {path}")]
     Io {
-        /// The file or folder.
+        /// File or folder of the operation.
         path: PathBuf,
-        /// Why.
+        /// Cause reported by the operating system.
         source: std::io::Error,
     },
-    /// Another process uses the folder.
+    /// Another process has locked the folder.
     #[error("{path} is in use by another process")]
     InUse {
         /// The folder.
         path: PathBuf,
     },
-    /// The folder is another host's.
+    /// The folder belongs to another host.
     #[error(
         "{path} belongs to host `{found}`, not to `{wanted}`: give this host a folder of its own"
     )]
     OtherHost {
         /// The folder.
         path: PathBuf,
-        /// Whose it is.
+        /// Host that owns the folder.
         found: String,
-        /// Who asked.
+        /// Host that tried to open the folder.
         wanted: String,
     },
-    /// A file is damaged before its end.
+    /// A file has a damaged record that is not the incomplete end of an interrupted write, or a
+    /// record that does not follow the ones before it.
     #[error(
         "{path} is damaged at byte {offset}: move the whole folder away; the host then rejoins with an empty one"
     )]
     Corrupt {
-        /// The file.
+        /// Damaged file.
         path: PathBuf,
-        /// The first damaged record.
+        /// Offset of the first damaged record, in bytes.
         offset: usize,
     },
-    /// A file that must be there is not.
+    /// A required file is missing.
     #[error(
         "{path} is missing: move the whole folder away; the host then rejoins with an empty one"
     )]
     Missing {
-        /// The file.
+        /// Missing file.
         path: PathBuf,
     },
-    /// A record cannot be written.
+    /// A value could not be encoded as a record.
     #[error(transparent)]
     Unfit(#[from] UnfitRecord),
 }
 
 impl StoreError {
-    /// Whether the disk has no room: what failed may be tried again.
+    /// Whether the disk is full or a quota is exceeded, so that the operation may be retried.
     pub fn is_full(&self) -> bool {
         use std::io::ErrorKind::{QuotaExceeded, StorageFull};
         match self {
@@ -87,54 +88,57 @@
     }
 }
 
-/// Whose folder it is.
+/// Identity of a data folder, stored in it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Host, and the incarnation of this folder.
+    /// Host that owns the folder, and the incarnation of the folder.
     pub id: ReplicaId,
-    /// The first members of the log; `None` before it was begun or received.
+    /// Initial configuration of the log; `None` until the folder has a log.
     pub genesis: Option<Configuration>,
-    /// Whether the folder has held a log.
+    /// Whether the folder has a log.
     pub has_log: bool,
 }
 
+/// A record of the log file.
 #[derive(Serialize, Deserialize)]
 enum Record {
     HardState(HardState),
     Entry(Entry),
 }
 
-/// A replica's folder, locked for this process.
+/// The data folder of a replica, locked for this process.
 #[derive(Debug)]
 pub struct Store {
     dir: PathBuf,
     identity: Identity,
     log: File,
+    /// Size of the log file up to the end of the last synced write.
     log_bytes: u64,
     _lock: File,
 }
 
 impl Store {
-    /// Opens a folder, or makes it, and reads what it holds.
-    ///
-    /// The state is `None` if the folder has never held a log.
+    /// Opens or creates a data folder and reads its state, `None` if the folder has no log yet. A new
+    /// folder gets `new_incarnation`. An incomplete record at the end of the log, left by an
+    /// interrupted write, is removed.
     ///
     /// # Errors
-    /// The folder is in use, is another host's, or is damaged. It is left as it was.
+    /// The folder is in use, belongs to another host, is damaged, or cannot be accessed. Existing
+    /// data is unchanged.
     pub fn open(
         dir: &Path,
         host: &str,
-        fresh_incarnation: u64,
+        new_incarnation: u64,
     ) -> Result<(Self, Option<StoredState>), StoreError> {
         std::fs::create_dir_all(dir).map_err(|source| io_error(dir, source))?;
         let lock = lock_dir(dir)?;
-        let fresh =
-            Identity { id: ReplicaId::new(host, fresh_incarnation), genesis: None, has_log: false };
-        let identity = match read_single::<Identity>(&dir.join(IDENTITY_FILE))? {
+        let new_identity =
+            Identity { id: ReplicaId::new(host, new_incarnation), genesis: None, has_log: false };
+        let identity = match read_single_record::<Identity>(&dir.join(IDENTITY_FILE))? {
             Some(identity) => identity,
             None => {
-                replace_file(dir, IDENTITY_FILE, &fresh)?;
-                fresh
+                replace_record(dir, IDENTITY_FILE, &new_identity)?;
+                new_identity
             }
         };
         if identity.id.host != host {
@@ -147,34 +151,35 @@
         Ok((Self { dir: dir.to_owned(), identity, log, log_bytes, _lock: lock }, state))
     }
 
-    /// Whose folder it is.
+    /// Identity stored in the folder.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// The size of the log file.
+    /// Size of the log file, in bytes.
     pub fn log_bytes(&self) -> u64 {
         self.log_bytes
     }
 
-    /// Starts the log, or starts to receive it. From now on the folder holds one.
+    /// Stores the initial state of a new or joined log, and marks the folder as having a log.
     ///
     /// # Errors
-    /// The folder does not count as one that holds a log; on a full disk it may be tried again.
+    /// The folder is not marked as having a log. On a full disk the call may be retried.
     pub fn begin(&mut self, state: &StoredState, genesis: Configuration) -> Result<(), StoreError> {
         self.rewrite(state)?;
         let identity =
             Identity { id: self.identity.id.clone(), genesis: Some(genesis), has_log: true };
-        replace_file(&self.dir, IDENTITY_FILE, &identity)?;
+        replace_record(&self.dir, IDENTITY_FILE, &identity)?;
         self.identity = identity;
         Ok(())
     }
 
-    /// Writes and syncs what a [`Ready`] holds, with one sync for all of it.
+    /// Writes the term, vote, snapshot and entries of a [`Ready`], with a single sync of the log
+    /// file for all of them if there is no snapshot.
     ///
     /// # Errors
-    /// It may or may not be on disk. On a full disk the same may be written again, and must
-    /// be before anything else; after any other error the process has to stop.
+    /// The data may or may not be on disk. On a full disk the same write may be retried, and must
+    /// succeed before any other write. After any other error the process has to stop.
     pub fn write(&mut self, ready: &Ready, hard_state: &HardState) -> Result<(), StoreError> {
         if let Some(snapshot) = &ready.installed {
             let entries = ready.entries.clone();
@@ -190,75 +195,76 @@
         }
         let mut buffer = Vec::new();
         if let Some(hard_state) = &ready.hard_state {
-            put_record(&mut buffer, &Record::HardState(hard_state.clone()))?;
+            encode_record(&mut buffer, &Record::HardState(hard_state.clone()))?;
         }
         for entry in &ready.entries {
-            put_record(&mut buffer, &Record::Entry(entry.clone()))?;
+            encode_record(&mut buffer, &Record::Entry(entry.clone()))?;
         }
         let path = self.dir.join(LOG_FILE);
-        self.cut_unfinished().map_err(|source| io_error(&path, source))?;
+        self.truncate_incomplete_write().map_err(|source| io_error(&path, source))?;
         self.log.write_all(&buffer).map_err(|source| io_error(&path, source))?;
         self.log.sync_data().map_err(|source| io_error(&path, source))?;
         self.log_bytes += buffer.len() as u64;
         Ok(())
     }
 
-    /// Drops what a write left that found the disk full: records after half of one would
-    /// count as damage at the next start.
-    fn cut_unfinished(&mut self) -> Result<(), std::io::Error> {
+    /// Truncates the incomplete record that a write on a full disk left. Records appended after it
+    /// would make the file count as damaged at the next start.
+    fn truncate_incomplete_write(&mut self) -> Result<(), std::io::Error> {
         if self.log.metadata()?.len() > self.log_bytes {
             self.log.set_len(self.log_bytes)?;
         }
         Ok(())
     }
 
-    /// The folder of this replica, for what a keeper remembers beside its log.
+    /// Access to the small files that a keeper stores beside its log.
     pub fn notes(&self) -> Notes {
         Notes { dir: self.dir.clone() }
     }
 
-    /// Replaces snapshot and log, after a compaction.
+    /// Replaces the snapshot and the log, after a compaction or the installation of a snapshot.
     ///
     /// # Errors
-    /// The former files, or the new ones, are there.
+    /// Each of the two files has either its former or its new content.
     pub fn rewrite(&mut self, state: &StoredState) -> Result<(), StoreError> {
-        replace_file(&self.dir, SNAPSHOT_FILE, &state.snapshot)?;
+        replace_record(&self.dir, SNAPSHOT_FILE, &state.snapshot)?;
         let mut buffer = Vec::new();
-        put_record(&mut buffer, &Record::HardState(state.hard_state.clone()))?;
+        encode_record(&mut buffer, &Record::HardState(state.hard_state.clone()))?;
         for entry in &state.entries {
-            put_record(&mut buffer, &Record::Entry(entry.clone()))?;
+            encode_record(&mut buffer, &Record::Entry(entry.clone()))?;
         }
-        replace_bytes(&self.dir, LOG_FILE, &buffer)?;
+        replace_file(&self.dir, LOG_FILE, &buffer)?;
         self.log = open_log(&self.dir)?;
         self.log_bytes = buffer.len() as u64;
         Ok(())
     }
 }
 
-/// Small files beside the log. They are synced, but nothing promised rests on them.
+/// Small files beside the log, each with one value. They are synced, but the guarantees of the log
+/// do not depend on them.
 #[derive(Clone, Debug)]
 pub struct Notes {
     dir: PathBuf,
 }
 
 impl Notes {
-    /// Replaces a note.
+    /// Replaces the value in a file.
     ///
     /// # Errors
-    /// The former one, or the new one, is there.
+    /// The file has either its former or its new value.
     pub fn save<T: Serialize>(&self, name: &str, value: &T) -> Result<(), StoreError> {
-        replace_file(&self.dir, name, value)
+        replace_record(&self.dir, name, value)
     }
 
-    /// Reads a note; `None` if it was never saved.
+    /// Reads the value in a file; `None` if the file does not exist.
     ///
     /// # Errors
-    /// It cannot be read, or is damaged.
+    /// The file cannot be read, or is damaged.
     pub fn load<T: serde::de::DeserializeOwned>(
         &self,
         name: &str,
     ) -> Result<Option<T>, StoreError> {
-        read_single(&self.dir.join(name))
+        read_single_record(&self.dir.join(name))
     }
 }
 
@@ -284,63 +290,64 @@
 fn read_state(dir: &Path) -> Result<StoredState, StoreError> {
     let snapshot_path = dir.join(SNAPSHOT_FILE);
     let missing = StoreError::Missing { path: snapshot_path.clone() };
-    let snapshot = read_single::<Snapshot>(&snapshot_path)?.ok_or(missing)?;
+    let snapshot = read_single_record::<Snapshot>(&snapshot_path)?.ok_or(missing)?;
     let mut state = StoredState { hard_state: HardState::default(), snapshot, entries: Vec::new() };
     let path = dir.join(LOG_FILE);
     let bytes = read_file(&path)?.ok_or(StoreError::Missing { path: path.clone() })?;
-    let mut at = 0;
+    let mut offset = 0;
     loop {
-        match scan_record::<Record>(&bytes, at) {
-            Found::Record(record, next) => {
-                let is_fit = take_record(&mut state, record);
-                if !is_fit {
-                    return Err(StoreError::Corrupt { path, offset: at });
+        match decode_record::<Record>(&bytes, offset) {
+            Decoded::Record(record, next) => {
+                let is_valid = apply_record(&mut state, record);
+                if !is_valid {
+                    return Err(StoreError::Corrupt { path, offset });
                 }
-                at = next;
+                offset = next;
             }
-            Found::End => break,
-            Found::Damaged if has_record_after(&bytes, at) => {
-                return Err(StoreError::Corrupt { path, offset: at });
+            Decoded::End => break,
+            Decoded::Damaged if has_record_after(&bytes, offset) => {
+                return Err(StoreError::Corrupt { path, offset });
             }
-            // The process died in a write that it had not acknowledged.
-            Found::Damaged => {
-                cut_tail(&path, at)?;
+            // The process ended during a write that was not acknowledged.
+            Decoded::Damaged => {
+                truncate_file(&path, offset)?;
                 break;
             }
         }
     }
-    // A log is written with its term first.
+    // The first record of a log file has the term and vote.
     if state.hard_state.term == 0 && !state.snapshot.configuration.voters.is_empty() {
         return Err(StoreError::Corrupt { path, offset: 0 });
     }
     Ok(state)
 }
 
-/// Takes a record in; `false` if it does not follow the former ones.
-fn take_record(state: &mut StoredState, record: Record) -> bool {
+/// Applies a record of the log file. Returns `false` if it cannot follow the records before it: the
+/// term decreases, or entries are missing.
+fn apply_record(state: &mut StoredState, record: Record) -> bool {
     let entry = match record {
         Record::HardState(hard_state) => {
-            let is_fit = hard_state.term >= state.hard_state.term;
+            let is_valid = hard_state.term >= state.hard_state.term;
             state.hard_state = hard_state;
-            return is_fit;
+            return is_valid;
         }
         Record::Entry(entry) => entry,
     };
-    let base = state.snapshot.last.index;
-    if entry.index <= base {
+    let snapshot_index = state.snapshot.last.index;
+    if entry.index <= snapshot_index {
         return true;
     }
-    let position = (entry.index - base - 1) as usize;
-    let is_fit = position <= state.entries.len();
+    let position = (entry.index - snapshot_index - 1) as usize;
+    let is_valid = position <= state.entries.len();
     state.entries.truncate(position);
     state.entries.push(entry);
-    is_fit
+    is_valid
 }
 
-fn cut_tail(path: &Path, at: usize) -> Result<(), StoreError> {
+fn truncate_file(path: &Path, offset: usize) -> Result<(), StoreError> {
     let file =
         OpenOptions::new().write(true).open(path).map_err(|source| io_error(path, source))?;
-    file.set_len(at as u64).map_err(|source| io_error(path, source))?;
+    file.set_len(offset as u64).map_err(|source| io_error(path, source))?;
     file.sync_all().map_err(|source| io_error(path, source))
 }
 
@@ -354,25 +361,27 @@
     Ok(Some(bytes))
 }
 
-fn read_single<T: serde::de::DeserializeOwned>(path: &Path) -> Result<Option<T>, StoreError> {
+fn read_single_record<T: serde::de::DeserializeOwned>(
+    path: &Path,
+) -> Result<Option<T>, StoreError> {
     let Some(bytes) = read_file(path)? else {
         return Ok(None);
     };
-    match scan_record(&bytes, 0) {
-        Found::Record(value, next) if next == bytes.len() => Ok(Some(value)),
-        Found::Record(..) | Found::End | Found::Damaged => {
+    match decode_record(&bytes, 0) {
+        Decoded::Record(value, next) if next == bytes.len() => Ok(Some(value)),
+        Decoded::Record(..) | Decoded::End | Decoded::Damaged => {
             Err(StoreError::Corrupt { path: path.to_owned(), offset: 0 })
         }
     }
 }
 
-fn replace_file<T: Serialize>(dir: &Path, name: &str, value: &T) -> Result<(), StoreError> {
+fn replace_record<T: Serialize>(dir: &Path, name: &str, value: &T) -> Result<(), StoreError> {
     let mut buffer = Vec::new();
-    put_record(&mut buffer, value)?;
-    replace_bytes(dir, name, &buffer)
+    encode_record(&mut buffer, value)?;
+    replace_file(dir, name, &buffer)
 }
 
-fn replace_bytes(dir: &Path, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
+fn replace_file(dir: &Path, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
     let path = dir.join(format!("{name}.new"));
     let mut file = File::create(&path).map_err(|source| io_error(&path, source))?;
     file.write_all(bytes).map_err(|source| io_error(&path, source))?;
