--- a/clayplank-agreement/src/leader.rs
+++ b/clayplank-agreement/src/leader.rs
@@ -72,7 +72,9 @@
     progress: BTreeMap<ReplicaId, Progress>,
     next_heartbeat_ms: u64,
     started_ms: u64,
+    /// Latest read-index round that was started.
     read_round: u64,
+    /// Reads that are not confirmed yet, in the order of their requests.
     reads: VecDeque<PendingRead>,
     last_read_id: u64,
     /// Hosts that have announced their departure, with the time at which each entry expires.
@@ -174,6 +176,7 @@
         true
     }
 
+    /// Moves the reads whose round a quorum has confirmed to the output.
     fn finish_reads(&mut self) {
         let Role::Leader(leadership) = &mut self.role else {
             return;
@@ -204,6 +207,8 @@
         }
     }
 
+    /// Sends the next entries to a member, or the snapshot if they were compacted. Without
+    /// `is_heartbeat`, nothing is sent unless there are new entries and no probe is outstanding.
     fn send_entries(&mut self, now_ms: u64, to: ReplicaId, is_heartbeat: bool) {
         let last_index = self.log.last().index;
         let term = self.hard_state.term;
@@ -303,6 +308,7 @@
         self.configuration.voters.iter().filter(has_synced).count()
     }
 
+    /// Steps down once a configuration without this replica among the voters is committed.
     fn step_down_if_removed(&mut self, now_ms: u64) {
         let is_removed = !self.configuration.voters.contains(&self.id);
         if is_removed && self.configuration_index <= self.commit_index {
--- a/clayplank-agreement/src/log.rs
+++ b/clayplank-agreement/src/log.rs
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Latest configuration, committed or not, and its index.
+    /// Latest configuration, committed or not, and the index of its entry or of the snapshot.
     pub(crate) fn configuration(&self) -> (&Configuration, u64) {
         let latest = self.entries.iter().rev().find_map(|entry| match &entry.payload {
             Payload::Configuration(configuration) if entry.index > self.snapshot.last.index => {
--- a/clayplank-agreement/src/membership.rs
+++ b/clayplank-agreement/src/membership.rs
@@ -40,8 +40,8 @@
 /// A learner is promoted as soon as it has caught up.
 ///
 /// In 24 runs of a planned replacement (three deployments, with three or five voters), followed
-/// 15 s later by the loss of the tolerated number of disks, no leader was left in 12 when the leader
-/// did not make these changes on its own, and in none when it did.
+/// 15 s later by the loss of the tolerated number of disks, no leader was left in 12 runs when the
+/// leader did not make these changes on its own, and in none when it did.
 pub(crate) fn plan_membership_change(
     configuration: &Configuration,
     target_voters: usize,
--- a/clayplank-agreement/src/record.rs
+++ b/clayplank-agreement/src/record.rs
@@ -3,7 +3,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Magic bytes at the start of each record. They make it possible to find a record after damaged bytes.
+/// Magic bytes at the start of each record. They make it possible to find a record after damaged
+/// bytes.
 const MAGIC: [u8; 4] = *b"cpk1";
 
 /// Size of a record's header: magic bytes, length and checksum, four bytes each.
--- a/clayplank-agreement/src/replica.rs
+++ b/clayplank-agreement/src/replica.rs
@@ -59,10 +59,12 @@
     pub(crate) role: Role,
     pub(crate) leader: Option<ReplicaId>,
     pub(crate) commit_index: u64,
+    /// Time at which a replica that is not the leader starts an election.
     pub(crate) election_deadline_ms: u64,
     /// Time of the last message from the current leader.
     pub(crate) leader_contact_ms: u64,
     pub(crate) messages: Vec<Envelope>,
+    /// Confirmed reads and their read index, for [`Ready::reads`].
     pub(crate) reads: Vec<(ReadId, u64)>,
     /// Index of the last synced entry.
     pub(crate) stable_index: u64,
@@ -262,7 +264,7 @@
         self.leader.is_some() && now_ms < self.leader_contact_ms + self.options.election_ms
     }
 
-    /// The leader, if it is this replica or one that was in contact after `asked_ms`.
+    /// The leader, if it is this replica or one that was in contact after `since_ms`.
     pub fn leader_heard_after(&self, since_ms: u64) -> Option<&ReplicaId> {
         let is_in_contact = self.is_leader() || self.leader_contact_ms > since_ms;
         self.leader.as_ref().filter(|_| is_in_contact)
--- a/clayplank-agreement/src/store.rs
+++ b/clayplank-agreement/src/store.rs
@@ -118,8 +118,8 @@
 }
 
 impl Store {
-    /// Opens or creates a data folder and reads its state, `None` if the folder has no log yet. A new
-    /// folder gets `new_incarnation`. An incomplete record at the end of the log, left by an
+    /// Opens or creates a data folder and reads its state, `None` if the folder has no log yet. A
+    /// new folder gets `new_incarnation`. An incomplete record at the end of the log, left by an
     /// interrupted write, is removed.
     ///
     /// # Errors
