--- a/clayplank-agreement/tests/cluster/mod.rs
+++ b/clayplank-agreement/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas on a network and disks that fail as they are told to.
+//! A simulated cluster: replicas on a network and disks with injected faults.
 
 use std::collections::BTreeMap;
 
@@ -11,28 +11,28 @@
 use crate::disk::write;
 use crate::network::Network;
 
-/// A replica with the disk below it.
+/// A replica with its disk and the commands that it has applied.
 struct Node {
     replica: Replica,
     synced: StoredState,
     applied: Vec<(u64, Vec<u8>)>,
     is_up: bool,
-    cut_until_ms: u64,
+    partitioned_until_ms: u64,
 }
 
-/// What went on, for checks that a run was not idle.
+/// Counts of events, to check that a run exercised them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct EventCounts {
     pub committed: u64,
     pub crashes: u64,
     pub lost_disks: u64,
-    pub cuts: u64,
+    pub partitions: u64,
     pub compactions: u64,
     pub elections: u64,
     pub reads: u64,
 }
 
-/// One thing that can happen in a step.
+/// Faults injected during a run.
 #[derive(Clone, Copy, Debug)]
 pub enum Faults {
     None,
@@ -41,21 +41,20 @@
 
 pub struct Cluster {
     nodes: BTreeMap<String, Node>,
-    /// Messages under way and when they arrive.
     network: Network,
     now_ms: u64,
     rng: SmallRng,
     faults: Faults,
-    /// Nobody asks for anything any more.
-    is_quiet: bool,
-    /// The one command that was ever applied at each index, by any node.
-    chosen: BTreeMap<u64, Vec<u8>>,
+    /// Whether no more commands are proposed.
+    is_idle: bool,
+    /// Command that the first node to reach an index applied there; all nodes must agree.
+    agreed: BTreeMap<u64, Vec<u8>>,
     next_command: u64,
     next_incarnation: u64,
     leaders: BTreeMap<u64, ReplicaId>,
-    /// Reads that are out: node, id, and the commit index when they were asked.
+    /// Pending reads by node, term and id, with the highest index applied when each was requested.
     reads: BTreeMap<(String, u64, u64), u64>,
-    pub tally: Tally,
+    pub counts: EventCounts,
 }
 
 fn options() -> Options {
@@ -77,7 +76,7 @@
             synced: genesis.clone(),
             applied: Vec::new(),
             is_up: true,
-            cut_until_ms: 0,
+            partitioned_until_ms: 0,
         };
         Self {
             nodes: ids.iter().map(|id| (id.host.clone(), node(id))).collect(),
@@ -85,13 +84,13 @@
             now_ms: 0,
             rng: SmallRng::seed_from_u64(seed),
             faults,
-            is_quiet: false,
-            chosen: BTreeMap::new(),
+            is_idle: false,
+            agreed: BTreeMap::new(),
             next_command: 0,
             next_incarnation: 1,
             leaders: BTreeMap::new(),
             reads: BTreeMap::new(),
-            tally: Tally::default(),
+            counts: EventCounts::default(),
         }
     }
 
@@ -101,16 +100,16 @@
         }
     }
 
-    /// Lets faults end and everybody catch up.
+    /// Ends all faults and lets all nodes catch up.
     pub fn settle(&mut self) {
         self.faults = Faults::None;
         let names: Vec<_> = self.nodes.keys().cloned().collect();
         for name in &names {
-            self.nodes.get_mut(name).unwrap().cut_until_ms = 0;
+            self.nodes.get_mut(name).unwrap().partitioned_until_ms = 0;
             self.restart(name);
         }
         self.run(10_000);
-        self.is_quiet = true;
+        self.is_idle = true;
         self.run(1_000);
     }
 
@@ -125,11 +124,11 @@
     fn step(&mut self) {
         self.now_ms += self.rng.random_range(0..3);
         self.inject_fault();
-        self.use_leader();
+        self.drive_leader();
         self.deliver();
         let names: Vec<_> = self.nodes.keys().cloned().collect();
         for name in &names {
-            self.serve(name);
+            self.run_node(name);
         }
     }
 
@@ -143,20 +142,20 @@
             0..4 => self.crash(&name),
             4..24 => self.restart(&name),
             24..26 => {
-                let length_ms = self.rng.random_range(50..2_000);
-                self.nodes.get_mut(&name).unwrap().cut_until_ms = self.now_ms + length_ms;
-                self.tally.cuts += 1;
+                let duration_ms = self.rng.random_range(50..2_000);
+                self.nodes.get_mut(&name).unwrap().partitioned_until_ms = self.now_ms + duration_ms;
+                self.counts.partitions += 1;
             }
             26..40 => self.lose_disk(&name),
             _ => {}
         }
     }
 
-    /// All that was not synced is lost.
+    /// Stops a node; its unsynced state is lost.
     fn crash(&mut self, name: &str) {
         let node = self.nodes.get_mut(name).unwrap();
         if std::mem::take(&mut node.is_up) {
-            self.tally.crashes += 1;
+            self.counts.crashes += 1;
         }
     }
 
@@ -172,16 +171,17 @@
         node.is_up = true;
     }
 
-    /// One disk at a time, and not before every other member votes again.
+    /// Replaces a node's disk by an empty one. Does nothing while any node is down or not a voter,
+    /// so that only one disk at a time is lost.
     fn lose_disk(&mut self, name: &str) {
         let leaders = self.nodes.values().filter(|node| node.is_up && node.replica.is_leader());
         let Some(leader) = leaders.max_by_key(|node| node.replica.term()) else {
             return;
         };
         let voters = &leader.replica.configuration().voters;
-        let all_vote =
+        let all_are_voters =
             self.nodes.values().all(|node| node.is_up && voters.contains(node.replica.id()));
-        if !all_vote || !leader.replica.is_configuration_committed() {
+        if !all_are_voters || !leader.replica.is_configuration_committed() {
             return;
         }
         self.next_incarnation += 1;
@@ -190,19 +190,19 @@
         node.synced = StoredState::blank();
         node.replica = Replica::new(id, StoredState::blank(), options(), self.now_ms);
         node.applied.clear();
-        self.tally.lost_disks += 1;
+        self.counts.lost_disks += 1;
     }
 
-    fn use_leader(&mut self) {
+    fn drive_leader(&mut self) {
         let leaders = self.nodes.values().filter(|node| node.is_up && node.replica.is_leader());
         let Some(name) = leaders.map(|node| node.replica.id().host.clone()).next_back() else {
             return;
         };
         let ids: Vec<_> = self.nodes.values().map(|node| node.replica.id().clone()).collect();
-        let committed = self.chosen.keys().last().copied().unwrap_or(0);
+        let committed = self.agreed.keys().last().copied().unwrap_or(0);
         let node = self.nodes.get_mut(&name).unwrap();
         node.replica.keep_members(self.now_ms);
-        if !self.is_quiet && self.rng.random_range(0..4) == 0 {
+        if !self.is_idle && self.rng.random_range(0..4) == 0 {
             self.next_command += 1;
             node.replica.propose(self.next_command.to_le_bytes().to_vec()).ok();
         }
@@ -222,13 +222,13 @@
             let Some(node) = self.nodes.get_mut(&envelope.to.host) else {
                 continue;
             };
-            if node.is_up && node.cut_until_ms <= now_ms {
+            if node.is_up && node.partitioned_until_ms <= now_ms {
                 node.replica.receive(now_ms, envelope);
             }
         }
     }
 
-    fn serve(&mut self, name: &str) {
+    fn run_node(&mut self, name: &str) {
         let now_ms = self.now_ms;
         let node = self.nodes.get_mut(name).unwrap();
         if !node.is_up {
@@ -236,7 +236,7 @@
         }
         node.replica.tick(now_ms);
         let ready = node.replica.take_ready(now_ms);
-        // The process may die before the write is synced: then nothing of it was said.
+        // The process may crash before the write is synced: then none of its messages are sent.
         if ready.must_sync()
             && matches!(self.faults, Faults::All)
             && self.rng.random_range(0..3_000) == 0
@@ -252,37 +252,39 @@
         for entry in &ready.committed {
             if let Payload::Command(command) = &entry.payload {
                 node.applied.push((entry.index, command.clone()));
-                let first = self.chosen.entry(entry.index).or_insert_with(|| command.clone());
+                let first = self.agreed.entry(entry.index).or_insert_with(|| command.clone());
                 assert_eq!(first, command, "two values at index {}", entry.index);
-                self.tally.committed += 1;
+                self.counts.committed += 1;
             }
         }
         if node.replica.is_leader() {
             let id = node.replica.id().clone();
             let first = self.leaders.entry(node.replica.term()).or_insert_with(|| id.clone());
             assert_eq!(*first, id, "two leaders in term {}", node.replica.term());
-            self.tally.elections = self.leaders.len() as u64;
+            self.counts.elections = self.leaders.len() as u64;
         }
         for (read, index) in &ready.reads {
-            if let Some(seen) = self.reads.remove(&(name.to_owned(), node.replica.term(), read.0)) {
-                assert!(*index >= seen, "a read misses what was committed before it");
-                self.tally.reads += 1;
+            if let Some(committed_before) =
+                self.reads.remove(&(name.to_owned(), node.replica.term(), read.0))
+            {
+                assert!(*index >= committed_before, "a read misses what was committed before it");
+                self.counts.reads += 1;
             }
         }
         if node.replica.log_len() > 64 {
             let index = node.replica.commit_index();
             if let Some(state) = node.replica.compact(index, Vec::new()) {
                 node.synced = state;
-                self.tally.compactions += 1;
+                self.counts.compactions += 1;
             }
         }
-        let is_cut = node.cut_until_ms > now_ms;
-        if !is_cut {
-            self.post(ready.messages);
+        let is_partitioned = node.partitioned_until_ms > now_ms;
+        if !is_partitioned {
+            self.send(ready.messages);
         }
     }
 
-    fn post(&mut self, messages: Vec<Envelope>) {
+    fn send(&mut self, messages: Vec<Envelope>) {
         for message in messages {
             let is_faulty = matches!(self.faults, Faults::All);
             if is_faulty && self.rng.random_range(0..20) == 0 {
--- a/clayplank-agreement/tests/disk/mod.rs
+++ b/clayplank-agreement/tests/disk/mod.rs
@@ -1,8 +1,8 @@
-//! A disk that syncs at once.
+//! A simulated disk that syncs immediately.
 
 use clayplank_agreement::{HardState, Ready, StoredState};
 
-/// Does to what is synced what a store does to its files.
+/// Applies a write to the synced state, as `Store::write` does to its files.
 pub fn write(synced: &mut StoredState, ready: &Ready, hard_state: &HardState) {
     if let Some(snapshot) = &ready.installed {
         *synced = StoredState {
@@ -19,7 +19,7 @@
             continue;
         }
         let position = (entry.index - synced.snapshot.last.index - 1) as usize;
-        assert!(position <= synced.entries.len(), "the disk has no gap");
+        assert!(position <= synced.entries.len(), "the log on disk has no gaps");
         synced.entries.truncate(position);
         synced.entries.push(entry.clone());
     }
--- a/clayplank-agreement/tests/join.rs
+++ b/clayplank-agreement/tests/join.rs
@@ -1,4 +1,4 @@
-//! How keepers without a log begin one or join one.
+//! Decisions of keepers without a log: create one, join an existing one, or wait.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,81 +10,95 @@
     ReplicaId::new(host, 1)
 }
 
-fn blank(host: &str) -> BlankKeeper {
+fn blank_keeper(host: &str) -> BlankKeeper {
     BlankKeeper { id: id(host), may_begin: true }
 }
 
-/// One that is not told that this is the first start.
-fn later(host: &str) -> BlankKeeper {
-    BlankKeeper { may_begin: false, ..blank(host) }
+/// A keeper without a log that has restarted since the first start of the system.
+fn restarted_keeper(host: &str) -> BlankKeeper {
+    BlankKeeper { may_begin: false, ..blank_keeper(host) }
 }
 
-fn answers(list: &[(&str, Introduction)]) -> BTreeMap<String, Introduction> {
-    list.iter().map(|(host, answer)| ((*host).to_owned(), answer.clone())).collect()
+fn replies_from(list: &[(&str, Introduction)]) -> BTreeMap<String, Introduction> {
+    list.iter().map(|(host, reply)| ((*host).to_owned(), reply.clone())).collect()
 }
 
 fn member(genesis: Configuration) -> Introduction {
     Introduction::Member { members: genesis.clone(), genesis }
 }
 
-fn others() -> Vec<String> {
+fn peers() -> Vec<String> {
     vec!["b".to_owned(), "c".to_owned()]
 }
 
 #[test]
-fn the_first_by_name_begins_once_all_are_blank() {
-    let told =
-        answers(&[("b", Introduction::Blank(blank("b"))), ("c", Introduction::Blank(blank("c")))]);
+fn first_keeper_by_name_creates_the_log_once_all_are_without_one() {
+    let replies = replies_from(&[
+        ("b", Introduction::Blank(blank_keeper("b"))),
+        ("c", Introduction::Blank(blank_keeper("c"))),
+    ]);
     let all = Configuration::of_voters([id("a"), id("b"), id("c")]);
-    assert_eq!(plan_join(&blank("a"), &others(), &told), Join::Begin(all));
+    assert_eq!(plan_join(&blank_keeper("a"), &peers(), &replies), Join::Begin(all));
 }
 
 #[test]
-fn nobody_begins_while_one_cannot_be_asked() {
-    let partial = answers(&[("b", Introduction::Blank(blank("b")))]);
-    assert_eq!(plan_join(&blank("a"), &others(), &partial), Join::Wait);
+fn no_log_is_created_while_a_keeper_is_unreachable() {
+    let incomplete = replies_from(&[("b", Introduction::Blank(blank_keeper("b")))]);
+    assert_eq!(plan_join(&blank_keeper("a"), &peers(), &incomplete), Join::Wait);
 }
 
 #[test]
-fn a_later_one_waits_for_the_first() {
-    let told =
-        answers(&[("a", Introduction::Blank(blank("a"))), ("c", Introduction::Blank(blank("c")))]);
-    assert_eq!(plan_join(&blank("b"), &["a".to_owned(), "c".to_owned()], &told), Join::Wait);
+fn later_keepers_by_name_wait_for_the_first() {
+    let replies = replies_from(&[
+        ("a", Introduction::Blank(blank_keeper("a"))),
+        ("c", Introduction::Blank(blank_keeper("c"))),
+    ]);
+    assert_eq!(
+        plan_join(&blank_keeper("b"), &["a".to_owned(), "c".to_owned()], &replies),
+        Join::Wait
+    );
 }
 
 #[test]
-fn a_first_member_takes_the_genesis() {
+fn initial_member_starts_with_the_reported_configuration() {
     let genesis = Configuration::of_voters([id("a"), id("b")]);
-    let told = answers(&[("b", member(genesis.clone()))]);
-    assert_eq!(plan_join(&blank("a"), &others(), &told), Join::Begin(genesis));
+    let replies = replies_from(&[("b", member(genesis.clone()))]);
+    assert_eq!(plan_join(&blank_keeper("a"), &peers(), &replies), Join::Begin(genesis));
 }
 
 #[test]
-fn a_lost_disk_never_begins_again() {
+fn keeper_with_a_lost_disk_joins_as_a_learner() {
     let genesis = Configuration::of_voters([id("a"), id("b"), id("c")]);
-    let told = answers(&[("b", member(genesis))]);
-    let lost = BlankKeeper { id: ReplicaId::new("a", 2), may_begin: false };
-    assert_eq!(plan_join(&lost, &others(), &told), Join::Learn);
+    let replies = replies_from(&[("b", member(genesis))]);
+    let with_lost_disk = BlankKeeper { id: ReplicaId::new("a", 2), may_begin: false };
+    assert_eq!(plan_join(&with_lost_disk, &peers(), &replies), Join::Learn);
 }
 
 #[test]
-fn a_first_member_that_came_back_takes_the_genesis() {
+fn restarted_initial_member_starts_with_the_reported_configuration() {
     let genesis = Configuration::of_voters([id("a"), id("b"), id("c")]);
-    let told = answers(&[("b", member(genesis.clone()))]);
-    assert_eq!(plan_join(&later("a"), &others(), &told), Join::Begin(genesis));
+    let replies = replies_from(&[("b", member(genesis.clone()))]);
+    assert_eq!(plan_join(&restarted_keeper("a"), &peers(), &replies), Join::Begin(genesis));
 }
 
 #[test]
-fn the_next_one_begins_if_the_first_by_name_came_back() {
-    let told =
-        answers(&[("a", Introduction::Blank(later("a"))), ("c", Introduction::Blank(blank("c")))]);
+fn next_keeper_by_name_creates_the_log_if_the_first_has_restarted() {
+    let replies = replies_from(&[
+        ("a", Introduction::Blank(restarted_keeper("a"))),
+        ("c", Introduction::Blank(blank_keeper("c"))),
+    ]);
     let all = Configuration::of_voters([id("a"), id("b"), id("c")]);
-    assert_eq!(plan_join(&blank("b"), &["a".to_owned(), "c".to_owned()], &told), Join::Begin(all));
+    assert_eq!(
+        plan_join(&blank_keeper("b"), &["a".to_owned(), "c".to_owned()], &replies),
+        Join::Begin(all)
+    );
 }
 
 #[test]
-fn nobody_begins_beside_two_that_may_have_lost_a_log() {
-    let told =
-        answers(&[("b", Introduction::Blank(later("b"))), ("c", Introduction::Blank(later("c")))]);
-    assert_eq!(plan_join(&blank("a"), &others(), &told), Join::Wait);
+fn no_log_is_created_if_a_majority_may_have_lost_one() {
+    let replies = replies_from(&[
+        ("b", Introduction::Blank(restarted_keeper("b"))),
+        ("c", Introduction::Blank(restarted_keeper("c"))),
+    ]);
+    assert_eq!(plan_join(&blank_keeper("a"), &peers(), &replies), Join::Wait);
 }
--- a/clayplank-agreement/tests/keepers/mod.rs
+++ b/clayplank-agreement/tests/keepers/mod.rs
@@ -1,7 +1,7 @@
-//! Keepers that start blank, find each other, lose disks and are replaced.
+//! A simulation of keepers that bootstrap the log, restart, lose disks and are replaced.
 //!
-//! A model of the processes around the replicas: who is up, who makes itself known to whom, and
-//! which disks are lost. Time, delays and faults come from a seed.
+//! It models the processes around the replicas: which are running, which introduce themselves to
+//! which, and which disks are lost. Delays and faults are drawn from a seeded generator.
 
 mod checks;
 mod faults;
@@ -18,44 +18,44 @@
 use crate::disk::write;
 use crate::network::Network;
 
-/// One step of time, in ms.
+/// Time step of the simulation, in ms.
 const STEP_MS: u64 = 4;
 
-/// Between two introductions of a keeper that does not vote, in ms.
-const INTRODUCE_EVERY_MS: u64 = 300;
+/// Interval between two introductions of a keeper that is not an active voter, in ms.
+const INTRODUCTION_INTERVAL_MS: u64 = 300;
 
-/// What an introduction waits longer if a keeper cannot be reached, in ms.
-const UNREACHED_MS: u64 = 150;
+/// Additional time until the next introduction if a keeper is unreachable, in ms.
+const UNREACHABLE_DELAY_MS: u64 = 150;
 
-/// How long a new leader waits for enough voters before it takes commands with fewer, in ms.
-const VOTERS_GRACE_MS: u64 = 4_000;
+/// Time for which a new leader with fewer voters than the target accepts no commands, in ms.
+const VOTER_WAIT_MS: u64 = 4_000;
 
-/// A keeper that is back, or new, counts as lost for this long, in ms.
+/// Time for which a keeper counts as failed after it has started or returned, in ms.
 pub const CATCH_UP_MS: u64 = 4_000;
 
-/// What a keeper's process can do.
+/// State of a keeper's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
+enum ProcessState {
     Up,
-    /// It runs, but does nothing, or its disk answers nothing.
+    /// The process makes no progress, for example because its disk does not respond.
     Paused,
     Down,
-    /// It was replaced.
-    Gone,
+    /// Stopped for good; another keeper replaces it.
+    Replaced,
 }
 
 struct Keeper {
     id: ReplicaId,
     genesis: Option<Configuration>,
     replica: Option<Replica>,
-    /// What is synced; `None` on an empty disk.
+    /// Synced state; `None` on an empty disk.
     disk: Option<StoredState>,
-    life: Life,
-    is_cut: bool,
-    /// Noted on its disk at the first start.
+    state: ProcessState,
+    is_partitioned: bool,
+    /// Stored on its disk at the first start of the system, and lost with the disk.
     may_begin: bool,
-    introduce_ms: u64,
-    back_ms: u64,
+    next_introduction_ms: u64,
+    started_ms: u64,
     led_since_ms: Option<u64>,
 }
 
@@ -64,34 +64,36 @@
         BlankKeeper { id: self.id.clone(), may_begin: self.may_begin }
     }
 
-    fn is_reached(&self) -> bool {
-        self.life == Life::Up && !self.is_cut
+    fn is_reachable(&self) -> bool {
+        self.state == ProcessState::Up && !self.is_partitioned
     }
 
-    /// Whether the loss of this keeper is still being borne.
-    fn is_lost(&self, now_ms: u64) -> bool {
-        !self.is_reached() || now_ms < self.back_ms + CATCH_UP_MS
+    /// Whether this keeper counts towards the tolerated failures: it is unreachable, or is catching
+    /// up.
+    fn is_failed(&self, now_ms: u64) -> bool {
+        !self.is_reachable() || now_ms < self.started_ms + CATCH_UP_MS
     }
 }
 
 pub struct Keepers {
     all: BTreeMap<String, Keeper>,
-    seeds: Vec<String>,
+    bootstrap_hosts: Vec<String>,
     losses: usize,
     network: Network,
     pub now_ms: u64,
     rng: SmallRng,
-    next: u64,
-    /// Commands that were acknowledged, by index.
+    next_number: u64,
+    /// Acknowledged commands by index.
     acknowledged: BTreeMap<u64, Vec<u8>>,
-    /// Commands under way: index, term and leader.
+    /// Proposed commands: index, term and leader.
     proposed: Vec<(u64, u64, String)>,
-    /// When all that can be borne at once happens.
-    strike_ms: u64,
-    /// A loss that has no keeper of its own: one that was replaced, until this time.
-    replaced_until_ms: Vec<u64>,
-    /// What happened, for a seed that fails.
-    pub told: Vec<String>,
+    /// Time of the next power failure with the tolerated number of lost disks.
+    power_failure_ms: u64,
+    /// For each keeper that failed and has no successor yet, the time until which it counts as a
+    /// failure.
+    missing_until_ms: Vec<u64>,
+    /// Events of the run, for the report of a failed seed.
+    pub history: Vec<String>,
 }
 
 fn options(losses: usize) -> Options {
@@ -106,26 +108,27 @@
 }
 
 impl Keepers {
-    /// Keepers that start for the first time on empty disks; the first three are told to all.
+    /// Keepers at the first start of the system, on empty disks. The first three are the bootstrap
+    /// addresses.
     pub fn start(count: usize, losses: usize, seed: u64) -> Self {
         let mut keepers = Self {
             all: BTreeMap::new(),
-            seeds: Vec::new(),
+            bootstrap_hosts: Vec::new(),
             losses,
             network: Network::default(),
             now_ms: CATCH_UP_MS,
             rng: SmallRng::seed_from_u64(seed),
-            next: 0,
+            next_number: 0,
             acknowledged: BTreeMap::new(),
             proposed: Vec::new(),
-            strike_ms: u64::MAX,
-            replaced_until_ms: Vec::new(),
-            told: Vec::new(),
+            power_failure_ms: u64::MAX,
+            missing_until_ms: Vec::new(),
+            history: Vec::new(),
         };
         (0..count).for_each(|_| {
             keepers.add(true);
         });
-        keepers.seeds = keepers.all.keys().take(3).cloned().collect();
+        keepers.bootstrap_hosts = keepers.all.keys().take(3).cloned().collect();
         keepers
     }
 
@@ -133,64 +136,66 @@
         self.rng.random_range(range)
     }
 
-    fn tell(&mut self, what: &str) {
-        self.told.push(format!("{:>6} ms: {what}", self.now_ms));
+    fn record_event(&mut self, event: &str) {
+        self.history.push(format!("{:>6} ms: {event}", self.now_ms));
     }
 
-    /// Sets when the losses that are tolerated happen, whatever else goes on.
-    pub fn strike_at(&mut self, at_ms: u64) {
-        self.strike_ms = at_ms;
+    /// Sets the time of the power failure. Events in progress at that time are cut short.
+    pub fn schedule_power_failure(&mut self, at_ms: u64) {
+        self.power_failure_ms = at_ms;
     }
 
-    fn is_struck(&self) -> bool {
-        self.now_ms >= self.strike_ms
+    fn is_power_failure_due(&self) -> bool {
+        self.now_ms >= self.power_failure_ms
     }
 
     /// Adds a keeper with an empty disk; returns its host.
     fn add(&mut self, may_begin: bool) -> String {
-        self.next += 1;
-        let host = format!("k{}", self.next);
+        self.next_number += 1;
+        let host = format!("k{}", self.next_number);
         let keeper = Keeper {
-            id: ReplicaId::new(host.clone(), self.next),
+            id: ReplicaId::new(host.clone(), self.next_number),
             genesis: None,
             replica: None,
             disk: None,
-            life: Life::Up,
-            is_cut: false,
+            state: ProcessState::Up,
+            is_partitioned: false,
             may_begin,
-            introduce_ms: self.now_ms,
-            back_ms: self.now_ms,
+            next_introduction_ms: self.now_ms,
+            started_ms: self.now_ms,
             led_since_ms: None,
         };
         self.all.insert(host.clone(), keeper);
         host
     }
 
-    /// A keeper whose loss is not being borne, if one more may be lost.
-    fn pick(&mut self) -> Option<String> {
-        if self.lost_count() >= self.losses {
+    /// A random keeper without a failure; `None` if no further failure is tolerated.
+    fn pick_healthy(&mut self) -> Option<String> {
+        if self.failed_count() >= self.losses {
             return None;
         }
-        let sound = self.sound();
-        let number = self.rng.random_range(0..sound.len());
-        Some(sound[number].clone())
+        let healthy = self.healthy();
+        let index = self.rng.random_range(0..healthy.len());
+        Some(healthy[index].clone())
     }
 
-    fn sound(&self) -> Vec<String> {
-        let sound = self.all.iter().filter(|(_, keeper)| !keeper.is_lost(self.now_ms));
-        sound.map(|(host, _)| host.clone()).collect()
+    /// Hosts of the keepers that do not count as failed.
+    fn healthy(&self) -> Vec<String> {
+        let healthy = self.all.iter().filter(|(_, keeper)| !keeper.is_failed(self.now_ms));
+        healthy.map(|(host, _)| host.clone()).collect()
     }
 
-    fn lost_count(&self) -> usize {
-        let present = self.all.values().filter(|keeper| keeper.life != Life::Gone);
-        let lost = present.filter(|keeper| keeper.is_lost(self.now_ms)).count();
-        lost + self.replaced_until_ms.iter().filter(|until_ms| self.now_ms < **until_ms).count()
+    /// Number of failures that count against the tolerated number.
+    fn failed_count(&self) -> usize {
+        let present = self.all.values().filter(|keeper| keeper.state != ProcessState::Replaced);
+        let failed = present.filter(|keeper| keeper.is_failed(self.now_ms)).count();
+        failed + self.missing_until_ms.iter().filter(|until_ms| self.now_ms < **until_ms).count()
     }
 
-    /// Lets time pass, until the strike at most.
+    /// Runs the simulation for a time, or until the power failure if that comes first.
     pub fn run_for(&mut self, for_ms: u64) {
         let end_ms = self.now_ms + for_ms;
-        while self.now_ms < end_ms && !self.is_struck() {
+        while self.now_ms < end_ms && !self.is_power_failure_due() {
             self.step();
         }
     }
@@ -200,9 +205,9 @@
         self.deliver();
         let hosts: Vec<_> = self.all.keys().cloned().collect();
         for host in &hosts {
-            if self.all[host].life == Life::Up {
+            if self.all[host].state == ProcessState::Up {
                 self.introduce(host);
-                self.serve(host);
+                self.run_keeper(host);
             }
         }
     }
@@ -213,57 +218,63 @@
             let Some(keeper) = self.all.get_mut(&envelope.to.host) else {
                 continue;
             };
-            if let (true, Some(replica)) = (keeper.is_reached(), &mut keeper.replica) {
+            if let (true, Some(replica)) = (keeper.is_reachable(), &mut keeper.replica) {
                 replica.receive(now_ms, envelope);
             }
         }
     }
 
-    /// What a keeper does that does not vote: it makes itself known to all others.
+    /// Introduces a keeper that is not an active voter to all others, and bootstraps its log if it
+    /// has none.
     fn introduce(&mut self, host: &str) {
         let now_ms = self.now_ms;
         let keeper = &self.all[host];
-        let votes = keeper.replica.as_ref().is_some_and(|replica| {
-            let hears = replica.is_leader() || replica.hears_leader(now_ms);
-            hears && replica.configuration().voters.contains(&keeper.id)
+        let is_active_voter = keeper.replica.as_ref().is_some_and(|replica| {
+            let has_leader_contact = replica.is_leader() || replica.hears_leader(now_ms);
+            has_leader_contact && replica.configuration().voters.contains(&keeper.id)
         });
-        if votes || now_ms < keeper.introduce_ms {
+        if is_active_voter || now_ms < keeper.next_introduction_ms {
             return;
         }
-        let (id, is_cut, has_log) = (keeper.id.clone(), keeper.is_cut, keeper.replica.is_some());
-        let others: Vec<_> = self.all.keys().filter(|other| *other != host).cloned().collect();
-        let mut answers = BTreeMap::new();
-        let mut is_waiting = false;
-        for other in others {
-            let asked = self.all.get_mut(&other).unwrap();
-            if is_cut || !asked.is_reached() {
-                is_waiting = true;
+        let (id, is_partitioned, has_log) =
+            (keeper.id.clone(), keeper.is_partitioned, keeper.replica.is_some());
+        let peers: Vec<_> = self.all.keys().filter(|peer| *peer != host).cloned().collect();
+        let mut replies = BTreeMap::new();
+        let mut has_unreachable = false;
+        for peer in peers {
+            let peer_keeper = self.all.get_mut(&peer).unwrap();
+            if is_partitioned || !peer_keeper.is_reachable() {
+                has_unreachable = true;
                 continue;
             }
-            let answer = match &mut asked.replica {
-                None => Introduction::Blank(asked.as_blank()),
+            let reply = match &mut peer_keeper.replica {
+                None => Introduction::Blank(peer_keeper.as_blank()),
                 Some(replica) => {
                     replica.admit(&id);
                     let members = replica.configuration().clone();
-                    let genesis = asked.genesis.clone().unwrap_or_default();
+                    let genesis = peer_keeper.genesis.clone().unwrap_or_default();
                     Introduction::Member { genesis, members }
                 }
             };
-            answers.insert(other, answer);
+            replies.insert(peer, reply);
         }
         if !has_log {
-            self.begin(host, &answers);
+            self.bootstrap(host, &replies);
         }
-        let wait_ms = INTRODUCE_EVERY_MS + if is_waiting { UNREACHED_MS } else { 0 };
-        self.all.get_mut(host).unwrap().introduce_ms = now_ms + wait_ms;
+        let wait_ms =
+            INTRODUCTION_INTERVAL_MS + if has_unreachable { UNREACHABLE_DELAY_MS } else { 0 };
+        self.all.get_mut(host).unwrap().next_introduction_ms = now_ms + wait_ms;
     }
 
-    fn begin(&mut self, host: &str, answers: &BTreeMap<String, Introduction>) {
-        let names: Vec<_> = self.seeds.iter().filter(|seed| *seed != host).cloned().collect();
-        let is_seed = self.seeds.iter().any(|seed| seed == host);
+    /// Starts the replica of a keeper without a log, if the replies allow it.
+    fn bootstrap(&mut self, host: &str, replies: &BTreeMap<String, Introduction>) {
+        let peers: Vec<_> =
+            self.bootstrap_hosts.iter().filter(|name| *name != host).cloned().collect();
+        let is_bootstrap_host = self.bootstrap_hosts.iter().any(|name| name == host);
         let keeper = self.all.get_mut(host).unwrap();
-        let own = BlankKeeper { may_begin: keeper.may_begin && is_seed, ..keeper.as_blank() };
-        let (state, genesis) = match plan_join(&own, &names, answers) {
+        let local =
+            BlankKeeper { may_begin: keeper.may_begin && is_bootstrap_host, ..keeper.as_blank() };
+        let (state, genesis) = match plan_join(&local, &peers, replies) {
             Join::Begin(genesis) => (StoredState::genesis(genesis.clone(), Vec::new()), genesis),
             Join::Learn => (StoredState::blank(), Configuration::default()),
             Join::Wait => return,
@@ -274,10 +285,10 @@
         keeper.replica = Some(Replica::new(keeper.id.clone(), state, options, self.now_ms));
     }
 
-    /// One round of a keeper: time, commands, the disk, messages.
-    fn serve(&mut self, host: &str) {
+    /// One step of a keeper: time-outs, membership changes, commands, writes and messages.
+    fn run_keeper(&mut self, host: &str) {
         let now_ms = self.now_ms;
-        let wanted = 2 * self.losses + 1;
+        let target_voters = 2 * self.losses + 1;
         let keeper = self.all.get_mut(host).unwrap();
         let Some(replica) = &mut keeper.replica else {
             return;
@@ -285,11 +296,11 @@
         replica.tick(now_ms);
         replica.keep_members(now_ms);
         keeper.led_since_ms = match (replica.is_leader(), keeper.led_since_ms) {
-            (true, held) => Some(held.unwrap_or(now_ms)),
+            (true, since_ms) => Some(since_ms.unwrap_or(now_ms)),
             (false, _) => None,
         };
-        let is_young = keeper.led_since_ms.is_some_and(|at_ms| now_ms < at_ms + VOTERS_GRACE_MS);
-        let lacks_voters = is_young && replica.configuration().voters.len() < wanted;
+        let is_new_leader = keeper.led_since_ms.is_some_and(|at_ms| now_ms < at_ms + VOTER_WAIT_MS);
+        let lacks_voters = is_new_leader && replica.configuration().voters.len() < target_voters;
         if replica.is_leader() && !lacks_voters && self.rng.random_range(0..20) == 0 {
             let command = now_ms.to_le_bytes().to_vec();
             if let Ok(id) = replica.propose(command) {
@@ -300,14 +311,14 @@
         write(keeper.disk.as_mut().unwrap(), &ready, replica.hard_state());
         replica.note_persisted(ready.last_written());
         for entry in &ready.committed {
-            let own = (entry.index, entry.term, host.to_owned());
+            let proposal = (entry.index, entry.term, host.to_owned());
             if let (Payload::Command(command), true) =
-                (&entry.payload, self.proposed.contains(&own))
+                (&entry.payload, self.proposed.contains(&proposal))
             {
                 self.acknowledged.insert(entry.index, command.clone());
             }
         }
-        if !keeper.is_cut {
+        if !keeper.is_partitioned {
             for message in ready.messages {
                 let at_ms = now_ms + self.rng.random_range(0..12);
                 self.network.send(at_ms, message);
--- a/clayplank-agreement/tests/losses.rs
+++ b/clayplank-agreement/tests/losses.rs
@@ -1,5 +1,5 @@
-//! At any step of a restart, a repair or a replacement, the losses that are tolerated leave a
-//! leader, and all that was acknowledged.
+//! If the tolerated number of disks is lost at any step of a restart, a repair or a replacement, a
+//! leader is elected, and no acknowledged command is lost.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,10 +10,10 @@
 use keepers::{CATCH_UP_MS, Keepers};
 use rstest::rstest;
 
-/// Seeds of a usual run; `CLAYPLANK_LOSSES_SEEDS` asks for more.
+/// Default number of seeds; `CLAYPLANK_LOSSES_SEEDS` overrides it.
 const SEEDS: u64 = 150;
 
-/// Time in which service is to be back after all have come back, in ms.
+/// Time after which a leader must have been elected and all keepers vote, once all are back, in ms.
 const RECOVERY_MS: u64 = 8_000;
 
 fn seeds() -> std::ops::Range<u64> {
@@ -21,39 +21,40 @@
     0..count.unwrap_or(SEEDS)
 }
 
-/// One thing that happens to keepers; some begin before the former ones are repaired.
+/// Plays a random event. In half of the cases, the next event starts before the keepers have
+/// recovered from this one.
 fn play_event(keepers: &mut Keepers) {
-    let long_ms = keepers.draw(50..5_000);
+    let duration_ms = keepers.draw(50..5_000);
     match keepers.draw(0..9) {
-        0 => keepers.restart(long_ms, false),
-        1 => keepers.restart(long_ms.min(1_500), false),
-        2 | 3 => keepers.restart(long_ms, true),
-        4 => keepers.silence(long_ms, false),
-        5 => keepers.silence(long_ms, true),
-        6 => keepers.power_off_all(long_ms.min(1_500)),
-        7 => keepers.replace_suddenly(long_ms),
-        _ => keepers.replace_as_planned(long_ms.max(1_000)),
+        0 => keepers.restart(duration_ms, false),
+        1 => keepers.restart(duration_ms.min(1_500), false),
+        2 | 3 => keepers.restart(duration_ms, true),
+        4 => keepers.make_unresponsive(duration_ms, false),
+        5 => keepers.make_unresponsive(duration_ms, true),
+        6 => keepers.power_off_all(duration_ms.min(1_500)),
+        7 => keepers.replace_unplanned(duration_ms),
+        _ => keepers.replace_planned(duration_ms.max(1_000)),
     }
-    let is_calm = keepers.draw(0..2) == 0;
-    let rest_ms = if is_calm { CATCH_UP_MS } else { 0 };
-    let more_ms = keepers.draw(0..1_500);
-    keepers.run_for(rest_ms + more_ms);
+    let recovers = keepers.draw(0..2) == 0;
+    let recovery_ms = if recovers { CATCH_UP_MS } else { 0 };
+    let extra_ms = keepers.draw(0..1_500);
+    keepers.run_for(recovery_ms + extra_ms);
 }
 
 fn play(count: usize, losses: usize, seed: u64) -> Result<usize, String> {
     let mut keepers = Keepers::start(count, losses, seed);
-    let begins_early = keepers.draw(0..4) == 0;
-    let first_ms = if begins_early { keepers.draw(200..3_000) } else { 8_000 };
-    keepers.run_for(first_ms);
+    let starts_early = keepers.draw(0..4) == 0;
+    let warm_up_ms = if starts_early { keepers.draw(200..3_000) } else { 8_000 };
+    keepers.run_for(warm_up_ms);
     for _ in 0..3 {
-        let strike_ms = keepers.now_ms + keepers.draw(0..25_000);
-        keepers.strike_at(strike_ms);
-        while keepers.now_ms < strike_ms {
+        let power_failure_ms = keepers.now_ms + keepers.draw(0..25_000);
+        keepers.schedule_power_failure(power_failure_ms);
+        while keepers.now_ms < power_failure_ms {
             play_event(&mut keepers);
         }
-        keepers.strike();
+        keepers.fail_power();
         keepers.run_for(RECOVERY_MS);
-        keepers.check_led()?;
+        keepers.check_leader()?;
         keepers.check_all_vote()?;
     }
     Ok(keepers.acknowledged_count())
@@ -69,28 +70,33 @@
     for seed in seeds() {
         match play(count, losses, seed) {
             Ok(count) => acknowledged += count,
-            Err(why) => failed.push((seed, why)),
+            Err(reason) => failed.push((seed, reason)),
         }
     }
-    let numbers: Vec<_> = failed.iter().map(|(seed, _)| seed).collect();
-    assert!(failed.is_empty(), "{} seeds {numbers:?}; the first: {}", failed.len(), failed[0].1);
+    let failed_seeds: Vec<_> = failed.iter().map(|(seed, _)| seed).collect();
+    assert!(
+        failed.is_empty(),
+        "{} seeds {failed_seeds:?}; the first: {}",
+        failed.len(),
+        failed[0].1
+    );
     assert!(acknowledged > 1_000, "only {acknowledged} commands were acknowledged");
 }
 
-/// A keeper that is named in the first configuration, but ended before it had begun its log, is
-/// no longer told that this is the first start when it comes back: it would stay blank for good,
-/// and count as a voter.
+/// Guards against a voter that never votes. A keeper of the initial configuration that stops before
+/// its log is created no longer counts as started at the system's first start when it returns. It
+/// must not remain without a log, since it counts as a voter.
 #[rstest]
-fn a_first_keeper_that_ends_before_its_log_begins_votes_later(
+fn initial_keeper_that_stops_before_its_log_is_created_votes_later(
     #[values("k1", "k2", "k3")] host: &str,
     #[values(3, 5)] count: usize,
 ) {
-    for at_ms in (0..600).step_by(4) {
-        let mut keepers = Keepers::start(count, (count - 1) / 2, at_ms);
-        keepers.run_for(at_ms);
+    for stop_ms in (0..600).step_by(4) {
+        let mut keepers = Keepers::start(count, (count - 1) / 2, stop_ms);
+        keepers.run_for(stop_ms);
         keepers.restart_host(host, 400, false);
         keepers.run_for(RECOVERY_MS);
-        let checked = keepers.check_led().and_then(|()| keepers.check_all_vote());
-        assert!(checked.is_ok(), "ended after {at_ms} ms: {}", checked.unwrap_err());
+        let checked = keepers.check_leader().and_then(|()| keepers.check_all_vote());
+        assert!(checked.is_ok(), "stopped after {stop_ms} ms: {}", checked.unwrap_err());
     }
 }
--- a/clayplank-agreement/tests/random.rs
+++ b/clayplank-agreement/tests/random.rs
@@ -1,4 +1,4 @@
-//! Long randomised runs of the log under all faults at once.
+//! Randomised runs of the log with all kinds of faults combined.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Steps of a run; `CLAYPLANK_STEPS` asks for longer ones.
+/// Number of steps of a run; `CLAYPLANK_STEPS` overrides the default.
 fn steps() -> u64 {
     std::env::var("CLAYPLANK_STEPS").ok().and_then(|text| text.parse().ok()).unwrap_or(100_000)
 }
@@ -23,12 +23,15 @@
     cluster.run(steps() / 4);
     cluster.settle();
     cluster.check_all_agree();
-    let tally = cluster.tally;
-    eprintln!("{names:?} seed {seed}: {tally:?}");
-    assert!(tally.committed > 1_000 && tally.crashes > 10 && tally.lost_disks > 2, "{tally:?}");
+    let counts = cluster.counts;
+    eprintln!("{names:?} seed {seed}: {counts:?}");
+    assert!(counts.committed > 1_000 && counts.crashes > 10 && counts.lost_disks > 2, "{counts:?}");
     assert!(
-        tally.cuts > 0 && tally.compactions > 0 && tally.reads > 50 && tally.elections > 5,
-        "{tally:?}"
+        counts.partitions > 0
+            && counts.compactions > 0
+            && counts.reads > 50
+            && counts.elections > 5,
+        "{counts:?}"
     );
 }
 
--- a/clayplank-agreement/tests/store.rs
+++ b/clayplank-agreement/tests/store.rs
@@ -1,4 +1,4 @@
-//! What a folder survives, and what it refuses.
+//! Tests of the data folder: recovery after incomplete writes, and rejection of damaged folders.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -9,7 +9,7 @@
     Configuration, Entry, HardState, Payload, Ready, ReplicaId, Store, StoreError, StoredState,
 };
 
-fn members() -> Configuration {
+fn configuration() -> Configuration {
     Configuration::of_voters([ReplicaId::new("a", 7)])
 }
 
@@ -21,11 +21,11 @@
     Ready { entries, ..Ready::default() }
 }
 
-/// A folder with a log of three entries after the genesis.
+/// Creates a folder with a log of three entries after the initial snapshot.
 fn folder_with_log(dir: &Path) {
     let (mut store, state) = Store::open(dir, "a", 7).unwrap();
     assert_eq!(state, None);
-    store.begin(&StoredState::genesis(members(), Vec::new()), members()).unwrap();
+    store.begin(&StoredState::genesis(configuration(), Vec::new()), configuration()).unwrap();
     let hard_state = HardState { term: 2, vote: Some(ReplicaId::new("a", 7)) };
     let first =
         Ready { hard_state: Some(hard_state.clone()), ..ready(vec![entry(2, "x"), entry(3, "y")]) };
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_was_written_is_read_again() {
+fn written_state_is_read_after_reopening() {
     let dir = tempfile::tempdir().unwrap();
     folder_with_log(dir.path());
     let state = reopen(dir.path()).unwrap();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_replaced_entry_takes_all_after_it_along() {
+fn replacing_an_entry_removes_all_after_it() {
     let dir = tempfile::tempdir().unwrap();
     folder_with_log(dir.path());
     let (mut store, _) = Store::open(dir.path(), "a", 8).unwrap();
@@ -57,23 +57,23 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut() {
+fn incomplete_last_record_is_truncated() {
     let dir = tempfile::tempdir().unwrap();
     folder_with_log(dir.path());
     let path = dir.path().join("log");
     let bytes = fs::read(&path).unwrap();
     fs::write(&path, &bytes[..bytes.len() - 1]).unwrap();
     assert_eq!(reopen(dir.path()).unwrap().entries, vec![entry(2, "x"), entry(3, "y")]);
-    assert_eq!(reopen(dir.path()).unwrap().entries.len(), 2, "and stays cut");
+    assert_eq!(reopen(dir.path()).unwrap().entries.len(), 2, "the file is truncated for good");
 }
 
 #[test]
-fn a_corrupt_middle_is_refused_at_every_byte() {
+fn damage_before_the_last_record_is_detected_at_every_byte() {
     let dir = tempfile::tempdir().unwrap();
     folder_with_log(dir.path());
     let path = dir.path().join("log");
     let bytes = fs::read(&path).unwrap();
-    // The last record may be a torn write; everything before it was synced.
+    // Damage of the last record looks like an incomplete write; everything before it was synced.
     let last_record = bytes.windows(4).rposition(|window| window == b"cpk1").unwrap();
     for position in 0..last_record {
         let mut damaged = bytes.clone();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_missing_log_is_refused() {
+fn folder_without_its_log_file_is_rejected() {
     let dir = tempfile::tempdir().unwrap();
     folder_with_log(dir.path());
     fs::remove_file(dir.path().join("log")).unwrap();
@@ -93,14 +93,14 @@
 }
 
 #[test]
-fn a_folder_of_another_host_is_refused() {
+fn folder_of_another_host_is_rejected() {
     let dir = tempfile::tempdir().unwrap();
     folder_with_log(dir.path());
     assert!(matches!(Store::open(dir.path(), "b", 8), Err(StoreError::OtherHost { .. })));
 }
 
 #[test]
-fn a_folder_in_use_is_refused() {
+fn folder_in_use_is_rejected() {
     let dir = tempfile::tempdir().unwrap();
     let first = Store::open(dir.path(), "a", 7).unwrap();
     assert!(matches!(Store::open(dir.path(), "a", 7), Err(StoreError::InUse { .. })));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_empty_folder_has_a_new_incarnation() {
+fn emptied_folder_gets_a_new_incarnation() {
     let dir = tempfile::tempdir().unwrap();
     folder_with_log(dir.path());
     fs::remove_dir_all(dir.path()).unwrap();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_compacted_folder_holds_the_snapshot_and_what_follows() {
+fn rewritten_folder_has_the_snapshot_and_the_entries_after_it() {
     let dir = tempfile::tempdir().unwrap();
     folder_with_log(dir.path());
     let (mut store, state) = Store::open(dir.path(), "a", 8).unwrap();
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_write_drops_half_a_record_that_a_full_disk_left() {
+fn write_truncates_the_incomplete_record_of_a_full_disk() {
     let dir = tempfile::tempdir().unwrap();
     folder_with_log(dir.path());
     let (mut store, _) = Store::open(dir.path(), "a", 8).unwrap();
@@ -141,16 +141,16 @@
     fs::write(dir.path().join("log"), bytes).unwrap();
     store.write(&ready(vec![entry(5, "later")]), &HardState::default()).unwrap();
     drop(store);
-    let held = vec![entry(2, "x"), entry(3, "y"), entry(4, "z"), entry(5, "later")];
-    assert_eq!(reopen(dir.path()).unwrap().entries, held);
+    let expected = vec![entry(2, "x"), entry(3, "y"), entry(4, "z"), entry(5, "later")];
+    assert_eq!(reopen(dir.path()).unwrap().entries, expected);
 }
 
 #[test]
-fn a_full_disk_is_told_from_one_that_failed() {
+fn full_disk_is_distinguished_from_other_errors() {
     let dir = tempfile::tempdir().unwrap();
     std::os::unix::fs::symlink("/dev/full", dir.path().join("identity.new")).unwrap();
-    let refused = Store::open(dir.path(), "a", 7).unwrap_err();
-    assert!(refused.is_full(), "{refused}");
+    let error = Store::open(dir.path(), "a", 7).unwrap_err();
+    assert!(error.is_full(), "{error}");
     let missing = StoreError::Missing { path: dir.path().to_owned() };
     assert!(!missing.is_full());
 }
