--- a/clayplank-agreement/tests/keepers/faults.rs
+++ b/clayplank-agreement/tests/keepers/faults.rs
@@ -141,7 +141,8 @@
         let now_ms = self.now_ms;
         let reachable = self.all.values_mut().filter(|keeper| keeper.is_reachable());
         let leaders = reachable.filter_map(|keeper| keeper.replica.as_mut());
-        let Some(leader) = leaders.filter(|one| one.is_leader()).max_by_key(|one| one.term())
+        let Some(leader) =
+            leaders.filter(|replica| replica.is_leader()).max_by_key(|replica| replica.term())
         else {
             return false;
         };
--- a/clayplank-agreement/tests/overload.rs
+++ b/clayplank-agreement/tests/overload.rs
@@ -271,7 +271,7 @@
             }
         }
         Outcome {
-            terms: self.keepers.iter().map(|one| one.replica.term()).max().unwrap() - 1,
+            terms: self.keepers.iter().map(|keeper| keeper.replica.term()).max().unwrap() - 1,
             all_confirmed_ms: self.all_confirmed_us().map(|last_us| last_us / MS),
             confirmed_at_end: self.hosts.iter().filter(|host| host.is_confirmed_at_end()).count(),
         }
@@ -289,14 +289,14 @@
     }
 
     fn start_next(&mut self, keeper: usize) {
-        let one = &mut self.keepers[keeper];
-        if one.is_busy {
+        let keeper_state = &mut self.keepers[keeper];
+        if keeper_state.is_busy {
             return;
         }
-        let Some(task) = one.queue.front() else {
+        let Some(task) = keeper_state.queue.front() else {
             return;
         };
-        one.is_busy = true;
+        keeper_state.is_busy = true;
         let cost_us = (task.cost_us() as f64 / self.cpu_share) as u64;
         self.schedule_in(cost_us, Event::TaskDone(keeper));
     }
@@ -363,9 +363,9 @@
     /// Replies to hosts that look for the leader, once the keeper has heard from it after their
     /// request.
     fn reply_to_leader_queries(&mut self, keeper: usize) {
-        let one = &mut self.keepers[keeper];
-        let replica = &one.replica;
-        let answerable = one.leader_queries.extract_if(.., |(_, requested_us)| {
+        let keeper_state = &mut self.keepers[keeper];
+        let replica = &keeper_state.replica;
+        let answerable = keeper_state.leader_queries.extract_if(.., |(_, requested_us)| {
             replica.leader_heard_after(*requested_us / MS).is_some()
         });
         let answerable: Vec<_> = answerable.collect();
@@ -393,10 +393,11 @@
             return;
         }
         let leader = self.leader_of(keeper);
-        let one = &mut self.keepers[keeper];
-        if let Some(leader) = leader.filter(|_| now_us >= one.last_round_us + MIN_ROUND_INTERVAL_US)
+        let keeper_state = &mut self.keepers[keeper];
+        if let Some(leader) =
+            leader.filter(|_| now_us >= keeper_state.last_round_us + MIN_ROUND_INTERVAL_US)
         {
-            one.last_round_us = now_us;
+            keeper_state.last_round_us = now_us;
             self.send(leader, Task::Round { from: keeper, requested_us: now_us });
         }
     }
@@ -421,13 +422,13 @@
             self.send(random_keeper, Task::FindLeader(host));
             return;
         };
-        let one = &mut self.hosts[host];
-        one.keeper = Some(keeper);
-        one.number += 1;
-        let is_known = one.connected_keeper == Some(keeper);
+        let host_state = &mut self.hosts[host];
+        host_state.keeper = Some(keeper);
+        host_state.number += 1;
+        let is_known = host_state.connected_keeper == Some(keeper);
         let kind = if is_known { RequestKind::Repeated } else { RequestKind::First };
-        one.connected_keeper = Some(keeper);
-        let number = one.number;
+        host_state.connected_keeper = Some(keeper);
+        let number = host_state.number;
         self.send(keeper, Task::Confirm { host, number, kind });
         match self.follow_mode {
             FollowMode::Leader => {
@@ -443,8 +444,8 @@
     /// one.
     fn hedge(&mut self, host: usize, number: u64, queried: usize) {
         let keepers = self.keepers.len();
-        let one = &self.hosts[host];
-        let Some(first) = one.keeper.filter(|_| one.number == number) else {
+        let host_state = &self.hosts[host];
+        let Some(first) = host_state.keeper.filter(|_| host_state.number == number) else {
             return;
         };
         let next = (first + queried) % keepers;
@@ -467,28 +468,28 @@
 
     fn handle_confirmation(&mut self, host: usize, number: u64) {
         let now_us = self.now_us;
-        let one = &mut self.hosts[host];
-        if one.number != number {
+        let host_state = &mut self.hosts[host];
+        if host_state.number != number {
             return;
         }
-        one.number += 1;
-        let (first_us, _) = one.confirmed_us.unwrap_or((now_us, now_us));
-        one.confirmed_us = Some((first_us, now_us));
+        host_state.number += 1;
+        let (first_us, _) = host_state.confirmed_us.unwrap_or((now_us, now_us));
+        host_state.confirmed_us = Some((first_us, now_us));
         self.schedule_in(REQUEST_INTERVAL_US, Event::RequestDue(host));
     }
 
     /// Abandons a request, because it timed out or the keeper is not the leader.
     fn abandon_request(&mut self, host: usize, number: u64) {
         let keepers = self.keepers.len();
-        let one = &mut self.hosts[host];
-        if one.number != number {
+        let host_state = &mut self.hosts[host];
+        if host_state.number != number {
             return;
         }
-        one.number += 1;
-        one.connected_keeper = None;
-        one.keeper = match self.follow_mode {
+        host_state.number += 1;
+        host_state.connected_keeper = None;
+        host_state.keeper = match self.follow_mode {
             FollowMode::Leader => None,
-            FollowMode::AnyKeeper => one.keeper.map(|keeper| (keeper + 1) % keepers),
+            FollowMode::AnyKeeper => host_state.keeper.map(|keeper| (keeper + 1) % keepers),
         };
         let delay_us = self.rng.random_range(0..MAX_RETRY_DELAY_US);
         self.schedule_in(delay_us, Event::RequestDue(host));
