--- a/clayplank-agreement/src/bootstrap.rs
+++ b/clayplank-agreement/src/bootstrap.rs
@@ -53,10 +53,11 @@
 ///
 /// A log is created only if every configured keeper has replied that it has none: an unreachable
 /// keeper may have the log. In addition, a majority of them must never have had a log; otherwise
-/// keepers that lost their disks could create a second, empty log. Of the keepers that never had
-/// one, only the first by name creates the log. The others find themselves in the initial
-/// configuration that it reports, even if they have restarted in the meantime (`may_begin` is
-/// `false` then): an initial member that never started would count as a voter without voting.
+/// the others may have lost the disks with an existing log, which would be replaced by an empty
+/// one. Of the keepers that never had a log, only the first by name creates it. The others find
+/// themselves in the initial configuration that it reports. They join as initial members even if
+/// they have restarted in the meantime (`may_begin` is `false` then), because an initial member
+/// without a log would count as a voter and never vote.
 pub fn plan_join(
     local: &BlankKeeper,
     peers: &[String],
