--- a/clayplank-state/src/claims.rs
+++ b/clayplank-state/src/claims.rs
@@ -1,8 +1,8 @@
-//! Requests that must run at most once.
+//! Claims: at-most-once execution of requests with an idempotency key.
 //!
-//! A claim is committed before its request is dispatched. From then on, nobody
-//! else is allowed to dispatch it; only a release by its holder, who sent
-//! nothing, frees the key again.
+//! A host commits a claim before it dispatches the request. From then on, no other dispatch of the
+//! request is allowed. Until the claim expires, its key becomes free again only if the holder
+//! releases it, which means that the holder sent nothing to an upstream.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,40 +11,41 @@
 
 use crate::command::{Claim, Reply};
 
-/// Larger answers are not kept; a repeat is told that the request ran.
+/// Largest answer body that is stored. Of a larger answer, only the status and content type are
+/// stored: a repeat learns that the request ran, but does not get the body.
 pub const MAX_KEPT_ANSWER_BYTES: usize = 64 << 10;
 
-/// Claims that one command forgets at most.
-const FORGOTTEN_AT_ONCE: usize = 16;
+/// Maximum number of expired claims that one claim command removes.
+const MAX_EXPIRED_PER_CLAIM: usize = 16;
 
-/// Names a request that must run at most once.
+/// Identifies a request that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// Whose request.
+    /// Client account that sent the request.
     pub account: AccountId,
-    /// The caller's key.
+    /// Idempotency key chosen by the caller.
     pub key: String,
 }
 
-/// The answer of a request that ran.
+/// The stored answer of a request that ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Type of the body.
+    /// Value of the `content-type` header, if any.
     pub content_type: Option<String>,
-    /// The body; `None` if it was too large to be kept.
+    /// Response body; `None` if it is larger than [`MAX_KEPT_ANSWER_BYTES`].
     pub body: Option<Vec<u8>>,
 }
 
-/// How far a claimed request is.
+/// State of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// Its holder may have dispatched it.
+    /// The holder may have dispatched the request.
     InProgress,
-    /// It ran, and answered.
+    /// The request ran and was answered.
     Settled(Answer),
-    /// It may have run.
+    /// The request may have run; its answer is unknown.
     Unknown,
 }
 
@@ -57,7 +58,7 @@
     state: ClaimState,
 }
 
-/// All claims.
+/// All claims that have not expired, with an index by expiry time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Claims {
     records: BTreeMap<ClaimKey, Record>,
@@ -70,15 +71,15 @@
     }
 
     pub(crate) fn claim(&mut self, now_ms: u64, claim: &Claim) -> Reply {
-        self.forget_expired(now_ms);
+        self.remove_expired(now_ms);
         if let Some(record) = self.records.get(&claim.key) {
-            return answer_repeat(now_ms, record, claim);
+            return reply_to_repeat(now_ms, record, claim);
         }
         let record = Record {
             fingerprint: claim.fingerprint,
             attempt_id: claim.attempt_id,
             deadline_ms: now_ms + claim.deadline_in_ms,
-            // A claim that is forgotten before its request has ended could run twice.
+            // If a claim expired before its request has ended, the request could run twice.
             expires_ms: now_ms + claim.keep_ms.max(2 * claim.deadline_in_ms),
             state: ClaimState::InProgress,
         };
@@ -93,10 +94,10 @@
         attempt_id: AttemptId,
         answer: Option<Answer>,
     ) -> Reply {
-        let held = self.records.get_mut(key).filter(|record| record.attempt_id == attempt_id);
-        if let Some(record) = held.filter(|record| record.state == ClaimState::InProgress) {
+        let matching = self.records.get_mut(key).filter(|record| record.attempt_id == attempt_id);
+        if let Some(record) = matching.filter(|record| record.state == ClaimState::InProgress) {
             record.state = match answer {
-                Some(answer) => ClaimState::Settled(bound_answer(answer)),
+                Some(answer) => ClaimState::Settled(drop_large_body(answer)),
                 None => ClaimState::Unknown,
             };
         }
@@ -104,16 +105,16 @@
     }
 
     pub(crate) fn release(&mut self, key: &ClaimKey, attempt_id: AttemptId) -> Reply {
-        let held = self.records.get(key).filter(|record| record.attempt_id == attempt_id);
-        if let Some(record) = held.filter(|record| record.state == ClaimState::InProgress) {
+        let matching = self.records.get(key).filter(|record| record.attempt_id == attempt_id);
+        if let Some(record) = matching.filter(|record| record.state == ClaimState::InProgress) {
             self.by_expiry.remove(&(record.expires_ms, key.clone()));
             self.records.remove(key);
         }
         Reply::Released
     }
 
-    fn forget_expired(&mut self, now_ms: u64) {
-        for _ in 0..FORGOTTEN_AT_ONCE {
+    fn remove_expired(&mut self, now_ms: u64) {
+        for _ in 0..MAX_EXPIRED_PER_CLAIM {
             let is_due =
                 self.by_expiry.first().is_some_and(|(expires_ms, _)| *expires_ms <= now_ms);
             if !is_due {
@@ -126,12 +127,12 @@
     }
 }
 
-fn answer_repeat(now_ms: u64, record: &Record, claim: &Claim) -> Reply {
+fn reply_to_repeat(now_ms: u64, record: &Record, claim: &Claim) -> Reply {
     if record.fingerprint != claim.fingerprint {
         return Reply::OtherRequest;
     }
     match &record.state {
-        // The holder lost the reply and asks again: it is still the only one.
+        // The holder lost the reply and sent the claim again: it is still the only holder.
         ClaimState::InProgress if record.attempt_id == claim.attempt_id => Reply::Claimed,
         ClaimState::InProgress if now_ms < record.deadline_ms => {
             Reply::InProgress { retry_after_ms: record.deadline_ms - now_ms }
@@ -141,7 +142,7 @@
     }
 }
 
-fn bound_answer(mut answer: Answer) -> Answer {
+fn drop_large_body(mut answer: Answer) -> Answer {
     answer.body = answer.body.filter(|body| body.len() <= MAX_KEPT_ANSWER_BYTES);
     answer
 }
--- a/clayplank-state/src/command.rs
+++ b/clayplank-state/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the log and their replies.
+//! Commands of the replicated log, their replies, and the binary encoding of both.
 
 use std::sync::Arc;
 
@@ -9,15 +9,15 @@
 use serde::{Deserialize, Serialize};
 
 use crate::claims::{Answer, ClaimKey};
+use crate::quarantine::{Trial, Verdicts};
 use crate::settings::{SettingKey, SettingValue, Versioned};
-use crate::suspects::{Trial, Verdicts};
 
-/// Bytes that are not the wanted value, or a value without an encoding.
+/// The bytes do not decode to the requested type, or the value cannot be encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed bytes of the replicated state")]
 pub struct CodecError;
 
-/// Encodes for the log and the inner protocol.
+/// Encodes a value with postcard, as stored in the log and sent between hosts.
 ///
 /// # Errors
 /// The value cannot be encoded.
@@ -25,187 +25,187 @@
     postcard::to_stdvec(value).map_err(|_| CodecError)
 }
 
-/// The reverse of [`encode`].
+/// Decodes bytes written by [`encode`].
 ///
 /// # Errors
-/// The bytes are not a value of the type.
+/// The bytes do not decode to a value of the type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     postcard::from_bytes(bytes).map_err(|_| CodecError)
 }
 
-/// One entry of the log.
+/// One entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// Wall time of the keeper that proposed it, in milliseconds since 1970.
+    /// Wall time at which a keeper proposed the command, in ms since the Unix epoch.
     pub at_ms: u64,
-    /// What is to be done.
+    /// The operation to apply.
     pub body: Body,
 }
 
-/// What is to be done.
+/// The operation of a [`Command`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// An operator changes a setting.
+    /// An operator creates, replaces or removes a setting.
     Change(SettingChange),
-    /// A host is about to dispatch a request that must not run twice.
+    /// A host is about to dispatch a request that must run at most once.
     Claim(Claim),
-    /// The request ran; this is its answer. `None`: it may have run.
+    /// The dispatch of a claimed request has ended, and the request can no longer be released.
     Settle {
-        /// Which request.
+        /// Key of the claimed request.
         key: ClaimKey,
-        /// Under which dispatch.
+        /// Dispatch that took the claim; a claim of another dispatch is left as it is.
         attempt_id: AttemptId,
-        /// What it answered.
+        /// Answer of the request; `None` if the outcome is unknown (the request may have run).
         answer: Option<Answer>,
     },
-    /// Nothing was sent.
+    /// The claimed request was not sent to any upstream, so its key is free again.
     Release {
-        /// Which request.
+        /// Key of the claimed request.
         key: ClaimKey,
-        /// Under which dispatch.
+        /// Dispatch that took the claim; a claim of another dispatch is left as it is.
         attempt_id: AttemptId,
     },
-    /// An operator replaces the serving plan as a whole.
+    /// An operator replaces the complete serving plan.
     Publish(PlanDocument),
-    /// A host is about to give orders to an upstream.
+    /// A host requests a fencing token before it sends commands to an upstream.
     Fence {
-        /// To whom.
+        /// Upstream that receives the commands.
         upstream: UpstreamId,
-        /// Who.
+        /// Host that sends the commands.
         host: HostId,
-        /// How long it may give orders under this token.
+        /// Lease: time for which the host may send commands under the token, in ms.
         lease_ms: u64,
     },
-    /// What a host saw of requests under which upstreams ended.
+    /// A host reports upstreams that terminated or survived while they ran certain requests.
     NoteSightings(Vec<Sighting>),
-    /// A host would try a request that is held back, once.
+    /// A host requests permission to send a quarantined request to an upstream once, as a trial.
     ClaimTrial(RequestFingerprint),
-    /// An operator holds a request back no more.
+    /// An operator lifts the quarantine of a request.
     Lift(RequestFingerprint),
-    /// An operator wants nothing more to go to the upstreams of a data centre.
+    /// An operator cordons a data centre: no requests are sent to its upstreams.
     Cordon(DataCentre),
-    /// An operator takes that back.
+    /// An operator removes the cordon of a data centre.
     Uncordon(DataCentre),
 }
 
-/// A serving plan as the operator sent it.
+/// A serving plan, byte for byte as the operator sent it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanDocument {
-    /// The highest one is in force.
+    /// Version set by the operator; the plan with the highest version is in force.
     pub version: u64,
-    /// The document, unchanged; hosts share it.
+    /// The plan as JSON; reference-counted, so that clones share it.
     pub text: Arc<str>,
 }
 
 /// A change of one setting by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingChange {
-    /// Drawn by the operator's tool; a resend carries the same one.
+    /// Random id from the operator's tool; a resend carries the same id and gets the first reply.
     pub change_id: String,
-    /// The operator's partner.
+    /// Partner to which the operator belongs; it must own the setting.
     pub partner: Partner,
-    /// The operator's name.
+    /// Name of the operator.
     pub operator: String,
-    /// Which setting.
+    /// Setting to change.
     pub key: SettingKey,
-    /// The version that the operator saw; 0 for a setting that is not there.
+    /// Version that the operator last observed; 0 for a setting that does not exist.
     pub expected_version: u64,
-    /// The new value; `None` removes the setting.
+    /// New value; `None` removes the setting.
     pub value: Option<SettingValue>,
 }
 
-/// A host and its life.
+/// The host process that holds a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimHolder {
-    /// Its name.
+    /// Name of the host.
     pub host: HostId,
-    /// Its life.
+    /// Incarnation of the host: changes with each start of its process.
     pub incarnation: Incarnation,
 }
 
-/// A request that must run at most once.
+/// The claim of a request that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Partner, account and the caller's key.
+    /// Client account and the caller's idempotency key.
     pub key: ClaimKey,
-    /// Tells whether a repeat is the same request.
+    /// Hash of the request, to detect reuse of the key for another request.
     pub fingerprint: u128,
-    /// Who dispatches it.
+    /// Host that dispatches the request.
     pub holder: ClaimHolder,
-    /// Under which dispatch.
+    /// Id of the dispatch.
     pub attempt_id: AttemptId,
-    /// From the proposal until the request has ended, one way or the other.
+    /// Time from the proposal by which the request has ended, successfully or not, in ms.
     pub deadline_in_ms: u64,
-    /// From the proposal until the claim is forgotten.
+    /// Retention time of the claim from its proposal, in ms; at least twice `deadline_in_ms` applies.
     pub keep_ms: u64,
 }
 
-/// What a command brought about.
+/// The result of applying a [`Command`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The setting is changed, and has this version now.
+    /// The setting was changed.
     Changed {
-        /// Its version, the revision of the change.
+        /// New version of the setting: the revision created by the change.
         version: u64,
     },
-    /// Somebody else changed the setting before.
+    /// The setting has another version than the operator expected.
     Conflict {
-        /// What it is now.
+        /// Current version and value.
         current: Box<Versioned>,
     },
-    /// The setting is another partner's.
+    /// The setting belongs to another partner.
     Forbidden,
-    /// The change does not fit the other settings.
+    /// The change is inconsistent with other settings or with its key.
     Unfit {
-        /// The place in the value, as a JSON pointer.
+        /// Location of the fault in the value, as a JSON pointer; empty for the whole value.
         path: String,
-        /// What would be right.
+        /// The violated rule.
         message: String,
     },
-    /// The request may be dispatched, once, by the one who asked.
+    /// The claim is granted: the claiming host may dispatch the request once.
     Claimed,
-    /// The request ran before; this is what it answered.
+    /// The request has already run; this is its answer.
     Repeated(Answer),
-    /// The request is being run.
+    /// The request has been claimed by another dispatch and may still be running.
     InProgress {
-        /// When its outcome will be known.
+        /// Remaining time until the deadline of the claim, in ms.
         retry_after_ms: u64,
     },
-    /// The request may have run; its answer is not known.
+    /// The request may have run, but its answer is unknown.
     Unknown,
-    /// The key was used for another request.
+    /// The key was used before for a request with another fingerprint.
     OtherRequest,
-    /// The claim is settled, or was before.
+    /// The settlement was applied, or there was no open claim of that dispatch.
     Settled,
-    /// The claim is gone, or was not there.
+    /// The claim was removed, or there was no open claim of that dispatch.
     Released,
     /// A plan of this version or a higher one is in force.
     Published {
-        /// The version in force.
+        /// Version in force.
         version: u64,
     },
-    /// Another plan has this version.
+    /// A plan with the same version but another text is in force.
     OtherPlan,
-    /// The token for orders from now on.
+    /// A fencing token was granted.
     Fenced {
-        /// Higher than all before it.
+        /// Token, higher than all tokens granted before it, for any upstream.
         token: u64,
-        /// What is left of another holder's lease. Whoever orders an upstream
-        /// that checks no tokens waits for it.
+        /// Remaining lease of the previous holder, if that is another host, in ms. Before it
+        /// commands an upstream that does not check tokens, the new holder waits for this time.
         wait_ms: u64,
     },
-    /// What was seen is taken in.
+    /// The reported observations were applied; these changes of the quarantine resulted.
     Noted(Verdicts),
-    /// Whether the host that asked may try the request.
+    /// Whether the requesting host may send the request to an upstream.
     Trial(Trial),
-    /// The request is not held back.
+    /// The request is not quarantined now.
     Lifted {
-        /// Whether it was before.
+        /// Whether it was quarantined before the command.
         was_held_back: bool,
     },
-    /// The data centre is under a cordon, or is not, as was asked.
+    /// The data centre is cordoned or not, as the operator requested.
     Cordoned {
-        /// Whether that was otherwise before.
+        /// Whether the command changed this.
         has_changed: bool,
     },
 }
--- a/clayplank-state/src/cordons.rs
+++ b/clayplank-state/src/cordons.rs
@@ -1,4 +1,4 @@
-//! Data centres whose upstreams get nothing, by order of an operator.
+//! Data centres that an operator has cordoned: no requests are sent to their upstreams.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 use crate::command::Reply;
 
-/// Data centres under a cordon, and the revision of the settings that changed them last.
+/// The cordoned data centres, and the revision that last changed them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Cordons {
     pub(crate) revision: u64,
@@ -15,8 +15,8 @@
 }
 
 impl Cordons {
-    /// Puts a data centre under a cordon, or takes the cordon off. The same order again changes
-    /// nothing, so that one whose answer was lost may be sent again.
+    /// Adds or removes the cordon of a data centre. The operation is idempotent, so that a command
+    /// whose reply was lost can be sent again.
     pub(crate) fn set(
         &mut self,
         revision: u64,
@@ -34,11 +34,12 @@
         Reply::Cordoned { has_changed }
     }
 
-    /// All data centres under a cordon.
+    /// All cordoned data centres.
     pub(crate) fn data_centres(&self) -> &BTreeSet<DataCentre> {
         &self.data_centres
     }
 
+    /// All cordoned data centres if they changed after `revision`, otherwise `None`.
     pub(crate) fn changed_after(&self, revision: u64) -> Option<BTreeSet<DataCentre>> {
         (self.revision > revision).then(|| self.data_centres.clone())
     }
--- a/clayplank-state/src/lib.rs
+++ b/clayplank-state/src/lib.rs
@@ -1,9 +1,11 @@
-//! The replicated state: settings of partners, claims, fencing tokens, requests that are held
-//! back, and data centres under a cordon.
+//! The replicated state machine: settings of partners, claims of requests that must run at most
+//! once, the serving plan, fencing tokens for upstreams, quarantined requests, and cordoned data
+//! centres.
 //!
-//! [`Machine`] is what the keepers' log drives: the same commands in the same
-//! order give the same state and the same replies everywhere. It reads no
-//! clock; each [`Command`] carries the time of the keeper that proposed it.
+//! The keepers replicate a log of [`Command`]s and apply each committed entry to a [`Machine`].
+//! The machine is deterministic: the same commands in the same order give the same state and the
+//! same replies on every keeper. It reads no clock; each command carries the wall time of the
+//! keeper that proposed it.
 //!
 //! ```
 //! use clayplank_settings::Template;
@@ -23,7 +25,7 @@
 //! let mut machine = Machine::default();
 //! let command = Command { at_ms: 1, body: Body::Change(change) };
 //! assert_eq!(machine.apply(&command), Reply::Changed { version: 1 });
-//! assert_eq!(machine.apply(&command), Reply::Changed { version: 1 }, "a resend gets its first answer");
+//! assert_eq!(machine.apply(&command), Reply::Changed { version: 1 }, "a resent change gets its first reply");
 //! ```
 
 mod claims;
@@ -33,8 +35,8 @@
 mod packing;
 mod plan;
 mod plan_edit;
+mod quarantine;
 mod settings;
-mod suspects;
 mod view;
 
 pub use claims::{Answer, ClaimKey, ClaimState, MAX_KEPT_ANSWER_BYTES};
@@ -45,6 +47,6 @@
 pub use machine::{Counts, Machine};
 pub use packing::{PackError, pack, unpack};
 pub use plan_edit::{EditError, PlanEdit};
+pub use quarantine::{Trial, Verdicts};
 pub use settings::{Delta, SettingKey, SettingValue, Versioned};
-pub use suspects::{Trial, Verdicts};
 pub use view::{SettingsView, StaleDelta};
--- a/clayplank-state/src/machine.rs
+++ b/clayplank-state/src/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine that the keepers' log drives.
+//! The deterministic state machine to which the keepers apply their replicated log.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,21 +9,21 @@
 use crate::command::{Body, CodecError, Command, PlanDocument, Reply, decode, encode};
 use crate::cordons::Cordons;
 use crate::plan::Plan;
+use crate::quarantine::{Quarantine, Trial};
 use crate::settings::{Delta, Settings};
-use crate::suspects::{Suspects, Trial};
 
-/// How much a machine holds.
+/// Sizes of a machine's state, reported to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// The newest revision of settings.
+    /// Latest revision.
     pub revision: u64,
-    /// Settings, removed ones among them.
+    /// Number of settings, including removed ones.
     pub settings: usize,
-    /// Claims.
+    /// Number of claims that are stored.
     pub claims: usize,
 }
 
-/// Who may give orders to an upstream.
+/// The latest fencing token of an upstream, and the lease of its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Fence {
     token: u64,
@@ -31,7 +31,8 @@
     until_ms: u64,
 }
 
-/// Settings, claims, fencing tokens, requests that are held back, and cordons.
+/// The replicated state. All parts that hosts follow (settings, plan, quarantined requests and
+/// cordons) share one sequence of revisions, so that a host can request the changes after one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     settings: Settings,
@@ -39,14 +40,15 @@
     claims: Claims,
     fences: BTreeMap<UpstreamId, Fence>,
     last_fence: u64,
-    suspects: Suspects,
+    suspects: Quarantine,
     cordons: Cordons,
-    /// The latest time that a command carried: time never goes back, whoever leads.
+    /// Highest timestamp of any applied command. It never decreases, also when leadership moves to a
+    /// keeper with a slower clock.
     now_ms: u64,
 }
 
 impl Machine {
-    /// Applies a command and gives the reply to whoever asked for it.
+    /// Applies a command and returns the reply for its sender.
     pub fn apply(&mut self, command: &Command) -> Reply {
         self.now_ms = self.now_ms.max(command.at_ms);
         match &command.body {
@@ -58,7 +60,7 @@
             Body::Release { key, attempt_id } => self.claims.release(key, *attempt_id),
             Body::Publish(document) => self.publish(document),
             Body::Fence { upstream, host, lease_ms } => self.fence(upstream, host, *lease_ms),
-            Body::NoteSightings(sightings) => self.note_sightings(sightings),
+            Body::NoteSightings(sightings) => self.apply_sightings(sightings),
             Body::ClaimTrial(fingerprint) => self.claim_trial(*fingerprint),
             Body::Lift(fingerprint) => self.lift(*fingerprint),
             Body::Cordon(data_centre) => self.set_cordon(data_centre, true),
@@ -66,10 +68,10 @@
         }
     }
 
-    fn note_sightings(&mut self, sightings: &[Sighting]) -> Reply {
-        let verdicts = self.suspects.note(self.now_ms, sightings);
+    fn apply_sightings(&mut self, sightings: &[Sighting]) -> Reply {
+        let verdicts = self.suspects.apply(self.now_ms, sightings);
         if !verdicts.is_empty() {
-            self.tell_held_back();
+            self.bump_quarantine_revision();
         }
         Reply::Noted(verdicts)
     }
@@ -77,8 +79,8 @@
     fn claim_trial(&mut self, fingerprint: RequestFingerprint) -> Reply {
         let trial = self.suspects.claim_trial(self.now_ms, fingerprint);
         if trial == Trial::Granted {
-            // The other hosts learn when the next one is.
-            self.tell_held_back();
+            // The other hosts receive the time of the next trial.
+            self.bump_quarantine_revision();
         }
         Reply::Trial(trial)
     }
@@ -86,13 +88,13 @@
     fn lift(&mut self, fingerprint: RequestFingerprint) -> Reply {
         let was_held_back = self.suspects.lift(fingerprint);
         if was_held_back {
-            self.tell_held_back();
+            self.bump_quarantine_revision();
         }
         Reply::Lifted { was_held_back }
     }
 
-    /// Hosts get the list anew.
-    fn tell_held_back(&mut self) {
+    /// Creates a revision, so that hosts receive the list of quarantined requests again.
+    fn bump_quarantine_revision(&mut self) {
         self.settings.revision += 1;
         self.suspects.revision = self.settings.revision;
     }
@@ -118,46 +120,46 @@
     fn fence(&mut self, upstream: &UpstreamId, host: &HostId, lease_ms: u64) -> Reply {
         self.last_fence += 1;
         let token = self.last_fence;
-        let former = self.fences.get(upstream);
-        assert!(former.is_none_or(|former| former.token < token), "fencing tokens only rise");
-        let other = former.filter(|former| former.host != *host);
-        let wait_ms = other.map_or(0, |other| other.until_ms.saturating_sub(self.now_ms));
+        let previous = self.fences.get(upstream);
+        assert!(previous.is_none_or(|previous| previous.token < token), "fencing tokens increase");
+        let other_holder = previous.filter(|previous| previous.host != *host);
+        let wait_ms = other_holder.map_or(0, |other| other.until_ms.saturating_sub(self.now_ms));
         let until_ms = self.now_ms + wait_ms + lease_ms;
         self.fences.insert(upstream.clone(), Fence { token, host: host.clone(), until_ms });
         Reply::Fenced { token, wait_ms }
     }
 
-    /// The newest revision of settings.
+    /// Latest revision; each change that hosts have to receive increases it by one.
     pub fn revision(&self) -> u64 {
         self.settings.revision
     }
 
-    /// Settings that changed after a revision.
+    /// All changes after `revision`, for a host that has applied that revision.
     pub fn delta_after(&self, revision: u64) -> Delta {
         let mut delta = self.settings.delta_after(revision);
         delta.plan = self.plan.changed_after(revision);
-        let is_news = self.suspects.revision > revision;
-        delta.held_back = is_news.then(|| self.held_back());
+        let has_changed = self.suspects.revision > revision;
+        delta.held_back = has_changed.then(|| self.held_back());
         delta.cordoned = self.cordons.changed_after(revision);
         delta
     }
 
-    /// Requests that are held back.
+    /// All quarantined requests.
     pub fn held_back(&self) -> Vec<HeldBack> {
-        self.suspects.held_back(self.now_ms)
+        self.suspects.quarantined(self.now_ms)
     }
 
-    /// Data centres whose upstreams get nothing.
+    /// All cordoned data centres: no requests are sent to their upstreams.
     pub fn cordoned(&self) -> &BTreeSet<DataCentre> {
         self.cordons.data_centres()
     }
 
-    /// The serving plan in force.
+    /// The serving plan in force; `None` if none was published.
     pub fn plan(&self) -> Option<&PlanDocument> {
         self.plan.document.as_ref()
     }
 
-    /// How much it holds.
+    /// Latest revision, and the numbers of settings and claims.
     pub fn counts(&self) -> Counts {
         Counts {
             revision: self.revision(),
@@ -166,7 +168,7 @@
         }
     }
 
-    /// The whole state, for a snapshot.
+    /// Encodes the complete state as a snapshot.
     ///
     /// # Errors
     /// The state cannot be encoded.
@@ -174,7 +176,7 @@
         encode(self)
     }
 
-    /// The reverse of [`Machine::to_snapshot`]; no bytes are the empty state.
+    /// Restores the state from a snapshot; empty input gives the initial state.
     ///
     /// # Errors
     /// The bytes are not a snapshot.
--- a/clayplank-state/src/packing.rs
+++ b/clayplank-state/src/packing.rs
@@ -1,4 +1,4 @@
-//! Values as they are sent where they repeat themselves: encoded and deflated (RFC 1951).
+//! Compressed encoding for values with repetitive content: postcard, then DEFLATE (RFC 1951).
 
 use std::io::{Read, Write};
 
@@ -10,34 +10,35 @@
 
 use crate::command::{CodecError, decode, encode};
 
-/// The largest value that is unpacked, in bytes: a few times the largest plan that keepers take.
+/// Maximum number of bytes that are decompressed from one value: a few times the size of the largest
+/// plan that keepers accept.
 const MAX_UNPACKED_BYTES: u64 = 32 << 20;
 
-/// Why a value cannot be packed, or read again.
+/// Error of [`pack`] or [`unpack`].
 #[derive(Debug, thiserror::Error)]
 pub enum PackError {
-    /// The packed bytes are damaged.
+    /// The bytes are not valid DEFLATE data.
     #[error("the value cannot be unpacked: {0}")]
     Packed(#[from] std::io::Error),
-    /// What was packed is no such value.
+    /// The value cannot be encoded, or the decompressed bytes do not decode to the requested type.
     #[error(transparent)]
     Codec(#[from] CodecError),
 }
 
-/// Packs a value.
+/// Encodes and compresses a value.
 ///
 /// # Errors
-/// None that is known: the bytes are written to memory.
+/// The value cannot be encoded. Compression itself writes to memory and has no known error.
 pub fn pack<T: Serialize>(value: &T) -> Result<Vec<u8>, PackError> {
-    let mut packer = DeflateEncoder::new(Vec::new(), Compression::fast());
-    packer.write_all(&encode(value)?)?;
-    Ok(packer.finish()?)
+    let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
+    encoder.write_all(&encode(value)?)?;
+    Ok(encoder.finish()?)
 }
 
-/// The reverse of [`pack`].
+/// Decompresses and decodes bytes written by [`pack`].
 ///
 /// # Errors
-/// The bytes are damaged, or hold more than any plan.
+/// The bytes are damaged, or decompress to more than 32 MiB.
 pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, PackError> {
     let mut encoded = Vec::new();
     DeflateDecoder::new(bytes).take(MAX_UNPACKED_BYTES).read_to_end(&mut encoded)?;
--- a/clayplank-state/src/settings.rs
+++ b/clayplank-state/src/settings.rs
@@ -1,4 +1,4 @@
-//! Templates and client accounts with their versions.
+//! Settings of partners: versioned serving templates and client accounts.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,40 +8,41 @@
 
 use crate::command::{PlanDocument, Reply, SettingChange};
 
-/// Replies to changes that are kept for resends: some months of changes.
-const KEPT_CHANGES: usize = 100_000;
+/// Number of most recent replies to changes that are stored to answer resends: some months of
+/// changes.
+const MAX_KEPT_REPLIES: usize = 100_000;
 
-/// Names a setting.
+/// Identifies a setting.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SettingKey {
     /// A serving template.
     Template {
-        /// Whose it is.
+        /// Partner that owns the template.
         partner: Partner,
-        /// Its name.
+        /// Name of the template, unique among the partner's templates.
         name: String,
     },
     /// A client account.
     Account {
-        /// Whose it is.
+        /// Partner that owns the account.
         partner: Partner,
-        /// Its name.
+        /// Name of the account, unique among the partner's accounts.
         name: String,
     },
 }
 
 impl SettingKey {
-    /// Names a template.
+    /// The key of a template.
     pub fn template(partner: &Partner, name: &str) -> Self {
         Self::Template { partner: partner.clone(), name: name.to_owned() }
     }
 
-    /// Names a client account.
+    /// The key of a client account.
     pub fn account(partner: &Partner, name: &str) -> Self {
         Self::Account { partner: partner.clone(), name: name.to_owned() }
     }
 
-    /// Whose setting it is.
+    /// Partner that owns the setting.
     pub fn partner(&self) -> &Partner {
         match self {
             Self::Template { partner, .. } | Self::Account { partner, .. } => partner,
@@ -52,37 +53,38 @@
 /// The value of a setting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SettingValue {
-    /// Of a template.
+    /// Value of a serving template.
     Template(Template),
-    /// Of a client account.
+    /// Value of a client account.
     Account(ClientAccount),
 }
 
-/// A value and the revision that set it. A removed setting keeps its version.
+/// The value of a setting and the revision that set it. A removed setting stays as an entry without
+/// a value, with the revision of its removal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versioned {
-    /// Rises with each change.
+    /// Revision of the last change; it increases with each change.
     pub version: u64,
-    /// `None` once it was removed.
+    /// Current value; `None` if the setting was removed.
     pub value: Option<SettingValue>,
 }
 
-/// What changed between two revisions.
+/// The changes between two revisions, as sent to hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The newest revision that it holds.
+    /// Revision that a host has reached once it has applied the delta.
     pub revision: u64,
-    /// Settings that changed, with their newest value.
+    /// Changed settings with their latest version.
     pub items: Vec<(SettingKey, Versioned)>,
-    /// The serving plan, if it changed.
+    /// The serving plan, if it changed; otherwise `None`.
     pub plan: Option<PlanDocument>,
-    /// All requests that are held back, if that has changed.
+    /// All quarantined requests, if the list changed; otherwise `None`.
     pub held_back: Option<Vec<HeldBack>>,
-    /// All data centres whose upstreams get nothing, if that has changed.
+    /// All cordoned data centres, if the set changed; otherwise `None`.
     pub cordoned: Option<BTreeSet<DataCentre>>,
 }
 
-/// All settings of all partners.
+/// All settings of all partners, and the replies to recent changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Settings {
     pub(crate) revision: u64,
@@ -93,36 +95,41 @@
 }
 
 impl Settings {
+    /// Applies an operator's change. A resend, recognized by its `change_id`, gets the stored reply.
     pub(crate) fn apply(&mut self, change: &SettingChange) -> Reply {
         let change_key = (change.partner.clone(), change.change_id.clone());
-        if let Some(first) = self.replies.get(&change_key) {
-            return first.clone();
+        if let Some(reply) = self.replies.get(&change_key) {
+            return reply.clone();
         }
-        let reply = match self.plan(change) {
+        let reply = match self.validate(change) {
             Ok(()) => self.set(change),
             Err(reply) => reply,
         };
-        self.keep_reply(change_key, &reply);
+        self.store_reply(change_key, &reply);
         reply
     }
 
-    /// Whether the change may be made.
-    fn plan(&self, change: &SettingChange) -> Result<(), Reply> {
+    /// Checks whether the change is allowed; the error is the reply that rejects it.
+    fn validate(&self, change: &SettingChange) -> Result<(), Reply> {
         if change.key.partner() != &change.partner {
             return Err(Reply::Forbidden);
         }
         let current = self.items.get(&change.key).cloned().unwrap_or_default();
-        let seen = if current.value.is_some() { current.version } else { 0 };
-        // A removed setting may be made anew by one who saw it removed, or never saw it.
-        let is_seen = change.expected_version == seen || change.expected_version == current.version;
-        if !is_seen {
+        let visible_version = if current.value.is_some() { current.version } else { 0 };
+        // A removed setting may be created again by an operator who expects either the version of
+        // its removal or 0.
+        let is_expected = change.expected_version == visible_version
+            || change.expected_version == current.version;
+        if !is_expected {
             return Err(Reply::Conflict { current: Box::new(current) });
         }
         match (&change.key, &change.value) {
             (SettingKey::Account { .. }, Some(SettingValue::Account(account))) => {
-                self.plan_account(change, account)
+                self.validate_account(change, account)
+            }
+            (SettingKey::Template { partner, name }, None) => {
+                self.validate_template_removal(partner, name)
             }
-            (SettingKey::Template { partner, name }, None) => self.plan_removal(partner, name),
             (SettingKey::Template { .. }, Some(SettingValue::Template(_)))
             | (SettingKey::Account { .. }, None) => Ok(()),
             (SettingKey::Template { .. }, Some(SettingValue::Account(_)))
@@ -132,7 +139,11 @@
         }
     }
 
-    fn plan_account(&self, change: &SettingChange, account: &ClientAccount) -> Result<(), Reply> {
+    fn validate_account(
+        &self,
+        change: &SettingChange,
+        account: &ClientAccount,
+    ) -> Result<(), Reply> {
         let template = SettingKey::template(&change.partner, &account.template);
         if self.items.get(&template).is_none_or(|item| item.value.is_none()) {
             return Err(unfit("/template", "must name a template of the same partner"));
@@ -147,7 +158,7 @@
         }
     }
 
-    fn plan_removal(&self, partner: &Partner, name: &str) -> Result<(), Reply> {
+    fn validate_template_removal(&self, partner: &Partner, name: &str) -> Result<(), Reply> {
         let is_used = self
             .accounts()
             .any(|(key, account)| key.partner() == partner && account.template == name);
@@ -165,24 +176,24 @@
         self.revision += 1;
         let version = self.revision;
         let item = self.items.entry(change.key.clone()).or_default();
-        assert!(version > item.version, "versions only rise");
+        assert!(version > item.version, "the version of a setting increases with each change");
         self.by_revision.remove(&item.version);
         *item = Versioned { version, value: change.value.clone() };
         self.by_revision.insert(version, change.key.clone());
         Reply::Changed { version }
     }
 
-    fn keep_reply(&mut self, change_key: (Partner, String), reply: &Reply) {
+    fn store_reply(&mut self, change_key: (Partner, String), reply: &Reply) {
         self.replies.insert(change_key.clone(), reply.clone());
         self.reply_order.push_back(change_key);
-        while self.reply_order.len() > KEPT_CHANGES {
+        while self.reply_order.len() > MAX_KEPT_REPLIES {
             if let Some(oldest) = self.reply_order.pop_front() {
                 self.replies.remove(&oldest);
             }
         }
     }
 
-    /// What changed after a revision.
+    /// Settings that changed after `revision`.
     pub(crate) fn delta_after(&self, revision: u64) -> Delta {
         let changed = self.by_revision.range(revision + 1..).map(|(_, key)| key);
         let items =
@@ -190,6 +201,7 @@
         Delta { revision: self.revision, items: items.collect(), ..Delta::default() }
     }
 
+    /// Number of settings, including removed ones.
     pub(crate) fn len(&self) -> usize {
         self.items.len()
     }
--- a/clayplank-state/src/view.rs
+++ b/clayplank-state/src/view.rs
@@ -1,4 +1,4 @@
-//! Settings as a host serves under them.
+//! A host's copy of the settings, kept up to date by deltas from the keepers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -8,39 +8,39 @@
 
 use crate::settings::{Delta, SettingKey, SettingValue, Versioned};
 
-/// A delta that is older than what the view holds.
+/// A delta has a lower revision than the view to which it was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a delta of revision {delta} came after revision {applied}")]
+#[error("stale settings delta: its revision {delta} is lower than the applied revision {applied}")]
 pub struct StaleDelta {
-    /// Its revision.
+    /// Revision of the rejected delta.
     pub delta: u64,
-    /// The revision of the view.
+    /// Revision of the view.
     pub applied: u64,
 }
 
-/// All settings at one revision. A copy shares what it holds.
+/// All settings at one revision. Clones share the keys and values.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsView {
     revision: u64,
     items: BTreeMap<Arc<SettingKey>, Arc<Versioned>>,
-    by_key: HashMap<KeyDigest, Arc<SettingKey>>,
+    account_by_digest: HashMap<KeyDigest, Arc<SettingKey>>,
 }
 
 impl SettingsView {
-    /// The revision; it only rises.
+    /// Revision of the last applied delta; it never decreases.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Every setting, removed ones among them.
+    /// All settings, including removed ones.
     pub fn iter(&self) -> impl Iterator<Item = (&SettingKey, &Versioned)> {
         self.items.iter().map(|(key, item)| (&**key, &**item))
     }
 
-    /// Takes a delta in.
+    /// Applies the settings of a delta.
     ///
     /// # Errors
-    /// The delta is older than the view, which stays as it was.
+    /// The delta has a lower revision than the view; the view is unchanged then.
     pub fn apply(&mut self, delta: Delta) -> Result<(), StaleDelta> {
         if delta.revision < self.revision {
             return Err(StaleDelta { delta: delta.revision, applied: self.revision });
@@ -53,31 +53,31 @@
     }
 
     fn apply_item(&mut self, key: SettingKey, item: Versioned) {
-        let former = self.items.get(&key);
+        let previous = self.items.get(&key);
         assert!(
-            former.is_none_or(|former| former.version <= item.version),
-            "a setting never reverts"
+            previous.is_none_or(|previous| previous.version <= item.version),
+            "the version of a setting never decreases"
         );
         if let Some(SettingValue::Account(account)) =
-            former.and_then(|former| former.value.as_ref())
+            previous.and_then(|previous| previous.value.as_ref())
         {
-            self.by_key.remove(&account.key_sha256);
+            self.account_by_digest.remove(&account.key_sha256);
         }
         let key = Arc::new(key);
         if let Some(SettingValue::Account(account)) = &item.value {
-            self.by_key.insert(account.key_sha256, Arc::clone(&key));
+            self.account_by_digest.insert(account.key_sha256, Arc::clone(&key));
         }
         self.items.insert(key, Arc::new(item));
     }
 
-    /// The account of a bearer key.
+    /// Looks up the client account with this bearer key.
     pub fn find_account(&self, key: &str) -> Option<(AccountId, &ClientAccount)> {
         let digest = KeyDigest::of(key);
-        let (known, setting) = self.by_key.get_key_value(&digest)?;
-        if !known.matches(&digest) {
+        let (known_digest, setting_key) = self.account_by_digest.get_key_value(&digest)?;
+        if !known_digest.matches(&digest) {
             return None;
         }
-        match &**setting {
+        match &**setting_key {
             SettingKey::Account { partner, name } => {
                 let id = AccountId::new(partner.clone(), name.clone());
                 let account = self.account(&id)?;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// An account by its name.
+    /// Looks up a client account by its id; `None` if it does not exist or was removed.
     pub fn account(&self, id: &AccountId) -> Option<&ClientAccount> {
         match &self.items.get(&SettingKey::account(&id.partner, &id.name))?.value {
             Some(SettingValue::Account(account)) => Some(account),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A template by its name.
+    /// Looks up a template by its name; `None` if it does not exist or was removed.
     pub fn template(&self, partner: &Partner, name: &str) -> Option<&Template> {
         match &self.items.get(&SettingKey::template(partner, name))?.value {
             Some(SettingValue::Template(template)) => Some(template),
@@ -103,7 +103,8 @@
         }
     }
 
-    /// What holds for a request of an account that names a template, or none.
+    /// Effective settings of a request: those of the account, combined with the template that the
+    /// request names or else the default template of the account. `None` if either does not exist.
     pub fn effective(&self, id: &AccountId, template: Option<&str>) -> Option<Effective> {
         let account = self.account(id)?;
         let template = self.template(&id.partner, template.unwrap_or(&account.template))?;
--- a/clayplank-state/tests/random.rs
+++ b/clayplank-state/tests/claims_and_settings.rs
@@ -1,4 +1,5 @@
-//! Operators of two partners who race and resend, and claims that race.
+//! Random sequences of setting changes by operators of two partners, with stale versions and resends;
+//! random sequences of claims; fencing tokens.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -14,9 +15,13 @@
 
 #[derive(Clone, Debug)]
 enum Step {
+    /// Operator of `partner` changes a template of `owner`, with an outdated version if `is_stale`.
     Change { partner: u8, owner: u8, name: u8, deadline_ms: u64, is_stale: bool },
-    Resend { which: prop::sample::Index },
+    /// Sends an earlier change again.
+    Resend { index: prop::sample::Index },
+    /// Restores the machine from its snapshot.
     Restart,
+    /// Updates a host's view and compares it with the acknowledged versions.
     Watch,
 }
 
@@ -25,7 +30,7 @@
         6 => (0..2_u8, 0..2_u8, 0..3_u8, 1..9_u64, any::<bool>()).prop_map(
             |(partner, owner, name, deadline_ms, is_stale)| Step::Change { partner, owner, name, deadline_ms, is_stale }
         ),
-        3 => any::<prop::sample::Index>().prop_map(|which| Step::Resend { which }),
+        3 => any::<prop::sample::Index>().prop_map(|index| Step::Resend { index }),
         1 => Just(Step::Restart),
         2 => Just(Step::Watch),
     ]
@@ -45,20 +50,20 @@
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn settings_never_revert_and_resends_get_the_first_answer(steps in prop::collection::vec(step(), 1..400)) {
+    fn settings_never_revert_and_resends_get_the_first_reply(steps in prop::collection::vec(step(), 1..400)) {
         let mut machine = Machine::default();
         let mut view = SettingsView::default();
         let mut sent: Vec<(Command, Reply)> = Vec::new();
         let mut versions: BTreeMap<SettingKey, u64> = BTreeMap::new();
         for (number, step) in steps.into_iter().enumerate() {
             match step {
-                Step::Change { partner: by, owner, name, deadline_ms, is_stale } => {
+                Step::Change { partner: sender, owner, name, deadline_ms, is_stale } => {
                     let key = SettingKey::template(&partner(owner), &format!("t{name}"));
                     let known = versions.get(&key).copied().unwrap_or(0);
                     let expected_version = if is_stale { known + 1_000 } else { known };
                     let change = SettingChange {
                         change_id: format!("c{number}"),
-                        partner: partner(by),
+                        partner: partner(sender),
                         operator: "ops".to_owned(),
                         key: key.clone(),
                         expected_version,
@@ -66,7 +71,7 @@
                     };
                     let command = Command { at_ms: number as u64, body: Body::Change(change) };
                     let reply = machine.apply(&command);
-                    match (&reply, by == owner, is_stale) {
+                    match (&reply, sender == owner, is_stale) {
                         (Reply::Forbidden, false, _) | (Reply::Conflict { .. }, true, true) => {}
                         (Reply::Changed { version }, true, false) => {
                             prop_assert!(*version > known);
@@ -76,9 +81,9 @@
                     }
                     sent.push((command, reply));
                 }
-                Step::Resend { which } if !sent.is_empty() => {
+                Step::Resend { index } if !sent.is_empty() => {
                     let revision = machine.revision();
-                    let (command, first) = which.get(&sent);
+                    let (command, first) = index.get(&sent);
                     prop_assert_eq!(&machine.apply(command), first);
                     prop_assert_eq!(machine.revision(), revision);
                 }
@@ -89,8 +94,8 @@
                 Step::Watch => {
                     view.apply(machine.delta_after(view.revision())).unwrap();
                     for (key, version) in &versions {
-                        let seen = view.iter().find(|(known, _)| *known == key).map(|(_, item)| item.version);
-                        prop_assert_eq!(seen, Some(*version));
+                        let observed = view.iter().find(|(known, _)| *known == key).map(|(_, item)| item.version);
+                        prop_assert_eq!(observed, Some(*version));
                     }
                 }
             }
@@ -98,11 +103,11 @@
     }
 
     #[test]
-    fn one_claim_is_granted_until_it_is_released(order in prop::collection::vec(0..4_u8, 1..60)) {
+    fn one_claim_is_granted_until_it_is_released(actions in prop::collection::vec(0..4_u8, 1..60)) {
         let mut machine = Machine::default();
         let mut holder: Option<u128> = None;
         let mut is_settled = false;
-        for (number, action) in order.into_iter().enumerate() {
+        for (number, action) in actions.into_iter().enumerate() {
             let attempt = number as u128;
             match action {
                 0 | 1 => {
@@ -114,15 +119,15 @@
                     }
                 }
                 2 => {
-                    // Only the holder's own release counts.
+                    // Only a release by the holder is effective.
                     machine.apply(&release(attempt));
-                    if let (Some(held), false) = (holder, is_settled) {
-                        machine.apply(&release(held));
+                    if let (Some(holder_attempt), false) = (holder, is_settled) {
+                        machine.apply(&release(holder_attempt));
                         holder = None;
                     }
                 }
-                _ => if let Some(held) = holder {
-                    machine.apply(&settle(held));
+                _ => if let Some(holder_attempt) = holder {
+                    machine.apply(&settle(holder_attempt));
                     is_settled = true;
                 }
             }
@@ -169,12 +174,12 @@
 }
 
 #[test]
-fn an_open_claim_is_unknown_after_its_deadline_and_never_granted_again() {
+fn an_open_claim_is_unknown_after_its_deadline_and_not_granted_to_others() {
     let mut machine = Machine::default();
     assert_eq!(machine.apply(&claim(1, 7)), Reply::Claimed);
     let late = Command { at_ms: 9_000, ..claim(2, 7) };
     assert_eq!(machine.apply(&late), Reply::Unknown);
-    assert_eq!(machine.apply(&claim(1, 7)), Reply::Claimed, "its holder may ask again");
+    assert_eq!(machine.apply(&claim(1, 7)), Reply::Claimed, "its holder may send the claim again");
 }
 
 fn fence(host: &str, at_ms: u64) -> Command {
@@ -183,7 +188,7 @@
 }
 
 #[test]
-fn fencing_tokens_only_rise_also_after_a_restart() {
+fn fencing_tokens_increase_also_after_a_restart() {
     let mut machine = Machine::default();
     assert_eq!(machine.apply(&fence("h1", 1)), Reply::Fenced { token: 1, wait_ms: 0 });
     machine = Machine::from_snapshot(&machine.to_snapshot().unwrap()).unwrap();
@@ -191,7 +196,7 @@
 }
 
 #[test]
-fn another_holder_s_lease_is_waited_out() {
+fn a_new_holder_waits_for_the_remaining_lease_of_the_previous_one() {
     let mut machine = Machine::default();
     machine.apply(&fence("h1", 100));
     assert_eq!(machine.apply(&fence("h2", 400)), Reply::Fenced { token: 2, wait_ms: 700 });
--- a/clayplank-state/tests/plan_edit.rs
+++ b/clayplank-state/tests/plan_edit.rs
@@ -1,11 +1,11 @@
-//! Edits of serving plans.
+//! Edit scripts between serving plans: size, mismatched bases, damaged bytes, random texts.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use clayplank_state::{EditError, PlanDocument, PlanEdit, encode};
 use proptest::prelude::*;
 
-/// A plan of so many routes, without the one that is left out.
+/// A plan with routes numbered from 0 to `routes - 1`, except the route numbered `without`.
 fn plan(version: u64, routes: u64, without: Option<u64>) -> PlanDocument {
     let numbers = (0..routes).filter(|number| Some(*number) != without);
     let routes: Vec<_> = numbers
@@ -32,25 +32,25 @@
 }
 
 #[test]
-fn an_edit_of_another_plan_is_refused() {
+fn an_edit_of_another_plan_is_rejected() {
     let (base, next) = (plan(1, 3, None), plan(2, 4, None));
     let edit = PlanEdit::between(&base, &next);
-    assert_eq!(edit.apply(&next), Err(EditError::OtherBase { base: 1, held: 2 }));
+    assert_eq!(edit.apply(&next), Err(EditError::BaseMismatch { base: 1, current: 2 }));
     let other = PlanDocument { version: 1, ..plan(5, 2, None) };
-    assert_eq!(edit.apply(&other), Err(EditError::OtherText { version: 2 }));
+    assert_eq!(edit.apply(&other), Err(EditError::ResultMismatch { version: 2 }));
 }
 
 #[test]
-fn a_whole_plan_replaces_whatever_is_held() {
+fn a_complete_plan_replaces_any_plan() {
     let next = plan(3, 5, None);
     let edit = PlanEdit::whole(&next);
-    for held in [PlanDocument::default(), plan(2, 4, None)] {
-        assert_eq!(edit.apply(&held).unwrap(), next);
+    for current in [PlanDocument::default(), plan(2, 4, None)] {
+        assert_eq!(edit.apply(&current).unwrap(), next);
     }
 }
 
 #[test]
-fn many_new_routes_are_sent_in_a_fraction_of_their_text() {
+fn many_new_routes_are_compressed_to_a_fraction_of_their_text() {
     let (base, next) = (plan(3, 10, None), plan(6, 1_410, None));
     let edit = PlanEdit::between(&base, &next);
     let packed = edit.pack().unwrap();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn damaged_edits_are_refused() {
+fn damaged_edits_are_rejected() {
     let packed = PlanEdit::whole(&plan(1, 20, None)).pack().unwrap();
     assert!(PlanEdit::unpack(&packed[..packed.len() / 2]).is_err());
     assert!(PlanEdit::unpack(b"no edit").is_err());
@@ -67,7 +67,7 @@
 
 proptest! {
     #[test]
-    fn every_text_is_reached(old in "[ab{}]{0,40}", new in "[ab{}é]{0,40}") {
+    fn an_edit_reproduces_any_text(old in "[ab{}]{0,40}", new in "[ab{}é]{0,40}") {
         let base = PlanDocument { version: 1, text: old.into() };
         let next = PlanDocument { version: 2, text: new.into() };
         prop_assert_eq!(PlanEdit::between(&base, &next).apply(&base).unwrap(), next);
