--- a/clayplank-state/src/claims.rs
+++ b/clayplank-state/src/claims.rs
@@ -49,16 +49,21 @@
     Unknown,
 }
 
+/// One claim; its times are in ms since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Record {
+    /// Hash of the request, to detect reuse of the key for another request.
     fingerprint: u128,
+    /// Dispatch that took the claim.
     attempt_id: AttemptId,
+    /// Time by which the request has ended.
     deadline_ms: u64,
+    /// Time from which the claim may be removed.
     expires_ms: u64,
     state: ClaimState,
 }
 
-/// All claims that have not expired, with an index by expiry time.
+/// All stored claims, with an index by expiry time. Expired claims are removed by later claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Claims {
     records: BTreeMap<ClaimKey, Record>,
--- a/clayplank-state/src/lib.rs
+++ b/clayplank-state/src/lib.rs
@@ -2,10 +2,11 @@
 //! once, the serving plan, fencing tokens for upstreams, quarantined requests, and cordoned data
 //! centres.
 //!
-//! The keepers replicate a log of [`Command`]s and apply each committed entry to a [`Machine`].
-//! The machine is deterministic: the same commands in the same order give the same state and the
-//! same replies on every keeper. It reads no clock; each command carries the wall time of the
-//! keeper that proposed it.
+//! The keepers, which are the hosts with a replica of this state, replicate a log of [`Command`]s
+//! and apply each committed entry to a [`Machine`]. The machine is deterministic: the same commands
+//! in the same order give the same state and the same replies on every keeper. It reads no clock;
+//! each command carries the wall time of the keeper that proposed it. The other hosts follow the
+//! state: they receive a [`Delta`] of what changed after a revision.
 //!
 //! ```
 //! use clayplank_settings::Template;
--- a/clayplank-state/src/machine.rs
+++ b/clayplank-state/src/machine.rs
@@ -9,10 +9,10 @@
 use crate::command::{Body, CodecError, Command, PlanDocument, Reply, decode, encode};
 use crate::cordons::Cordons;
 use crate::plan::Plan;
-use crate::quarantine::{Quarantine, Trial};
+use crate::quarantine::{Suspects, Trial};
 use crate::settings::{Delta, Settings};
 
-/// Sizes of a machine's state, reported to operators.
+/// Latest revision and sizes of a machine's state, for status reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Latest revision.
@@ -27,7 +27,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Fence {
     token: u64,
+    /// Holder of the token.
     host: HostId,
+    /// End of the lease, in ms since the Unix epoch.
     until_ms: u64,
 }
 
@@ -39,8 +41,9 @@
     plan: Plan,
     claims: Claims,
     fences: BTreeMap<UpstreamId, Fence>,
+    /// Last fencing token granted, for any upstream; 0 if there was none.
     last_fence: u64,
-    suspects: Quarantine,
+    suspects: Suspects,
     cordons: Cordons,
     /// Highest timestamp of any applied command. It never decreases, also when leadership moves to a
     /// keeper with a slower clock.
--- a/clayplank-state/src/quarantine.rs
+++ b/clayplank-state/src/quarantine.rs
@@ -178,7 +178,7 @@
 
 /// All suspects, including the quarantined requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Quarantine {
+pub(crate) struct Suspects {
     /// Revision that last changed the list of quarantined requests or their trial times.
     pub(crate) revision: u64,
     suspects: BTreeMap<RequestFingerprint, Suspect>,
@@ -187,7 +187,7 @@
     explained: BTreeMap<UpstreamId, u64>,
 }
 
-impl Quarantine {
+impl Suspects {
     /// Applies the observations of a host.
     pub(crate) fn apply(&mut self, now_ms: u64, sightings: &[Sighting]) -> Verdicts {
         self.remove_expired(now_ms);
--- a/clayplank-state/src/settings.rs
+++ b/clayplank-state/src/settings.rs
@@ -87,10 +87,16 @@
 /// All settings of all partners, and the replies to recent changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Settings {
+    /// Latest revision of the whole replicated state: the other parts that hosts follow increase it
+    /// too.
     pub(crate) revision: u64,
     items: BTreeMap<SettingKey, Versioned>,
+    /// Key of the setting that each revision changed, without revisions that a later change of the
+    /// same setting has replaced.
     by_revision: BTreeMap<u64, SettingKey>,
+    /// Replies to recent changes, by partner and `change_id`.
     replies: BTreeMap<(Partner, String), Reply>,
+    /// Keys of `replies`, oldest first.
     reply_order: VecDeque<(Partner, String)>,
 }
 
