--- a/clayplank-state/src/command.rs
+++ b/clayplank-state/src/command.rs
@@ -136,7 +136,8 @@
     pub attempt_id: AttemptId,
     /// Time from the proposal by which the request has ended, successfully or not, in ms.
     pub deadline_in_ms: u64,
-    /// Retention time of the claim from its proposal, in ms; at least twice `deadline_in_ms` applies.
+    /// Retention time of the claim from its proposal, in ms; at least twice `deadline_in_ms`
+    /// applies.
     pub keep_ms: u64,
 }
 
--- a/clayplank-state/src/machine.rs
+++ b/clayplank-state/src/machine.rs
@@ -45,8 +45,8 @@
     last_fence: u64,
     suspects: Suspects,
     cordons: Cordons,
-    /// Highest timestamp of any applied command. It never decreases, also when leadership moves to a
-    /// keeper with a slower clock.
+    /// Highest timestamp of any applied command. It never decreases, also when leadership moves to
+    /// a keeper with a slower clock.
     now_ms: u64,
 }
 
--- a/clayplank-state/src/packing.rs
+++ b/clayplank-state/src/packing.rs
@@ -10,8 +10,8 @@
 
 use crate::command::{CodecError, decode, encode};
 
-/// Maximum number of bytes that are decompressed from one value: a few times the size of the largest
-/// plan that keepers accept.
+/// Maximum number of bytes that are decompressed from one value: a few times the size of the
+/// largest plan that keepers accept.
 const MAX_UNPACKED_BYTES: u64 = 32 << 20;
 
 /// Error of [`pack`] or [`unpack`].
--- a/clayplank-state/src/plan_edit.rs
+++ b/clayplank-state/src/plan_edit.rs
@@ -8,8 +8,8 @@
 use crate::command::PlanDocument;
 use crate::packing::{PackError, pack, unpack};
 
-/// Plans are compared in pieces that each start at this byte, with which every JSON object of a plan
-/// begins. The first piece is what precedes the first such byte.
+/// Plans are compared in pieces that each start at this byte, with which every JSON object of a
+/// plan begins. The first piece is what precedes the first such byte.
 const PIECE_START: u8 = b'{';
 
 /// Why an edit cannot be applied.
@@ -23,11 +23,9 @@
         /// Version of the given plan.
         current: u64,
     },
-    /// The result is not the text for which the edit was made: a copied range lies outside the given
-    /// text, the checksum differs, or the result is not UTF-8.
-    #[error(
-        "the edited text of plan version {version} does not match its checksum, copied ranges or encoding"
-    )]
+    /// The result is not the text for which the edit was made: a copied range lies outside the
+    /// given text, the checksum differs, or the result is not UTF-8.
+    #[error("the plan edit did not produce the text of version {version}")]
     ResultMismatch {
         /// Version of the new plan.
         version: u64,
@@ -84,8 +82,9 @@
         Self { base_version: base.version, version: next.version, checksum, steps }
     }
 
-    /// Encodes and compresses the edit for sending. Plans repeat their field names in each route, so
-    /// that hundreds of new routes, sent to all hosts at once, shrink to a fraction of their text.
+    /// Encodes and compresses the edit for sending. Plans repeat their field names in each route,
+    /// so that hundreds of new routes, sent to all hosts at once, shrink to a fraction of their
+    /// text.
     ///
     /// # Errors
     /// The edit cannot be encoded. Compression itself writes to memory and has no known error.
@@ -133,8 +132,8 @@
     }
 }
 
-/// Appends a piece found at byte `found` of the base text, or a new piece if that is `None`. Extends
-/// the last step if the piece continues it.
+/// Appends a piece found at byte `found` of the base text, or a new piece if that is `None`.
+/// Extends the last step if the piece continues it.
 fn push_piece(steps: &mut Vec<Step>, piece: &[u8], found: Option<usize>) {
     match (steps.last_mut(), found) {
         (Some(Step::Copy { start, length }), Some(offset))
--- a/clayplank-state/src/quarantine.rs
+++ b/clayplank-state/src/quarantine.rs
@@ -8,9 +8,9 @@
 //! request to any upstream, except for a few trials.
 //!
 //! The effect, with one request that terminates each upstream that runs it, sent 12 times a second
-//! beside 80 other requests a second to 18 upstreams for 12 s: without quarantine, there were 119 and
-//! 120 terminations and 69 to 85 % of the other requests were served; with it, 4 and 7 terminations
-//! and 99.8 %.
+//! beside 80 other requests a second to 18 upstreams for 12 s: without quarantine, there were 119
+//! and 120 terminations and 69 to 85 % of the other requests were served; with it, 4 and 7
+//! terminations and 99.8 %.
 //!
 //! The quarantine is part of the replicated state, so that it is in force at each host that serves,
 //! also after all hosts have restarted. Otherwise more upstreams would have to terminate before the
@@ -37,21 +37,21 @@
 /// since its attribution, in ms. Quarantined requests do not expire.
 const SUSPECT_RETENTION_MS: u64 = 600_000;
 
-/// Intervals in ms before the first, second, … trial of a quarantined request; the last one repeats.
-/// Trials are needed because a request may be quarantined by mistake, or upstreams may be mended so
-/// that they run it. They are rare because each may terminate one upstream: at most four on the first
-/// day, then one a day.
+/// Intervals in ms before the first, second, … trial of a quarantined request; the last one
+/// repeats. Trials are needed because a request may be quarantined by mistake, or upstreams may be
+/// fixed so that they run it. They are rare because each may terminate one upstream: at most four
+/// on the first day, then one a day.
 const TRIAL_INTERVALS_MS: [u64; 4] = [60_000, 600_000, 14_400_000, 86_400_000];
 
-/// Maximum number of suspects of all callers: more than the requests that run at once at 300 engines
-/// with ten slots each.
+/// Maximum number of suspects of all callers: more than the requests that run at once at 300
+/// engines with ten slots each.
 const MAX_SUSPECTS: usize = 4_096;
 
 /// Maximum number of suspects of one caller: the largest caller sends a quarter of all requests.
 const MAX_SUSPECTS_PER_CALLER: usize = 1_024;
 
-/// Maximum number of quarantined requests of one caller; the one quarantined first is lifted to make
-/// room. The limit prevents one caller from using up [`MAX_QUARANTINED`].
+/// Maximum number of quarantined requests of one caller; the one quarantined first is lifted to
+/// make room. The limit prevents one caller from using up [`MAX_QUARANTINED`].
 const MAX_QUARANTINED_PER_CALLER: usize = 64;
 
 /// Maximum number of quarantined requests of all callers: the list sent to a host then takes about
@@ -73,8 +73,9 @@
 
 impl Termination {
     /// Whether the two terminations are far enough apart to count separately. Times by the keepers'
-    /// clocks include the delay of the report, which varies by more than the window when keepers are
-    /// busy. Terminations observed by the same host are therefore compared by the clock of that host.
+    /// clocks include the delay of the report, which varies by more than the window when keepers
+    /// are busy. Terminations observed by the same host are therefore compared by the clock of that
+    /// host.
     fn is_separate_from(&self, other: &Self) -> bool {
         let distance_ms = match (self.seen, other.seen) {
             (Some(a), Some(b)) if a.life == b.life => a.at_ms.abs_diff(b.at_ms),
@@ -109,26 +110,26 @@
 
 impl Suspect {
     /// Records a termination, unless one of the same upstream is recorded already.
-    fn record_termination(&mut self, end: Termination) {
-        if self.ends.iter().all(|known| known.upstream != end.upstream) {
-            let index = self.ends.partition_point(|known| known.at_ms <= end.at_ms);
-            self.ends.insert(index, end);
+    fn record_termination(&mut self, termination: Termination) {
+        if self.ends.iter().all(|known| known.upstream != termination.upstream) {
+            let index = self.ends.partition_point(|known| known.at_ms <= termination.at_ms);
+            self.ends.insert(index, termination);
         }
     }
 
     /// Upstreams that terminated under the request.
     fn terminated_upstreams(&self) -> Vec<UpstreamId> {
-        self.ends.iter().map(|end| end.upstream.clone()).collect()
+        self.ends.iter().map(|termination| termination.upstream.clone()).collect()
     }
 
     /// The entry sent to hosts if the request is quarantined, otherwise `None`.
     fn to_entry(&self, now_ms: u64, fingerprint: RequestFingerprint) -> Option<HeldBack> {
-        let held = self.held?;
+        let quarantine = self.held?;
         Some(HeldBack {
             fingerprint,
             caller: self.caller.clone(),
             ended: self.terminated_upstreams(),
-            next_trial_in_ms: held.next_trial_ms.saturating_sub(now_ms),
+            next_trial_in_ms: quarantine.next_trial_ms.saturating_sub(now_ms),
         })
     }
 
@@ -136,10 +137,10 @@
     fn separate_terminations(&self) -> usize {
         let mut count = 0;
         let mut last_counted: Option<&Termination> = None;
-        for end in &self.ends {
-            if last_counted.is_none_or(|last| end.is_separate_from(last)) {
+        for termination in &self.ends {
+            if last_counted.is_none_or(|last| termination.is_separate_from(last)) {
                 count += 1;
-                last_counted = Some(end);
+                last_counted = Some(termination);
             }
         }
         count
@@ -196,9 +197,9 @@
             let at_ms = now_ms.saturating_sub(sighting.ago_ms);
             match &sighting.outcome {
                 SeenOutcome::Ended(upstream) => {
-                    let end =
+                    let termination =
                         Termination { upstream: upstream.clone(), at_ms, seen: sighting.seen };
-                    self.apply_termination(now_ms, sighting, end, &mut verdicts);
+                    self.apply_termination(now_ms, sighting, termination, &mut verdicts);
                 }
                 SeenOutcome::Survived => {
                     self.apply_survival(at_ms, sighting.fingerprint, &mut verdicts);
@@ -208,13 +209,13 @@
         verdicts
     }
 
-    /// Records the termination of an upstream, and quarantines the request once [`MIN_TERMINATIONS`]
-    /// is reached.
+    /// Records the termination of an upstream, and quarantines the request once
+    /// [`MIN_TERMINATIONS`] is reached.
     fn apply_termination(
         &mut self,
         now_ms: u64,
         sighting: &Sighting,
-        end: Termination,
+        termination: Termination,
         verdicts: &mut Verdicts,
     ) {
         let fingerprint = sighting.fingerprint;
@@ -222,10 +223,10 @@
         if let Some(suspect) = suspect.filter(|suspect| suspect.held.is_some()) {
             // The request stays quarantined, and this termination is attributed to it.
             suspect.heard_ms = now_ms;
-            self.explain(now_ms, fingerprint, vec![end.upstream]);
+            self.explain(now_ms, fingerprint, vec![termination.upstream]);
             return;
         }
-        if self.explained.contains_key(&end.upstream) {
+        if self.explained.contains_key(&termination.upstream) {
             return;
         }
         if !self.suspects.contains_key(&fingerprint) {
@@ -238,7 +239,7 @@
             held: None,
         });
         suspect.heard_ms = now_ms;
-        suspect.record_termination(end);
+        suspect.record_termination(termination);
         if suspect.separate_terminations() < MIN_TERMINATIONS {
             return;
         }
@@ -255,7 +256,7 @@
     fn explain(&mut self, now_ms: u64, by: RequestFingerprint, upstreams: Vec<UpstreamId>) {
         for (fingerprint, suspect) in &mut self.suspects {
             if *fingerprint != by && suspect.held.is_none() {
-                suspect.ends.retain(|end| !upstreams.contains(&end.upstream));
+                suspect.ends.retain(|termination| !upstreams.contains(&termination.upstream));
             }
         }
         self.suspects.retain(|_, suspect| suspect.held.is_some() || !suspect.ends.is_empty());
@@ -269,8 +270,8 @@
         }
     }
 
-    /// Clears a request of all terminations up to `at_ms`, the time at which an upstream answered it
-    /// completely, and lifts its quarantine if too few terminations remain.
+    /// Clears a request of all terminations up to `at_ms`, the time at which an upstream answered
+    /// it completely, and lifts its quarantine if too few terminations remain.
     fn apply_survival(
         &mut self,
         at_ms: u64,
@@ -280,7 +281,7 @@
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
         };
-        suspect.ends.retain(|end| end.at_ms > at_ms);
+        suspect.ends.retain(|termination| termination.at_ms > at_ms);
         if suspect.held.is_some() && suspect.separate_terminations() < MIN_TERMINATIONS {
             suspect.held = None;
             verdicts.lifted.push(fingerprint);
@@ -293,15 +294,15 @@
     /// Grants a trial of a quarantined request if one is due, and schedules the next.
     pub(crate) fn claim_trial(&mut self, now_ms: u64, fingerprint: RequestFingerprint) -> Trial {
         let suspect = self.suspects.get_mut(&fingerprint);
-        let Some(held) = suspect.and_then(|suspect| suspect.held.as_mut()) else {
+        let Some(quarantine) = suspect.and_then(|suspect| suspect.held.as_mut()) else {
             return Trial::NotNeeded;
         };
-        if now_ms < held.next_trial_ms {
-            return Trial::TooEarly { next_in_ms: held.next_trial_ms - now_ms };
+        if now_ms < quarantine.next_trial_ms {
+            return Trial::TooEarly { next_in_ms: quarantine.next_trial_ms - now_ms };
         }
-        held.trials += 1;
+        quarantine.trials += 1;
         let last = TRIAL_INTERVALS_MS.len() - 1;
-        held.next_trial_ms = now_ms + TRIAL_INTERVALS_MS[held.trials.min(last)];
+        quarantine.next_trial_ms = now_ms + TRIAL_INTERVALS_MS[quarantine.trials.min(last)];
         Trial::Granted
     }
 
@@ -326,8 +327,9 @@
         self.explained.retain(|_, explained_ms| is_fresh(*explained_ms));
     }
 
-    /// Removes the suspect whose latest reported termination is the oldest to make room for another one, if there are
-    /// too many suspects of the caller, or of all callers. Quarantined requests do not count.
+    /// Removes the suspect whose latest reported termination is the oldest to make room for another
+    /// one, if there are too many suspects of the caller, or of all callers. Quarantined requests
+    /// do not count.
     fn make_room(&mut self, caller: &str) {
         if self.suspects.len() < MAX_SUSPECTS_PER_CALLER {
             return;
@@ -352,12 +354,12 @@
         }
     }
 
-    /// Lifts the quarantine that started first, of the caller's requests or of all, if there are too
-    /// many.
+    /// Lifts the quarantine that started first, of the caller's requests or of all, if there are
+    /// too many.
     fn limit_quarantined(&mut self, caller: &str, verdicts: &mut Verdicts) {
         let quarantined = || self.suspects.iter().filter(|(_, suspect)| suspect.held.is_some());
         let of_caller = || quarantined().filter(|(_, suspect)| suspect.caller == caller);
-        let since = |suspect: &Suspect| suspect.held.map(|held| held.since_ms);
+        let since = |suspect: &Suspect| suspect.held.map(|quarantine| quarantine.since_ms);
         let oldest = if of_caller().count() > MAX_QUARANTINED_PER_CALLER {
             of_caller().min_by_key(|(_, suspect)| since(suspect))
         } else if quarantined().count() > MAX_QUARANTINED {
--- a/clayplank-state/src/settings.rs
+++ b/clayplank-state/src/settings.rs
@@ -101,7 +101,8 @@
 }
 
 impl Settings {
-    /// Applies an operator's change. A resend, recognized by its `change_id`, gets the stored reply.
+    /// Applies an operator's change. A resend, recognized by its `change_id`, gets the stored
+    /// reply.
     pub(crate) fn apply(&mut self, change: &SettingChange) -> Reply {
         let change_key = (change.partner.clone(), change.change_id.clone());
         if let Some(reply) = self.replies.get(&change_key) {
--- a/clayplank-state/tests/claims_and_settings.rs
+++ b/clayplank-state/tests/claims_and_settings.rs
@@ -1,5 +1,5 @@
-//! Random sequences of setting changes by operators of two partners, with stale versions and resends;
-//! random sequences of claims; fencing tokens.
+//! Random sequences of setting changes by operators of two partners, with stale versions and
+//! resends; random sequences of claims; fencing tokens.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/clayplank-state/tests/quarantine.rs
+++ b/clayplank-state/tests/quarantine.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// Guards against counting two terminations as one because of report delays: one host observes three
-/// terminations 70 ms apart, but the first two reports reach the keepers within 5 ms.
+/// Guards against counting two terminations as one because of report delays: one host observes
+/// three terminations 70 ms apart, but the first two reports reach the keepers within 5 ms.
 #[test]
 fn terminations_that_one_host_observed_apart_count_separately_despite_report_delays() {
     let mut machine = Machine::default();
