--- a/clayplank-placement/benches/decision.rs
+++ b/clayplank-placement/benches/decision.rs
@@ -20,12 +20,12 @@
         fleet.set_engine(UpstreamId::new(format!("engine-{number}")), spec, true);
     }
     for number in 0..RUNNING * engines {
-        fleet.place(0.0, &ask(number, 5_000, 300.0));
+        fleet.place(0.0, &request(number, 5_000, 300.0));
     }
     fleet
 }
 
-fn ask(number: u64, tokens: u64, goal_ms: f64) -> Ask {
+fn request(number: u64, tokens: u64, goal_ms: f64) -> Ask {
     Ask::new(PlacementId { host: 1, number }, "main", tokens, goal_ms)
 }
 
@@ -39,9 +39,9 @@
             group.bench_function(BenchmarkId::new(kind, engines), |bencher| {
                 bencher.iter(|| {
                     number += 1;
-                    let ask = ask(number, tokens, goal_ms);
-                    let placed = fleet.place(10.0, &ask);
-                    fleet.note(10.0, ask.id, clayplank_placement::Event::Ended);
+                    let request = request(number, tokens, goal_ms);
+                    let placed = fleet.place(10.0, &request);
+                    fleet.note(10.0, request.id, clayplank_placement::Event::Ended);
                     matches!(placed, Placed::At(_))
                 });
             });
--- a/clayplank-placement/src/avoid.rs
+++ b/clayplank-placement/src/avoid.rs
@@ -1,10 +1,10 @@
 //! How long an upstream that failed is avoided.
 
 /// After a first failure an upstream is avoided for this long, in ms; twice as long after the next.
-const AVOID_BASE_MS: f64 = 500.0;
+const BASE_AVOID_MS: f64 = 500.0;
 
 /// And never longer than this, in ms, so that one that has recovered is found out.
-const AVOID_MAX_MS: f64 = 8_000.0;
+const MAX_AVOID_MS: f64 = 8_000.0;
 
 /// Failures in a row that are counted; the longest time is reached before.
 const MAX_FAILURES: u32 = 8;
@@ -12,5 +12,5 @@
 /// How long, in ms, an upstream is avoided after so many failures in a row, the last among them.
 pub fn avoid_ms(failures: u32) -> f64 {
     let doublings = failures.clamp(1, MAX_FAILURES) - 1;
-    (AVOID_BASE_MS * f64::from(1_u32 << doublings)).min(AVOID_MAX_MS)
+    (BASE_AVOID_MS * f64::from(1_u32 << doublings)).min(MAX_AVOID_MS)
 }
--- a/clayplank-placement/src/event.rs
+++ b/clayplank-placement/src/event.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ask::{Ask, Assignment};
+use crate::request::{Ask, Assignment};
 
 /// What a host tells of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/clayplank-placement/src/fleet.rs
+++ b/clayplank-placement/src/fleet.rs
@@ -7,19 +7,19 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::ask::{Ask, Assignment, Placed, PlacementId};
 use crate::choose::choose;
 use crate::engine::{Engine, EngineSpec};
 use crate::event::{Event, Renewed};
-use crate::holds::Holds;
 use crate::job::{Job, JobKind};
 use crate::placement::Placement;
 use crate::rate_limit::{HostShare, Sender};
-use crate::usual::UsualLimits;
+use crate::request::{Ask, Assignment, Placed, PlacementId};
+use crate::slot_times::SlotTimes;
+use crate::typical_limits::TypicalLimits;
 
 /// What chance adds to an engine's cost for a host that decides alone, as a share of a
 /// prompt's weight: as much as one stream that is harmed costs.
-const ALONE_NOISE: f64 = 0.5;
+const STANDALONE_NOISE_SHARE: f64 = 0.5;
 
 /// Time, in ms, in which split prompts lose half of their weight in the load.
 const SPLIT_LOAD_HALF_LIFE_MS: f64 = 2_000.0;
@@ -53,8 +53,8 @@
     /// Work of prompts that several engines read, as it weighed at this time.
     split_work_ms: f64,
     split_work_at_ms: f64,
-    usual_limits: UsualLimits,
-    holds: Holds,
+    typical_limits: TypicalLimits,
+    slot_times: SlotTimes,
     /// Data centres whose engines get nothing.
     cordoned: BTreeSet<DataCentre>,
     /// Requests a second that engines say they take, for those that do.
@@ -71,18 +71,18 @@
     pub fn alone(seed: u64) -> Self {
         let rng = RefCell::new(Some(SmallRng::seed_from_u64(seed)));
         let sender = Sender::Host(HostShare { seed, hosts: 1 });
-        Self { noise: ALONE_NOISE, rng, sender, ..Self::default() }
+        Self { noise: STANDALONE_NOISE_SHARE, rng, sender, ..Self::default() }
     }
 
     /// The fleet as it will be at a later time if nothing comes meanwhile; who was placed is left out.
-    pub(crate) fn ahead(&self, later_ms: f64) -> Self {
+    pub(crate) fn projected_to(&self, at_ms: f64) -> Self {
         let mut engines = self.engines.clone();
-        engines.values_mut().for_each(|engine| engine.advance(later_ms));
+        engines.values_mut().for_each(|engine| engine.advance(at_ms));
         Self {
             engines,
             split_work_ms: self.split_work_ms,
             split_work_at_ms: self.split_work_at_ms,
-            holds: self.holds.clone(),
+            slot_times: self.slot_times.clone(),
             sender: self.sender,
             ..Self::default()
         }
@@ -125,16 +125,16 @@
     /// Sends nothing new to the engines of these data centres, and of no others. Returns the engines
     /// that may get something again.
     pub fn set_cordoned(&mut self, cordoned: BTreeSet<DataCentre>) -> Vec<UpstreamId> {
-        let mut back = Vec::new();
+        let mut reopened = Vec::new();
         for (id, engine) in &mut self.engines {
             let is_cordoned = cordoned.contains(&engine.spec.data_centre);
             if engine.is_cordoned && !is_cordoned {
-                back.push(id.clone());
+                reopened.push(id.clone());
             }
             engine.is_cordoned = is_cordoned;
         }
         self.cordoned = cordoned;
-        back
+        reopened
     }
 
     /// The pool of an engine.
@@ -143,10 +143,16 @@
     }
 
     /// Notes for how much longer an engine is cold, and how many requests a second it bears then.
-    pub fn set_cold(&mut self, now_ms: f64, id: &UpstreamId, left_ms: f64, requests_per_s: f64) {
+    pub fn set_cold(
+        &mut self,
+        now_ms: f64,
+        id: &UpstreamId,
+        remaining_ms: f64,
+        requests_per_s: f64,
+    ) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.rate_limit.set_cold_limit(requests_per_s);
-            engine.rate_limit.note_cold(now_ms, left_ms);
+            engine.rate_limit.note_cold(now_ms, remaining_ms);
         }
     }
 
@@ -170,9 +176,9 @@
     }
 
     /// Notes whether the heartbeats of an engine are missing.
-    pub fn set_silent(&mut self, id: &UpstreamId, is_silent: bool) {
+    pub fn set_silent(&mut self, id: &UpstreamId, lacks_heartbeats: bool) {
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.is_silent = is_silent;
+            engine.lacks_heartbeats = lacks_heartbeats;
         }
     }
 
@@ -183,15 +189,15 @@
     }
 
     /// Chooses engines for a prompt and notes their load.
-    pub fn place(&mut self, now_ms: f64, ask: &Ask) -> Placed {
+    pub fn place(&mut self, now_ms: f64, request: &Ask) -> Placed {
         for engine in self.engines.values_mut() {
             engine.advance(now_ms);
         }
-        self.note_limit(ask);
-        let ask = ask.told_from_new(self.since_first_try_ms(ask));
-        let placed = choose(self, now_ms, &ask);
+        self.note_limit(request);
+        let request = request.with_time_since_first_try(self.since_first_try_ms(request));
+        let placed = choose(self, now_ms, &request);
         if let Placed::At(assignment) = &placed {
-            self.note_placed(now_ms, &ask, assignment, false);
+            self.note_placed(now_ms, &request, assignment, false);
             self.note_sent(now_ms, assignment);
         }
         placed
@@ -211,16 +217,16 @@
 
     /// Notes the limit of a request that is tried for the first time. One whose stream has begun asks
     /// every 40 ms until it goes on: a few that had come back would pass for what is usual.
-    fn note_limit(&mut self, ask: &Ask) {
-        if ask.has_begun || !ask.avoid.is_empty() {
+    fn note_limit(&mut self, request: &Ask) {
+        if request.has_begun || !request.avoid.is_empty() {
             return;
         }
-        self.usual_limits.note(&ask.route, ask.route_limit_ms, ask.sent_limit_ms);
+        self.typical_limits.note(&request.route, request.route_limit_ms, request.sent_limit_ms);
     }
 
     /// How long ago the caller of a prompt tried first, in ms; 0 if it seems to be new.
-    pub fn since_first_try_ms(&self, ask: &Ask) -> f64 {
-        self.usual_limits.since_first_try_ms(&ask.route, ask.sent_limit_ms)
+    pub fn since_first_try_ms(&self, request: &Ask) -> f64 {
+        self.typical_limits.since_first_try_ms(&request.route, request.sent_limit_ms)
     }
 
     /// What the engines of a pool look like from here, for those who ask why a prompt was refused.
@@ -228,14 +234,14 @@
         let open = self.engines.values().filter(|one| one.takes_work() && one.spec.pool == pool);
         let mut outlook = Outlook::default();
         for engine in open {
-            if engine.reach.is_lost() {
+            if engine.reachability.is_unreachable() {
                 outlook.unreached += 1;
                 continue;
             }
             outlook.engines += 1;
             outlook.taken_slots += engine.primaries();
-            outlook.helped_parts += engine.helped();
-            outlook.queued_ms += engine.queued().read_ms;
+            outlook.helped_parts += engine.helper_parts();
+            outlook.queued_ms += engine.queued().prefill_ms;
             outlook.slowness += engine.health.slowness(now_ms);
             outlook.avoided += usize::from(engine.health.is_avoided(now_ms));
             outlook.doubtful += usize::from(engine.is_doubtful(now_ms));
@@ -252,42 +258,48 @@
     }
 
     /// Loads the engines of an assignment, once.
-    fn note_placed(&mut self, now_ms: f64, ask: &Ask, assignment: &Assignment, is_started: bool) {
-        if self.placements.contains_key(&ask.id) {
+    fn note_placed(
+        &mut self,
+        now_ms: f64,
+        request: &Ask,
+        assignment: &Assignment,
+        is_started: bool,
+    ) {
+        if self.placements.contains_key(&request.id) {
             return;
         }
         let parts = 1 + assignment.helpers.len();
         let reserved: u64 = assignment.helpers.iter().map(|part| part.reserve_tokens).sum();
-        let own_tokens = ask.memory_tokens().saturating_sub(reserved);
+        let primary_tokens = request.memory_tokens().saturating_sub(reserved);
         if parts > 1 {
-            self.note_split_work(now_ms, ask, &assignment.engine);
+            self.note_split_work(now_ms, request, &assignment.engine);
         }
-        self.take_job(now_ms, ask, &assignment.engine, JobKind::Primary, parts, own_tokens);
+        self.add_job(now_ms, request, &assignment.engine, JobKind::Primary, parts, primary_tokens);
         for part in &assignment.helpers {
             let kind = JobKind::Helper;
-            self.take_job(now_ms, ask, &part.engine, kind, parts, part.reserve_tokens);
+            self.add_job(now_ms, request, &part.engine, kind, parts, part.reserve_tokens);
         }
-        self.placements.insert(ask.id, Placement::new(now_ms, ask, assignment));
+        self.placements.insert(request.id, Placement::new(now_ms, request, assignment));
         if is_started {
-            self.note_started(now_ms, ask.id);
+            self.note_started(now_ms, request.id);
         }
     }
 
     /// Counts the work of a prompt that several engines read.
-    fn note_split_work(&mut self, now_ms: f64, ask: &Ask, engine: &UpstreamId) {
+    fn note_split_work(&mut self, now_ms: f64, request: &Ask, engine: &UpstreamId) {
         let Some(engine) = self.engines.get(engine) else {
             return;
         };
-        let work_ms = engine.spec.model.part_read_ms(ask.prompt_tokens, 1);
+        let work_ms = engine.spec.model.part_read_ms(request.prompt_tokens, 1);
         self.split_work_ms = self.split_work(now_ms) + work_ms;
         self.split_work_at_ms = now_ms;
     }
 
     /// Loads an engine with a part of a prompt.
-    fn take_job(
+    fn add_job(
         &mut self,
         now_ms: f64,
-        ask: &Ask,
+        request: &Ask,
         engine: &UpstreamId,
         kind: JobKind,
         parts: usize,
@@ -296,22 +308,22 @@
         let Some(engine) = self.engines.get_mut(engine) else {
             return;
         };
-        let read_ms = engine.spec.model.part_read_ms(ask.prompt_tokens, parts);
+        let prefill_ms = engine.spec.model.part_read_ms(request.prompt_tokens, parts);
         let job = Job {
-            id: ask.id,
+            id: request.id,
             kind,
-            is_reading: true,
+            is_prefilling: true,
             is_split: parts > 1,
-            left_ms: read_ms * engine.health.slowness(now_ms),
-            left_tokens: ask.prompt_tokens as f64 / parts as f64,
+            remaining_ms: prefill_ms * engine.health.slowness(now_ms),
+            remaining_tokens: request.prompt_tokens as f64 / parts as f64,
             memory_tokens,
-            context_tokens: ask.prompt_tokens / parts as u64,
-            pause_goal_ms: ask.pause_goal_ms,
-            goal_ms: ask.goal_ms,
-            first_token_due_ms: now_ms + ask.goal_ms,
-            weight: ask.weight(),
+            context_tokens: request.prompt_tokens / parts as u64,
+            pause_goal_ms: request.pause_goal_ms,
+            goal_ms: request.goal_ms,
+            first_token_due_ms: now_ms + request.goal_ms,
+            weight: request.weight(),
         };
-        engine.take(now_ms, job);
+        engine.add_job(now_ms, job);
     }
 
     /// Takes in what hosts tell of their placements.
@@ -322,11 +334,11 @@
             Event::Failed => self.end(now_ms, id, |engine| engine.health.note_failure(now_ms)),
             Event::Broken => self.end(now_ms, id, |engine| {
                 engine.health.note_failure(now_ms);
-                engine.reach.note_broken();
+                engine.reachability.note_broken();
             }),
             Event::Unreached => self.end(now_ms, id, |engine| {
                 engine.health.note_failure(now_ms);
-                engine.reach.note_unreached(now_ms);
+                engine.reachability.note_unreachable(now_ms);
             }),
             Event::HelperFailed { position } => {
                 self.note_helper_failed(now_ms, id, position);
@@ -341,7 +353,7 @@
             return;
         };
         if let Some(engine) = self.engines.get_mut(&placement.engine) {
-            engine.reach.note_answer();
+            engine.reachability.note_answer();
             engine.health.note_success(now_ms);
             engine.health.note_first_token(now_ms, placement.expected_ms, took_ms);
         }
@@ -373,32 +385,32 @@
         if let Some(placement) = self.placements.get(&id).filter(|one| one.is_started)
             && let Some(engine) = self.engines.get(&placement.engine)
         {
-            self.holds.note(&engine.spec.pool, now_ms - placement.placed_at_ms);
+            self.slot_times.note(&engine.spec.pool, now_ms - placement.placed_at_ms);
             return self.end(now_ms, id, |engine| engine.health.note_served(now_ms));
         }
         self.end(now_ms, id, |_| {});
     }
 
     /// How long prompts of its pool usually hold a place; `None` before any has ended.
-    pub(crate) fn usual_hold_ms(&self, ask: &Ask) -> Option<f64> {
-        self.holds.usual_ms(&ask.pool)
+    pub(crate) fn mean_slot_ms(&self, request: &Ask) -> Option<f64> {
+        self.slot_times.mean_ms(&request.pool)
     }
 
     /// Ends a placement, and lets its engine learn from how it ended.
-    fn end(&mut self, now_ms: f64, id: PlacementId, learn: impl FnOnce(&mut Engine)) {
+    fn end(&mut self, now_ms: f64, id: PlacementId, update: impl FnOnce(&mut Engine)) {
         let Some(placement) = self.placements.remove(&id) else {
             return;
         };
         if let Some(engine) = self.engines.get_mut(&placement.engine) {
-            learn(engine);
+            update(engine);
         }
-        self.drop_jobs(now_ms, id, &placement);
+        self.remove_jobs(now_ms, id, &placement);
     }
 
-    fn drop_jobs(&mut self, now_ms: f64, id: PlacementId, placement: &Placement) {
+    fn remove_jobs(&mut self, now_ms: f64, id: PlacementId, placement: &Placement) {
         for engine in placement.engines() {
             if let Some(engine) = self.engines.get_mut(engine) {
-                engine.drop_job(now_ms, id);
+                engine.remove_job(now_ms, id);
             }
         }
     }
@@ -421,11 +433,11 @@
     pub fn renew(&mut self, now_ms: f64, host: u64, renewed: &[Renewed]) {
         self.take_over(now_ms, renewed);
         let is_listed = |id: &PlacementId| renewed.iter().any(|one| one.ask.id == *id);
-        let gone = self.placements.iter().filter(|(id, placement)| {
+        let finished = self.placements.iter().filter(|(id, placement)| {
             id.host == host && placement.is_settled(now_ms) && !is_listed(id)
         });
-        let gone: Vec<_> = gone.map(|(id, _)| *id).collect();
-        for id in gone {
+        let finished: Vec<_> = finished.map(|(id, _)| *id).collect();
+        for id in finished {
             self.end(now_ms, id, |_| {});
         }
     }
@@ -438,26 +450,26 @@
             late.flat_map(Placement::engines).cloned().collect();
         let slow = self.engines.iter().filter(|(_, engine)| engine.health.is_slow());
         suspects.extend(slow.map(|(id, _)| id.clone()));
-        let is_taken = |id: &UpstreamId, engine: &mut Engine| {
-            let is_doubted = engine.reach.take_question(now_ms);
-            let is_suspect = suspects.contains(id) && !engine.reach.is_lost();
-            is_doubted || (is_suspect && engine.health.take_question(now_ms))
+        let should_query = |id: &UpstreamId, engine: &mut Engine| {
+            let needs_probe = engine.reachability.take_probe(now_ms);
+            let is_suspect = suspects.contains(id) && !engine.reachability.is_unreachable();
+            needs_probe || (is_suspect && engine.health.take_pace_request(now_ms))
         };
         let engines = self.engines.iter_mut().filter(|(_, engine)| engine.takes_work());
-        engines.filter_map(|(id, engine)| is_taken(id, engine).then(|| id.clone())).collect()
+        engines.filter_map(|(id, engine)| should_query(id, engine).then(|| id.clone())).collect()
     }
 
     /// Notes that no connection to an engine could be had for a question.
     pub fn note_unreached(&mut self, now_ms: f64, id: &UpstreamId) {
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.reach.note_unreached(now_ms);
+            engine.reachability.note_unreachable(now_ms);
         }
     }
 
     /// Notes that a heartbeat of an engine came.
     pub fn note_heartbeat(&mut self, now_ms: f64, id: &UpstreamId) {
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.reach.note_heartbeat(now_ms);
+            engine.reachability.note_heartbeat(now_ms);
         }
     }
 
@@ -466,15 +478,16 @@
     pub fn note_pace(&mut self, now_ms: f64, id: &UpstreamId, pace: f64) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.health.note_pace(now_ms, pace);
-            engine.reach.note_answer();
+            engine.reachability.note_answer();
         }
     }
 
     /// Drops placements whose hosts said nothing for too long.
     pub fn drop_lost(&mut self, now_ms: f64) {
-        let lost = self.placements.iter().filter(|(_, placement)| placement.lost_at_ms < now_ms);
-        let lost: Vec<_> = lost.map(|(id, _)| *id).collect();
-        for id in lost {
+        let expired =
+            self.placements.iter().filter(|(_, placement)| placement.expires_at_ms < now_ms);
+        let expired: Vec<_> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
             self.end(now_ms, id, |_| {});
         }
     }
--- a/clayplank-placement/src/health.rs
+++ b/clayplank-placement/src/health.rs
@@ -3,7 +3,7 @@
 use crate::avoid::avoid_ms;
 
 /// A first token that took this many times what was expected speaks of a slow engine.
-const SLOW_RATIO: f64 = 2.0;
+const SLOW_FACTOR: f64 = 2.0;
 
 /// Shorter delays, in ms, say nothing of an engine: the way there and the passes vary.
 const SLOW_MIN_MS: f64 = 150.0;
@@ -15,16 +15,16 @@
 const SLOWNESS_HALF_LIFE_MS: f64 = 3_000.0;
 
 /// A pace that an engine told is used for this long, in ms: slow ones are asked again before.
-const PACE_AGE_MS: f64 = 2_500.0;
+const PACE_VALID_MS: f64 = 2_500.0;
 
 /// An engine is asked for its pace this often at most, in ms: each question has its price.
-const ASK_EVERY_MS: f64 = 700.0;
+const PACE_REQUEST_INTERVAL_MS: f64 = 700.0;
 
 /// Beyond this pace an engine is slow, and asked again until it is not.
 const SLOW_PACE: f64 = 1.2;
 
 /// An answer shows for this long, in ms, that an engine lives whose heartbeats are missing.
-const SEEN_MS: f64 = 3_000.0;
+const ANSWER_VALID_MS: f64 = 3_000.0;
 
 /// Time, in ms, in which what was counted of an engine's failures loses half of its weight, so that one
 /// that fails no more is tried again.
@@ -36,13 +36,13 @@
 
 /// A share that is less than this counts as none: what is left of an old doubt would keep an engine
 /// idle beside others for as long as these have room.
-const FAILURE_LEAST_SHARE: f64 = 0.05;
+const MIN_FAILURE_SHARE: f64 = 0.05;
 
 /// What is known of an engine's failures and slowness.
 #[derive(Clone, Debug)]
 pub(crate) struct Health {
     /// When an answer of it was last seen.
-    seen_at_ms: f64,
+    answered_at_ms: f64,
     /// In a row.
     failures: u32,
     avoid_until_ms: f64,
@@ -56,13 +56,13 @@
     /// What the engine itself told: how many times longer its work takes than the model says.
     pace: f64,
     pace_at_ms: f64,
-    asked_at_ms: f64,
+    requested_at_ms: f64,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
-            seen_at_ms: 0.0,
+            answered_at_ms: 0.0,
             failures: 0,
             avoid_until_ms: 0.0,
             failed: 0.0,
@@ -72,7 +72,7 @@
             slowness_at_ms: 0.0,
             pace: 1.0,
             pace_at_ms: f64::NEG_INFINITY,
-            asked_at_ms: f64::NEG_INFINITY,
+            requested_at_ms: f64::NEG_INFINITY,
         }
     }
 }
@@ -85,15 +85,15 @@
     /// How many times longer its work takes than the model says: as it told itself lately,
     /// or, if that is more, as its answers showed.
     pub(crate) fn slowness(&self, now_ms: f64) -> f64 {
-        self.told_pace(now_ms).max(self.seen_slowness(now_ms))
+        self.reported_pace(now_ms).max(self.observed_slowness(now_ms))
     }
 
     /// What it told itself, if that is not too old.
-    pub(crate) fn told_pace(&self, now_ms: f64) -> f64 {
-        if now_ms < self.pace_at_ms + PACE_AGE_MS { self.pace } else { 1.0 }
+    pub(crate) fn reported_pace(&self, now_ms: f64) -> f64 {
+        if now_ms < self.pace_at_ms + PACE_VALID_MS { self.pace } else { 1.0 }
     }
 
-    fn seen_slowness(&self, now_ms: f64) -> f64 {
+    fn observed_slowness(&self, now_ms: f64) -> f64 {
         let age_ms = (now_ms - self.slowness_at_ms).max(0.0);
         1.0 + (self.slowness - 1.0) * 0.5_f64.powf(age_ms / SLOWNESS_HALF_LIFE_MS)
     }
@@ -101,51 +101,51 @@
     pub(crate) fn note_failure(&mut self, now_ms: f64) {
         self.failures = self.failures.saturating_add(1);
         self.avoid_until_ms = now_ms + avoid_ms(self.failures);
-        self.age_counts(now_ms);
+        self.decay_counts(now_ms);
         self.failed += 1.0;
     }
 
     /// A request was served to its end.
     pub(crate) fn note_served(&mut self, now_ms: f64) {
-        self.age_counts(now_ms);
+        self.decay_counts(now_ms);
         self.served += 1.0;
     }
 
-    fn age_counts(&mut self, now_ms: f64) {
-        let kept = self.kept_weight(now_ms);
-        self.failed *= kept;
-        self.served *= kept;
+    fn decay_counts(&mut self, now_ms: f64) {
+        let factor = self.decay_factor(now_ms);
+        self.failed *= factor;
+        self.served *= factor;
         self.counted_at_ms = now_ms;
     }
 
-    fn kept_weight(&self, now_ms: f64) -> f64 {
+    fn decay_factor(&self, now_ms: f64) -> f64 {
         let age_ms = (now_ms - self.counted_at_ms).max(0.0);
         0.5_f64.powf(age_ms / FAILURE_HALF_LIFE_MS)
     }
 
     /// Share of its requests that it seems to fail.
     pub(crate) fn failed_share(&self, now_ms: f64) -> f64 {
-        let kept = self.kept_weight(now_ms);
-        let failed = self.failed * kept;
-        let share = failed / (failed + self.served * kept + ASSUMED_SERVED);
-        if share < FAILURE_LEAST_SHARE { 0.0 } else { share }
+        let factor = self.decay_factor(now_ms);
+        let failed = self.failed * factor;
+        let share = failed / (failed + self.served * factor + ASSUMED_SERVED);
+        if share < MIN_FAILURE_SHARE { 0.0 } else { share }
     }
 
     pub(crate) fn note_success(&mut self, now_ms: f64) {
         self.failures = 0;
-        self.seen_at_ms = now_ms;
+        self.answered_at_ms = now_ms;
     }
 
     /// Whether an answer of it was seen lately.
-    pub(crate) fn is_seen(&self, now_ms: f64) -> bool {
-        now_ms <= self.seen_at_ms + SEEN_MS
+    pub(crate) fn has_answered_recently(&self, now_ms: f64) -> bool {
+        now_ms <= self.answered_at_ms + ANSWER_VALID_MS
     }
 
     /// Takes in the pace that the engine told.
     pub(crate) fn note_pace(&mut self, now_ms: f64, pace: f64) {
         self.pace = pace.clamp(1.0, MAX_SLOWNESS);
         self.pace_at_ms = now_ms;
-        self.seen_at_ms = now_ms;
+        self.answered_at_ms = now_ms;
     }
 
     /// Whether it was slow when it last told its pace.
@@ -154,21 +154,21 @@
     }
 
     /// Whether it may be asked for its pace again; if so, it counts as asked.
-    pub(crate) fn take_question(&mut self, now_ms: f64) -> bool {
-        let is_due = now_ms >= self.asked_at_ms + ASK_EVERY_MS;
+    pub(crate) fn take_pace_request(&mut self, now_ms: f64) -> bool {
+        let is_due = now_ms >= self.requested_at_ms + PACE_REQUEST_INTERVAL_MS;
         if is_due {
-            self.asked_at_ms = now_ms;
+            self.requested_at_ms = now_ms;
         }
         is_due
     }
 
     /// Learns from how long a first token took.
     pub(crate) fn note_first_token(&mut self, now_ms: f64, expected_ms: f64, took_ms: f64) {
-        let is_late = took_ms > SLOW_RATIO * expected_ms && took_ms > expected_ms + SLOW_MIN_MS;
-        let seen = if is_late { took_ms / expected_ms.max(1.0) } else { 1.0 };
-        let held = self.seen_slowness(now_ms);
-        self.slowness = ((held + seen) / 2.0).clamp(1.0, MAX_SLOWNESS);
+        let is_late = took_ms > SLOW_FACTOR * expected_ms && took_ms > expected_ms + SLOW_MIN_MS;
+        let observed = if is_late { took_ms / expected_ms.max(1.0) } else { 1.0 };
+        let previous = self.observed_slowness(now_ms);
+        self.slowness = ((previous + observed) / 2.0).clamp(1.0, MAX_SLOWNESS);
         self.slowness_at_ms = now_ms;
-        self.seen_at_ms = now_ms;
+        self.answered_at_ms = now_ms;
     }
 }
--- a/clayplank-placement/src/lib.rs
+++ b/clayplank-placement/src/lib.rs
@@ -19,32 +19,32 @@
 //! assert!(matches!(fleet.place(0.0, &ask), Placed::At(_)));
 //! ```
 
-mod admit;
-mod ask;
+mod admission;
 mod avoid;
 mod candidate;
 mod choose;
-mod costs;
+mod defer;
+mod dispatch_option;
 mod engine;
 mod event;
 mod fleet;
 mod health;
-mod hold;
-mod holds;
 mod job;
+mod losses;
 mod model;
-mod parts;
 mod placement;
 mod rate_limit;
-mod reach;
+mod reachability;
+mod request;
 mod retry;
-mod usual;
+mod slot_times;
+mod typical_limits;
 
-pub use ask::{Ask, Assignment, PASSED_GOAL_MS, Part, Placed, PlacementId};
 pub use avoid::avoid_ms;
 pub use engine::EngineSpec;
 pub use event::{Event, Renewed};
 pub use fleet::{Fleet, Outlook};
 pub use model::EngineModel;
 pub use rate_limit::{ColdStart, HostShare, RateLimit};
-pub use usual::UsualLimits;
+pub use request::{Ask, Assignment, PASSED_GOAL_MS, Part, Placed, PlacementId};
+pub use typical_limits::TypicalLimits;
--- a/clayplank-placement/src/costs.rs
+++ b/clayplank-placement/src/losses.rs
@@ -1,10 +1,10 @@
 //! What requests lose: a prompt by its own wait, and others by what it does to them.
 
-use crate::ask::Ask;
-use crate::candidate::Open;
+use crate::candidate::OpenEngine;
 use crate::engine::Engine;
 use crate::fleet::Fleet;
-use crate::job::{JobKind, Queued};
+use crate::job::{JobKind, PrefillWork};
+use crate::request::Ask;
 
 /// What a late answer loses of its weight. Most callers still take it, for about a quarter.
 pub(crate) const LATE_LOSS: f64 = 0.75;
@@ -35,16 +35,16 @@
 const PREEMPTED_FACTOR: f64 = 1.5;
 
 /// What streams on the engine lose by the pause while it reads.
-pub(crate) fn pause_harm(engine: &Engine, part: Queued) -> f64 {
+pub(crate) fn pause_harm(engine: &Engine, part: PrefillWork) -> f64 {
     let queued = engine.queued();
     let pass_ms = engine.pass_ms();
-    let pause_ms = |reads: Queued| {
-        let share = engine.spec.model.pass_read_tokens() as f64 / reads.tokens.max(1.0);
-        pass_ms + reads.read_ms * share.min(1.0)
+    let pause_ms = |work: PrefillWork| {
+        let share = engine.spec.model.pass_read_tokens() as f64 / work.tokens.max(1.0);
+        pass_ms + work.prefill_ms * share.min(1.0)
     };
-    let (before_ms, after_ms) = (pause_ms(queued), pause_ms(queued.and(part)));
-    let written = engine.jobs.iter().filter(|job| job.kind == JobKind::Primary);
-    let harmed = written.filter(|job| {
+    let (before_ms, after_ms) = (pause_ms(queued), pause_ms(queued.plus(part)));
+    let streams = engine.jobs.iter().filter(|job| job.kind == JobKind::Primary);
+    let harmed = streams.filter(|job| {
         let safe_ms = job.pause_goal_ms * SAFE_PAUSE_SHARE;
         before_ms <= safe_ms && after_ms > safe_ms
     });
@@ -55,14 +55,15 @@
 /// parts of earlier split prompts among them. What each of its parts loses on several engines
 /// is added up, though the prompt is late only once: prompts that share few engines with
 /// others hold each other up less.
-pub(crate) fn delay_harm(engine: &Engine, now_ms: f64, read_ms: f64) -> f64 {
-    let mut until_read = Queued::default();
+pub(crate) fn delay_harm(engine: &Engine, now_ms: f64, prefill_ms: f64) -> f64 {
+    let mut queue = PrefillWork::default();
     let mut harm = 0.0;
-    for job in engine.in_reading_order() {
-        until_read = until_read.and(job.queued());
+    for job in engine.in_prefill_order() {
+        queue = queue.plus(job.queued());
         let goals_at = |at_ms: f64| 1.0 + (at_ms - job.first_token_due_ms) / job.goal_ms.max(1.0);
-        let read_at_ms = now_ms + engine.time_to_read_ms(until_read);
-        let loss = late_loss(goals_at(read_at_ms + read_ms)) - late_loss(goals_at(read_at_ms));
+        let prefilled_at_ms = now_ms + engine.time_to_prefill_ms(queue);
+        let loss = late_loss(goals_at(prefilled_at_ms + prefill_ms))
+            - late_loss(goals_at(prefilled_at_ms));
         harm += PREEMPTED_FACTOR * job.weight * loss;
     }
     harm
@@ -82,26 +83,27 @@
     /// Split prompts go to engines on which nothing is written, as long as there are enough: streams are
     /// at risk as far as these are scarce. Where they abound, a short prompt that is sent to an engine
     /// with streams, to spare one without, only waits for their pass.
-    pub(crate) fn of(fleet: &Fleet, open: &[Open<'_>], now_ms: f64) -> Self {
+    pub(crate) fn of(fleet: &Fleet, open: &[OpenEngine<'_>], now_ms: f64) -> Self {
         let split_load = fleet.split_load(now_ms);
-        let read = PARTS_PER_STREAM * split_load * open.len() as f64;
+        let prefilled_parts = PARTS_PER_STREAM * split_load * open.len() as f64;
         let idle = open.iter().filter(|one| one.engine.primaries() == 0).count();
-        let scarcity = (read / idle.max(1) as f64).min(1.0);
+        let scarcity = (prefilled_parts / idle.max(1) as f64).min(1.0);
         Self(EXPOSURE_LOSS * split_load * scarcity)
     }
 
     /// What a stream risks on an engine where few others keep split prompts away.
-    pub(crate) fn loss(self, engine: &Engine, ask: &Ask) -> f64 {
-        let written = engine.jobs.iter().filter(|job| job.kind == JobKind::Primary);
-        let as_tight = written.filter(|job| job.pause_goal_ms <= ask.pause_goal_ms);
-        let kept_by: f64 = as_tight.map(|job| job.weight).sum();
-        self.0 * ask.weight() / (1.0 + kept_by)
+    pub(crate) fn loss(self, engine: &Engine, request: &Ask) -> f64 {
+        let streams = engine.jobs.iter().filter(|job| job.kind == JobKind::Primary);
+        let at_least_as_strict = streams.filter(|job| job.pause_goal_ms <= request.pause_goal_ms);
+        let shielding_weight: f64 = at_least_as_strict.map(|job| job.weight).sum();
+        self.0 * request.weight() / (1.0 + shielding_weight)
     }
 }
 
 /// What the prompt itself loses by a first token after this time.
-pub(crate) fn own_loss(ask: &Ask, first_token_ms: f64) -> f64 {
-    let goals = first_token_ms / ask.goal_ms.max(1.0);
-    let very_late = ((first_token_ms - ask.goal_ms) / ask.limit_ms.max(1.0)).clamp(0.0, 1.0);
-    ask.weight() * (late_loss(goals) + very_late * (1.0 - LATE_LOSS))
+pub(crate) fn prompt_loss(request: &Ask, first_token_ms: f64) -> f64 {
+    let goals = first_token_ms / request.goal_ms.max(1.0);
+    let very_late =
+        ((first_token_ms - request.goal_ms) / request.limit_ms.max(1.0)).clamp(0.0, 1.0);
+    request.weight() * (late_loss(goals) + very_late * (1.0 - LATE_LOSS))
 }
--- a/clayplank-placement/src/model.rs
+++ b/clayplank-placement/src/model.rs
@@ -61,13 +61,13 @@
         let million_pairs = tokens * tokens / 2.0 / 1e6;
         let linear_ms = tokens / self.read_tokens_per_s * 1e3;
         let steps = tokens / self.chunk_tokens as f64;
-        let whole_ms = linear_ms + million_pairs * self.per_million_pairs_ms + steps * self.step_ms;
-        whole_ms / parts.max(1) as f64
+        let total_ms = linear_ms + million_pairs * self.per_million_pairs_ms + steps * self.step_ms;
+        total_ms / parts.max(1) as f64
     }
 
     /// Time between two events of the streams that an engine writes, if it reads nothing.
-    pub fn pass_ms(&self, writers: usize, context_tokens: u64) -> f64 {
-        let sequences_ms = self.per_sequence_ms * writers as f64;
+    pub fn pass_ms(&self, streams: usize, context_tokens: u64) -> f64 {
+        let sequences_ms = self.per_sequence_ms * streams as f64;
         let context_ms = self.context_per_1000_tokens_ms * context_tokens as f64 / 1e3;
         f64::from(self.steps_per_event) * (self.step_ms + sequences_ms + context_ms)
     }
--- a/clayplank-placement/src/placement.rs
+++ b/clayplank-placement/src/placement.rs
@@ -2,17 +2,17 @@
 
 use clayplank_types::UpstreamId;
 
-use crate::ask::{Ask, Assignment};
+use crate::request::{Ask, Assignment};
 
 /// A placement whose host says nothing is dropped this long, in ms, after its time limit.
-const LOST_AFTER_MS: f64 = 5_000.0;
+const EXPIRY_MARGIN_MS: f64 = 5_000.0;
 
 /// A placement that its host does not list is kept this long, in ms: the list may be older.
 const SETTLE_MS: f64 = 1_000.0;
 
 /// A first token that is this many times later than expected, and by a margin in ms, makes the
 /// engines that read for it suspect of being slow.
-const SUSPECT_RATIO: f64 = 1.5;
+const SUSPECT_FACTOR: f64 = 1.5;
 const SUSPECT_MARGIN_MS: f64 = 100.0;
 
 /// One prompt that was placed.
@@ -25,18 +25,18 @@
     pub(crate) expected_ms: f64,
     pub(crate) is_started: bool,
     /// When it is dropped if its host says nothing.
-    pub(crate) lost_at_ms: f64,
+    pub(crate) expires_at_ms: f64,
 }
 
 impl Placement {
-    pub(crate) fn new(now_ms: f64, ask: &Ask, assignment: &Assignment) -> Self {
+    pub(crate) fn new(now_ms: f64, request: &Ask, assignment: &Assignment) -> Self {
         Self {
             engine: assignment.engine.clone(),
             helpers: assignment.helpers.iter().map(|part| part.engine.clone()).collect(),
             placed_at_ms: now_ms,
             expected_ms: assignment.first_token_ms,
             is_started: false,
-            lost_at_ms: now_ms + ask.limit_ms + LOST_AFTER_MS,
+            expires_at_ms: now_ms + request.limit_ms + EXPIRY_MARGIN_MS,
         }
     }
 
@@ -53,6 +53,6 @@
     /// Whether its first token is later than its engines' usual work explains.
     pub(crate) fn is_late(&self, now_ms: f64) -> bool {
         let waited_ms = now_ms - self.placed_at_ms;
-        !self.is_started && waited_ms > SUSPECT_RATIO * self.expected_ms + SUSPECT_MARGIN_MS
+        !self.is_started && waited_ms > SUSPECT_FACTOR * self.expected_ms + SUSPECT_MARGIN_MS
     }
 }
--- a/clayplank-placement/src/rate_limit.rs
+++ b/clayplank-placement/src/rate_limit.rs
@@ -17,14 +17,14 @@
 const COLD_SHARE: f64 = 0.7;
 
 /// The same of what an upstream says that it takes: its limit counts over several seconds.
-const NAMED_SHARE: f64 = 0.8;
+const DECLARED_SHARE: f64 = 0.8;
 
 /// Share that all hosts together use that decide alone.
-const ALONE_SHARE: f64 = 0.25;
+const STANDALONE_SHARE: f64 = 0.25;
 
 /// An upstream that names a lower limit gets a request in this time all the same, in ms: only its
 /// answers tell when the limit ends.
-const LONGEST_SPACING_MS: f64 = 5_000.0;
+const MAX_SPACING_MS: f64 = 5_000.0;
 
 const SECOND_MS: f64 = 1_000.0;
 
@@ -62,7 +62,7 @@
 impl HostShare {
     /// How many requests this host may send to an upstream in the second of a time.
     fn allowed(&self, id: &UpstreamId, second: u64, requests_per_s: f64) -> u64 {
-        let mean = ALONE_SHARE * requests_per_s / self.hosts.max(1) as f64;
+        let mean = STANDALONE_SHARE * requests_per_s / self.hosts.max(1) as f64;
         let is_picked = self.draw(id, second) < mean.fract();
         mean as u64 + u64::from(is_picked)
     }
@@ -82,7 +82,7 @@
     /// What it takes while it is cold; 0 for any number.
     cold_per_s: f64,
     /// What it says that it takes.
-    named_per_s: Option<f64>,
+    declared_per_s: Option<f64>,
     /// When a keeper sent the last request, or will send it.
     last_request_ms: Option<f64>,
     /// When a keeper last sent work, a part of a prompt that another engine answers perhaps.
@@ -95,8 +95,8 @@
 impl RateLimit {
     /// Notes for how much longer it is cold. A word that tells less than an earlier one changes
     /// nothing: it may be late.
-    pub fn note_cold(&mut self, now_ms: f64, left_ms: f64) {
-        self.cold_until_ms = self.cold_until_ms.max(now_ms + left_ms);
+    pub fn note_cold(&mut self, now_ms: f64, remaining_ms: f64) {
+        self.cold_until_ms = self.cold_until_ms.max(now_ms + remaining_ms);
     }
 
     /// Sets how many requests a second it bears while it is cold, over all hosts; 0 for any number.
@@ -106,7 +106,7 @@
 
     /// Sets how many requests a second it says that it takes, over all hosts; `None` for any number.
     pub fn set_named_limit(&mut self, requests_per_s: Option<f64>) {
-        self.named_per_s = requests_per_s;
+        self.declared_per_s = requests_per_s;
     }
 
     /// Whether it is cold, and bears no more than the limit.
@@ -115,15 +115,15 @@
     }
 
     /// Requests a second that it names, but for those that tell when its limit ends.
-    fn named_per_s(&self) -> Option<f64> {
-        self.named_per_s.map(|per_s| per_s.max(SECOND_MS / LONGEST_SPACING_MS))
+    fn declared_per_s(&self) -> Option<f64> {
+        self.declared_per_s.map(|per_s| per_s.max(SECOND_MS / MAX_SPACING_MS))
     }
 
     /// Requests a second that it takes now; `None` for any number.
     fn per_s(&self, now_ms: f64) -> Option<f64> {
         let cold_per_s = self.is_cold(now_ms).then_some(self.cold_per_s);
-        match (cold_per_s, self.named_per_s()) {
-            (Some(cold_per_s), Some(named_per_s)) => Some(cold_per_s.min(named_per_s)),
+        match (cold_per_s, self.declared_per_s()) {
+            (Some(cold_per_s), Some(declared_per_s)) => Some(cold_per_s.min(declared_per_s)),
             (one, other) => one.or(other),
         }
     }
@@ -146,9 +146,9 @@
     }
 
     /// When the next turn at its named limit comes, in ms from now; 0 for at once.
-    fn next_turn_ms(&self, now_ms: f64) -> f64 {
-        let turn = self.last_request_ms.zip(self.named_per_s());
-        turn.map_or(0.0, |(last_ms, per_s)| wait_after(last_ms, NAMED_SHARE * per_s, now_ms))
+    fn declared_wait_ms(&self, now_ms: f64) -> f64 {
+        let last = self.last_request_ms.zip(self.declared_per_s());
+        last.map_or(0.0, |(last_ms, per_s)| wait_after(last_ms, DECLARED_SHARE * per_s, now_ms))
     }
 
     /// When a keeper may send work to it as far as it is cold, in ms from now; 0 for at once.
@@ -167,9 +167,9 @@
     ///
     /// # Errors
     /// The time until there is a turn, in ms.
-    pub fn take_turn(&mut self, now_ms: f64, patience_ms: f64) -> Result<f64, f64> {
-        let wait_ms = self.next_turn_ms(now_ms);
-        if wait_ms > patience_ms {
+    pub fn take_turn(&mut self, now_ms: f64, max_wait_ms: f64) -> Result<f64, f64> {
+        let wait_ms = self.declared_wait_ms(now_ms);
+        if wait_ms > max_wait_ms {
             return Err(wait_ms);
         }
         self.last_request_ms = Some(now_ms + wait_ms);
@@ -177,8 +177,8 @@
     }
 
     /// Whether it names a limit.
-    pub(crate) fn is_named(&self) -> bool {
-        self.named_per_s.is_some()
+    pub(crate) fn has_declared_limit(&self) -> bool {
+        self.declared_per_s.is_some()
     }
 
     /// When it may get any work, in ms from now; 0 for at once.
@@ -193,7 +193,7 @@
     /// When the next request may be sent, in ms from now; 0 for at once.
     pub(crate) fn wait_ms(&self, now_ms: f64, id: &UpstreamId, sender: &Sender) -> f64 {
         match sender {
-            Sender::Keeper => self.cold_wait_ms(now_ms).max(self.next_turn_ms(now_ms)),
+            Sender::Keeper => self.cold_wait_ms(now_ms).max(self.declared_wait_ms(now_ms)),
             Sender::Host(share) if self.may_send_alone(now_ms, id, share) => 0.0,
             Sender::Host(_) => SECOND_MS - now_ms % SECOND_MS,
         }
--- a/clayplank-placement/src/ask.rs
+++ b/clayplank-placement/src/request.rs
@@ -90,7 +90,7 @@
     }
 
     /// The same for a caller that tried first so long ago, in ms; 0 for one that is new.
-    pub(crate) fn told_from_new(&self, since_first_try_ms: f64) -> Self {
+    pub(crate) fn with_time_since_first_try(&self, since_first_try_ms: f64) -> Self {
         let is_returning = self.is_returning || since_first_try_ms > 0.0;
         Self { is_returning, since_first_try_ms, ..self.clone() }
     }
--- a/clayplank-placement/src/holds.rs
+++ b/clayplank-placement/src/slot_times.rs
@@ -7,23 +7,23 @@
 
 /// Means of the times for which places were held, in ms.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Holds {
+pub(crate) struct SlotTimes {
     by_pool: HashMap<String, f64>,
 }
 
-impl Holds {
+impl SlotTimes {
     /// Notes that a prompt that was served has left its place.
-    pub(crate) fn note(&mut self, pool: &str, held_ms: f64) {
+    pub(crate) fn note(&mut self, pool: &str, slot_ms: f64) {
         match self.by_pool.get_mut(pool) {
-            Some(mean_ms) => *mean_ms += NEWEST_SHARE * (held_ms - *mean_ms),
+            Some(mean_ms) => *mean_ms += NEWEST_SHARE * (slot_ms - *mean_ms),
             None => {
-                self.by_pool.insert(pool.to_owned(), held_ms);
+                self.by_pool.insert(pool.to_owned(), slot_ms);
             }
         }
     }
 
     /// The usual time; `None` while none has ended.
-    pub(crate) fn usual_ms(&self, pool: &str) -> Option<f64> {
+    pub(crate) fn mean_ms(&self, pool: &str) -> Option<f64> {
         self.by_pool.get(pool).copied()
     }
 }
--- a/clayplank-placement/tests/crowded.rs
+++ b/clayplank-placement/tests/crowded.rs
@@ -19,7 +19,7 @@
 use crate::common::with_engines;
 
 const ENGINES: usize = 40;
-const PLACES: u32 = 6;
+const SLOTS: u32 = 6;
 
 /// Length of the load, in ms, and of an answer in tokens and in time.
 const LOAD_MS: f64 = 8_000.0;
@@ -39,66 +39,66 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Happening {
+enum SimEvent {
     Try(usize),
-    Note(usize, Event),
+    Report(usize, Event),
 }
 
 /// What happens at a time, in us.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Planned(u64, u64, Happening);
+struct Scheduled(u64, u64, SimEvent);
 
-impl Eq for Planned {}
+impl Eq for Scheduled {}
 
-impl Ord for Planned {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
 }
 
-impl PartialOrd for Planned {
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-struct World {
+struct Simulation {
     fleet: Fleet,
     callers: Vec<Caller>,
-    planned: BinaryHeap<Reverse<Planned>>,
+    scheduled: BinaryHeap<Reverse<Scheduled>>,
 }
 
-impl World {
+impl Simulation {
     fn new(load: f64) -> Self {
-        let model = EngineModel { slots: PLACES, steps_per_event: 73, ..EngineModel::default() };
+        let model = EngineModel { slots: SLOTS, steps_per_event: 73, ..EngineModel::default() };
         let fleet = with_engines(Fleet::default(), ENGINES, &model);
-        let mut world = Self { fleet, callers: Vec::new(), planned: BinaryHeap::new() };
+        let mut simulation = Self { fleet, callers: Vec::new(), scheduled: BinaryHeap::new() };
         let mut rng = SmallRng::seed_from_u64(1);
-        let per_ms = load * ENGINES as f64 * f64::from(PLACES) / ANSWER_MS;
+        let per_ms = load * ENGINES as f64 * f64::from(SLOTS) / ANSWER_MS;
         let mut now_ms = 0.0;
         while now_ms < LOAD_MS {
             now_ms += -(1.0 - rng.random::<f64>()).ln() / per_ms;
-            world.plan(now_ms, Happening::Try(world.callers.len()));
-            world.callers.push(Caller {
+            simulation.schedule(now_ms, SimEvent::Try(simulation.callers.len()));
+            simulation.callers.push(Caller {
                 first_try_ms: now_ms,
                 tried_ms: now_ms,
                 ..Caller::default()
             });
         }
-        world
+        simulation
     }
 
-    fn plan(&mut self, at_ms: f64, happening: Happening) {
-        let number = self.planned.len() as u64;
-        self.planned.push(Reverse(Planned((at_ms * 1e3) as u64, number, happening)));
+    fn schedule(&mut self, at_ms: f64, event: SimEvent) {
+        let number = self.scheduled.len() as u64;
+        self.scheduled.push(Reverse(Scheduled((at_ms * 1e3) as u64, number, event)));
     }
 
     fn run(&mut self) {
-        while let Some(Reverse(Planned(at_us, _, happening))) = self.planned.pop() {
+        while let Some(Reverse(Scheduled(at_us, _, event))) = self.scheduled.pop() {
             let now_ms = at_us as f64 / 1e3;
-            match happening {
-                Happening::Try(number) => self.try_once(now_ms, number),
-                Happening::Note(number, event) => self.fleet.note(now_ms, id(number), event),
+            match event {
+                SimEvent::Try(number) => self.try_once(now_ms, number),
+                SimEvent::Report(number, event) => self.fleet.note(now_ms, id(number), event),
             }
         }
     }
@@ -106,24 +106,24 @@
     fn try_once(&mut self, now_ms: f64, number: usize) {
         let caller = self.callers[number];
         let goal_ms = (GOAL_MS - (now_ms - caller.tried_ms)).max(PASSED_GOAL_MS);
-        let mut ask = Ask::new(id(number), "main", 5_000, goal_ms);
-        ask.output_tokens = ANSWER_TOKENS;
-        ask.limit_ms = 2_000.0;
-        ask.pause_goal_ms = 250.0;
-        ask.data_centre = DataCentre::new("a");
-        ask.route = "chat".to_owned();
-        ask.route_limit_ms = LIMIT_MS;
-        ask.sent_limit_ms = LIMIT_MS - (caller.tried_ms - caller.first_try_ms);
-        match self.fleet.place(now_ms, &ask) {
+        let mut request = Ask::new(id(number), "main", 5_000, goal_ms);
+        request.output_tokens = ANSWER_TOKENS;
+        request.limit_ms = 2_000.0;
+        request.pause_goal_ms = 250.0;
+        request.data_centre = DataCentre::new("a");
+        request.route = "chat".to_owned();
+        request.route_limit_ms = LIMIT_MS;
+        request.sent_limit_ms = LIMIT_MS - (caller.tried_ms - caller.first_try_ms);
+        match self.fleet.place(now_ms, &request) {
             Placed::At(assignment) => {
                 let took_ms = assignment.first_token_ms;
                 let first_ms = now_ms + took_ms;
                 self.callers[number].first_token_ms = Some(first_ms - caller.first_try_ms);
-                self.plan(first_ms, Happening::Note(number, Event::Started { took_ms }));
-                self.plan(first_ms + ANSWER_MS, Happening::Note(number, Event::Ended));
+                self.schedule(first_ms, SimEvent::Report(number, Event::Started { took_ms }));
+                self.schedule(first_ms + ANSWER_MS, SimEvent::Report(number, Event::Ended));
             }
             Placed::Soon { again_in_ms } => {
-                self.plan(now_ms + again_in_ms as f64, Happening::Try(number));
+                self.schedule(now_ms + again_in_ms as f64, SimEvent::Try(number));
             }
             Placed::Full { retry_after_ms } => self.refuse(now_ms, number, retry_after_ms),
         }
@@ -135,7 +135,7 @@
         if caller.refusals == 1 {
             caller.tried_ms = now_ms + (retry_after_ms as f64).min(LIMIT_MS / 3.0);
             let back_ms = caller.tried_ms;
-            self.plan(back_ms, Happening::Try(number));
+            self.schedule(back_ms, SimEvent::Try(number));
         }
     }
 
@@ -155,16 +155,16 @@
 #[case::a_tenth_too_many(1.1)]
 #[case::a_half_too_many(1.5)]
 fn who_is_in_time_goes_before_who_is_late(#[case] load: f64) {
-    let mut world = World::new(load);
-    world.run();
-    let all = world.callers.len();
-    let in_time = world.count(|caller| caller.first_token_ms.is_some_and(|ms| ms <= GOAL_MS));
-    let late = world.count(|caller| caller.first_token_ms.is_some_and(|ms| ms > GOAL_MS));
-    let refused_twice = world.count(|caller| caller.refusals > 1);
+    let mut simulation = Simulation::new(load);
+    simulation.run();
+    let all = simulation.callers.len();
+    let in_time = simulation.count(|caller| caller.first_token_ms.is_some_and(|ms| ms <= GOAL_MS));
+    let late = simulation.count(|caller| caller.first_token_ms.is_some_and(|ms| ms > GOAL_MS));
+    let refused_twice = simulation.count(|caller| caller.refusals > 1);
     insta::assert_snapshot!(
         format!("load_{load}"),
         format!("{all} callers: {in_time} in time, {late} late, {refused_twice} refused twice")
     );
-    let held = (all as f64 / load.max(1.0)) as usize;
-    assert!(in_time * 20 >= held * 17, "{in_time} of {held} that the places hold in time");
+    let capacity = (all as f64 / load.max(1.0)) as usize;
+    assert!(in_time * 20 >= capacity * 17, "{in_time} of {capacity} that the places hold in time");
 }
--- a/clayplank-placement/tests/decisions.rs
+++ b/clayplank-placement/tests/decisions.rs
@@ -26,19 +26,19 @@
     fleet
 }
 
-fn ask(number: u64, tokens: u64, goal_ms: f64, pause_goal_ms: f64) -> Ask {
-    let mut ask = Ask::new(PlacementId { host: 1, number }, "main", tokens, goal_ms);
-    ask.pause_goal_ms = pause_goal_ms;
-    ask.data_centre = DataCentre::new("a");
-    ask
+fn request(number: u64, tokens: u64, goal_ms: f64, pause_goal_ms: f64) -> Ask {
+    let mut request = Ask::new(PlacementId { host: 1, number }, "main", tokens, goal_ms);
+    request.pause_goal_ms = pause_goal_ms;
+    request.data_centre = DataCentre::new("a");
+    request
 }
 
 fn short(number: u64) -> Ask {
-    ask(number, 5_000, 300.0, 200.0)
+    request(number, 5_000, 300.0, 200.0)
 }
 
 fn long(number: u64) -> Ask {
-    ask(number, 210_000, 3_000.0, 800.0)
+    request(number, 210_000, 3_000.0, 800.0)
 }
 
 fn assigned(placed: Placed) -> Assignment {
@@ -90,7 +90,7 @@
 #[test]
 fn what_no_engine_holds_is_spread_over_reservations() {
     let mut fleet = fleet_of(4, &EngineModel::default());
-    let assignment = assigned(fleet.place(0.0, &ask(1, 900_000, 60_000.0, 800.0)));
+    let assignment = assigned(fleet.place(0.0, &request(1, 900_000, 60_000.0, 800.0)));
     let reserved: u64 = assignment.helpers.iter().map(|part| part.reserve_tokens).sum();
     assert!(reserved >= 900_000 - 450_000, "{assignment:?}");
 }
@@ -100,23 +100,23 @@
     let model = EngineModel { slots: 1, ..EngineModel::default() };
     let mut fleet = fleet_of(1, &model);
     assigned(fleet.place(0.0, &short(1)));
-    let patient = ask(2, 5_000, 5_000.0, 200.0);
+    let patient = request(2, 5_000, 5_000.0, 200.0);
     assert!(matches!(fleet.place(0.0, &patient), Placed::Soon { again_in_ms } if again_in_ms > 0));
-    let hurried = ask(3, 5_000, 100.0, 200.0);
+    let hurried = request(3, 5_000, 100.0, 200.0);
     assert!(matches!(fleet.place(0.0, &hurried), Placed::Full { .. }));
 }
 
 #[test]
 fn what_the_whole_fleet_cannot_hold_is_refused() {
     let mut fleet = fleet_of(2, &EngineModel::default());
-    let placed = fleet.place(0.0, &ask(1, 1_000_000, 60_000.0, 800.0));
+    let placed = fleet.place(0.0, &request(1, 1_000_000, 60_000.0, 800.0));
     assert!(matches!(placed, Placed::Full { .. }), "{placed:?}");
 }
 
 #[test]
 fn a_prompt_that_would_be_late_is_refused_once_while_engines_have_time() {
     let mut fleet = fleet_of(1, &EngineModel::default());
-    let mut late = ask(1, 210_000, 1_000.0, 800.0);
+    let mut late = request(1, 210_000, 1_000.0, 800.0);
     late.limit_ms = 12_000.0;
     assert!(matches!(fleet.place(0.0, &late), Placed::Full { .. }));
     late.is_returning = true;
@@ -143,7 +143,7 @@
         assigned(fleet.place(0.0, &short(number)));
         fleet.note(50.0, short(number).id, Event::Started { took_ms: 50.0 });
     }
-    let medium = ask(50, 100_000, 2_000.0, 800.0);
+    let medium = request(50, 100_000, 2_000.0, 800.0);
     assert!(matches!(fleet.place(1_000.0, &medium), Placed::Full { .. }), "28 streams would pause");
     for number in 0..24 {
         fleet.note(1_000.0, short(number).id, Event::Ended);
@@ -154,10 +154,10 @@
 #[test]
 fn the_longest_prompts_give_way_first() {
     let mut fleet = fleet_of(2, &EngineModel::default());
-    assigned(fleet.place(0.0, &ask(1, 250_000, 6_000.0, 800.0)));
-    let longest = ask(2, 430_000, 60_000.0, 800.0);
+    assigned(fleet.place(0.0, &request(1, 250_000, 6_000.0, 800.0)));
+    let longest = request(2, 430_000, 60_000.0, 800.0);
     assert!(matches!(fleet.place(0.0, &longest), Placed::Full { .. }), "it reads for ten seconds");
-    let usual = ask(3, 150_000, 60_000.0, 800.0);
+    let usual = request(3, 150_000, 60_000.0, 800.0);
     assert!(matches!(fleet.place(0.0, &usual), Placed::At(_)));
 }
 
@@ -355,7 +355,7 @@
 #[test]
 fn a_long_prompt_is_not_read_with_one_that_cannot_be_reached() {
     let (mut fleet, dead) = fleet_with_one_unreached();
-    let assignment = assigned(fleet.place(20.0, &ask(2, 400_000, 4_000.0, 1_000.0)));
+    let assignment = assigned(fleet.place(20.0, &request(2, 400_000, 4_000.0, 1_000.0)));
     let used = std::iter::once(&assignment.engine)
         .chain(assignment.helpers.iter().map(|part| &part.engine));
     assert!(used.into_iter().all(|engine| *engine != dead), "{assignment:?}");
@@ -410,7 +410,7 @@
     let mut fleet = fleet_of(1, &model);
     let mut taken = 0;
     for number in 0..100 {
-        let mut resumed = ask(number, 5_000, 250.0, 250.0);
+        let mut resumed = request(number, 5_000, 250.0, 250.0);
         resumed.has_begun = true;
         resumed.limit_ms = 2_000.0;
         if let Placed::At(assignment) = fleet.place(0.0, &resumed) {
@@ -450,7 +450,7 @@
 #[test]
 fn a_prompt_leaves_engines_to_those_that_come_while_it_is_read() {
     let mut fleet = fleet_of(8, &EngineModel { slots: 10, ..EngineModel::default() });
-    let mut longest = ask(1, 1_000_000, 4_000.0, 1_000.0);
+    let mut longest = request(1, 1_000_000, 4_000.0, 1_000.0);
     longest.is_returning = true;
     let assignment = assigned(fleet.place(0.0, &longest));
     assert!(assignment.helpers.len() < 6, "{assignment:?}");
@@ -461,6 +461,6 @@
 #[test]
 fn a_prompt_whose_memory_needs_all_engines_gets_them() {
     let mut fleet = fleet_of(5, &EngineModel::default());
-    let assignment = assigned(fleet.place(0.0, &ask(1, 2_000_000, 1e6, 1e6)));
+    let assignment = assigned(fleet.place(0.0, &request(1, 2_000_000, 1e6, 1e6)));
     assert_eq!(assignment.helpers.len(), 4, "{assignment:?}");
 }
--- a/clayplank-placement/tests/holding.rs
+++ b/clayplank-placement/tests/deferral.rs
@@ -13,31 +13,31 @@
 const TIGHT_GOAL_MS: f64 = 900.0;
 
 /// What a prompt may be held before callers lose by it, as a share of its goal.
-const HARMLESS_SHARE: f64 = 0.125;
+const MAX_DEFER_SHARE: f64 = 0.125;
 
 fn fleet_of(engines: usize) -> Fleet {
     with_engines(Fleet::default(), engines, &EngineModel::default())
 }
 
-fn ask(number: u64, tokens: u64, goal_ms: f64) -> Ask {
-    let mut ask = Ask::new(PlacementId { host: 1, number }, "main", tokens, goal_ms);
-    ask.pause_goal_ms = 1_000.0;
-    ask.data_centre = DataCentre::new("a");
-    ask
+fn request(number: u64, tokens: u64, goal_ms: f64) -> Ask {
+    let mut request = Ask::new(PlacementId { host: 1, number }, "main", tokens, goal_ms);
+    request.pause_goal_ms = 1_000.0;
+    request.data_centre = DataCentre::new("a");
+    request
 }
 
 /// Asks as a host does until the prompt is placed or refused; says how long it was held, and the outcome.
-fn ask_until_told(fleet: &mut Fleet, from_ms: f64, ask: &Ask) -> (f64, Placed) {
-    let mut ask = ask.clone();
+fn place_with_retries(fleet: &mut Fleet, from_ms: f64, request: &Ask) -> (f64, Placed) {
+    let mut request = request.clone();
     loop {
-        match fleet.place(from_ms + ask.waited_ms, &ask) {
+        match fleet.place(from_ms + request.waited_ms, &request) {
             Placed::Soon { again_in_ms } => {
                 assert!(again_in_ms > 0, "it would ask without end");
-                ask.waited_ms += again_in_ms as f64;
-                ask.goal_ms -= again_in_ms as f64;
-                ask.limit_ms -= again_in_ms as f64;
+                request.waited_ms += again_in_ms as f64;
+                request.goal_ms -= again_in_ms as f64;
+                request.limit_ms -= again_in_ms as f64;
             }
-            told => return (ask.waited_ms, told),
+            placed => return (request.waited_ms, placed),
         }
     }
 }
@@ -45,15 +45,17 @@
 #[test]
 fn a_long_prompt_waits_until_another_is_read_and_both_are_in_time() {
     let mut fleet = fleet_of(12);
-    let (held_ms, first) = ask_until_told(&mut fleet, 0.0, &ask(1, 210_000, TIGHT_GOAL_MS));
+    let (deferred_ms, first) =
+        place_with_retries(&mut fleet, 0.0, &request(1, 210_000, TIGHT_GOAL_MS));
     let Placed::At(first) = first else { panic!("{first:?}") };
-    assert_eq!(held_ms, 0.0, "nothing is read yet");
+    assert_eq!(deferred_ms, 0.0, "nothing is read yet");
     // It is read for some hundred ms; without a wait the second one would be read before it.
     let second_at_ms = first.first_token_ms - 150.0;
-    let (held_ms, second) = ask_until_told(&mut fleet, second_at_ms, &ask(2, 500_000, GOAL_MS));
+    let (deferred_ms, second) =
+        place_with_retries(&mut fleet, second_at_ms, &request(2, 500_000, GOAL_MS));
     let Placed::At(second) = second else { panic!("{second:?}") };
-    assert!(held_ms > 0.0, "it pushes the first one back");
-    assert!(held_ms + second.first_token_ms <= GOAL_MS, "{held_ms} and {second:?}");
+    assert!(deferred_ms > 0.0, "it pushes the first one back");
+    assert!(deferred_ms + second.first_token_ms <= GOAL_MS, "{deferred_ms} and {second:?}");
 }
 
 #[test]
@@ -61,38 +63,39 @@
     let mut fleet = fleet_of(4);
     for number in 0..40 {
         let now_ms = 60.0 * number as f64;
-        let (held_ms, _) = ask_until_told(&mut fleet, now_ms, &ask(number, 300_000, GOAL_MS));
-        assert!(held_ms <= HARMLESS_SHARE * GOAL_MS, "held for {held_ms} ms");
+        let (deferred_ms, _) =
+            place_with_retries(&mut fleet, now_ms, &request(number, 300_000, GOAL_MS));
+        assert!(deferred_ms <= MAX_DEFER_SHARE * GOAL_MS, "held for {deferred_ms} ms");
     }
 }
 
 #[test]
 fn what_cannot_be_in_time_is_refused_at_once() {
     let mut fleet = fleet_of(1);
-    let (held_ms, told) = ask_until_told(&mut fleet, 0.0, &ask(1, 400_000, GOAL_MS));
-    assert!(matches!(told, Placed::Full { .. }), "{told:?}");
-    assert_eq!(held_ms, 0.0);
+    let (deferred_ms, placed) = place_with_retries(&mut fleet, 0.0, &request(1, 400_000, GOAL_MS));
+    assert!(matches!(placed, Placed::Full { .. }), "{placed:?}");
+    assert_eq!(deferred_ms, 0.0);
 }
 
 #[test]
 fn a_short_prompt_and_a_stream_that_has_begun_are_never_held() {
     let mut fleet = fleet_of(12);
-    ask_until_told(&mut fleet, 0.0, &ask(1, 900_000, GOAL_MS));
-    let (held_ms, _) = ask_until_told(&mut fleet, 1.0, &ask(2, 5_000, 300.0));
-    assert_eq!(held_ms, 0.0);
-    let mut begun = ask(3, 300_000, GOAL_MS);
-    begun.has_begun = true;
-    let (held_ms, _) = ask_until_told(&mut fleet, 2.0, &begun);
-    assert_eq!(held_ms, 0.0);
+    place_with_retries(&mut fleet, 0.0, &request(1, 900_000, GOAL_MS));
+    let (deferred_ms, _) = place_with_retries(&mut fleet, 1.0, &request(2, 5_000, 300.0));
+    assert_eq!(deferred_ms, 0.0);
+    let mut started = request(3, 300_000, GOAL_MS);
+    started.has_begun = true;
+    let (deferred_ms, _) = place_with_retries(&mut fleet, 2.0, &started);
+    assert_eq!(deferred_ms, 0.0);
 }
 
 /// Who waits does not hinder who comes meanwhile, and goes once there is room.
 #[test]
 fn a_prompt_that_waits_goes_when_the_other_is_read_sooner_than_expected() {
     let mut fleet = fleet_of(12);
-    let (_, first) = ask_until_told(&mut fleet, 0.0, &ask(1, 210_000, TIGHT_GOAL_MS));
+    let (_, first) = place_with_retries(&mut fleet, 0.0, &request(1, 210_000, TIGHT_GOAL_MS));
     let Placed::At(first) = first else { panic!("{first:?}") };
-    let waiting = ask(2, 500_000, GOAL_MS);
+    let waiting = request(2, 500_000, GOAL_MS);
     let at_ms = first.first_token_ms - 150.0;
     assert!(matches!(fleet.place(at_ms, &waiting), Placed::Soon { .. }));
     let id = PlacementId { host: 1, number: 1 };
--- a/clayplank-placement/tests/failover.rs
+++ b/clayplank-placement/tests/failover.rs
@@ -23,18 +23,18 @@
 const PROMPTS_PER_S: f64 = 620.0;
 
 /// The leader is lost at this time, in ms, and the next one places after a second.
-const LOST_AT_MS: f64 = 1_500.0;
-const FOUND_AT_MS: f64 = 2_500.0;
+const LEADER_LOST_AT_MS: f64 = 1_500.0;
+const LEADER_ELECTED_AT_MS: f64 = 2_500.0;
 
 /// The deputy lacks what the leader placed within this time, in ms, before it was lost.
-const UNTOLD_MS: f64 = 25.0;
+const UNREPLICATED_MS: f64 = 25.0;
 
 /// A stream of usual length, in ms, after its first token.
 const STREAM_MS: f64 = 1_200.0;
 
 /// Who places prompts while there is no leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Placing {
+enum Placer {
     /// The leader, which was not lost.
     Leader,
     /// A keeper that was told of the leader's placements, and hears of events in its place.
@@ -57,9 +57,9 @@
 
 impl Engines {
     /// Reads a prompt; returns how long its first token takes.
-    fn read(&mut self, now_ms: f64, ask: &Ask, assignment: &Assignment) -> f64 {
+    fn read(&mut self, now_ms: f64, request: &Ask, assignment: &Assignment) -> f64 {
         let parts = 1 + assignment.helpers.len();
-        let read_ms = model().part_read_ms(ask.prompt_tokens, parts);
+        let read_ms = model().part_read_ms(request.prompt_tokens, parts);
         let helpers = assignment.helpers.iter().map(|part| &part.engine);
         let read_at = helpers.chain([&assignment.engine]).map(|engine| {
             let free_at_ms = self.0.entry(engine.clone()).or_default();
@@ -77,20 +77,20 @@
         _ => (rng.random_range(1_000..9_000), 300.0, 250.0),
     };
     let id = PlacementId { host: rng.random_range(0..HOSTS), number };
-    let mut ask = Ask::new(id, "main", tokens, goal_ms);
-    ask.pause_goal_ms = pause_ms;
-    ask.data_centre = DataCentre::new("a");
-    ask.is_returning = true;
-    ask
+    let mut request = Ask::new(id, "main", tokens, goal_ms);
+    request.pause_goal_ms = pause_ms;
+    request.data_centre = DataCentre::new("a");
+    request.is_returning = true;
+    request
 }
 
 /// The same prompt after its host has held it for a while.
-fn held_on(ask: &Ask, span_ms: f64) -> Ask {
-    let mut ask = ask.clone();
-    ask.goal_ms -= span_ms;
-    ask.limit_ms -= span_ms;
-    ask.waited_ms += span_ms;
-    ask
+fn after_deferral(request: &Ask, span_ms: f64) -> Ask {
+    let mut request = request.clone();
+    request.goal_ms -= span_ms;
+    request.limit_ms -= span_ms;
+    request.waited_ms += span_ms;
+    request
 }
 
 /// What became of the prompts of the second without the leader.
@@ -102,27 +102,27 @@
 }
 
 /// Whether only the leader knew of what happened then.
-fn is_untold(at_ms: f64) -> bool {
-    (LOST_AT_MS - UNTOLD_MS..LOST_AT_MS).contains(&at_ms)
+fn is_unreplicated(at_ms: f64) -> bool {
+    (LEADER_LOST_AT_MS - UNREPLICATED_MS..LEADER_LOST_AT_MS).contains(&at_ms)
 }
 
-fn play(placing: Placing, seed: u64, outcome: &mut Outcome) {
+fn simulate(placer: Placer, seed: u64, outcome: &mut Outcome) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut leader = fleet(Fleet::default());
     let mut deputy = fleet(Fleet::default());
-    let mut alone: Vec<_> = (0..HOSTS).map(Fleet::alone).collect();
-    if placing == Placing::Alone {
-        alone = alone.into_iter().map(fleet).collect();
+    let mut standalone: Vec<_> = (0..HOSTS).map(Fleet::alone).collect();
+    if placer == Placer::Alone {
+        standalone = standalone.into_iter().map(fleet).collect();
     }
     let mut engines = Engines::default();
     let mut events: Vec<(f64, PlacementId, Event)> = Vec::new();
     let mut next_ms = 0.0;
     let mut number = 0;
     // Prompts that were told to ask again, and when they do.
-    let mut held: Vec<(f64, Ask)> = Vec::new();
+    let mut deferred: Vec<(f64, Ask)> = Vec::new();
     loop {
-        held.sort_by(|left, right| right.0.total_cmp(&left.0));
-        let (now_ms, ask) = match held.pop_if(|(at_ms, _)| *at_ms <= next_ms) {
+        deferred.sort_by(|left, right| right.0.total_cmp(&left.0));
+        let (now_ms, request) = match deferred.pop_if(|(at_ms, _)| *at_ms <= next_ms) {
             Some(again) => again,
             None => {
                 let arrived = (next_ms, draw(&mut rng, number));
@@ -131,49 +131,52 @@
                 arrived
             }
         };
-        if now_ms >= FOUND_AT_MS {
+        if now_ms >= LEADER_ELECTED_AT_MS {
             return;
         }
         events.sort_by(|left, right| left.0.total_cmp(&right.0));
         let due = events.partition_point(|(at_ms, ..)| *at_ms <= now_ms);
         for (at_ms, id, event) in events.drain(..due) {
             leader.note(at_ms, id, event);
-            alone[id.host as usize].note(at_ms, id, event);
-            if !is_untold(at_ms) {
+            standalone[id.host as usize].note(at_ms, id, event);
+            if !is_unreplicated(at_ms) {
                 deputy.note(at_ms, id, event);
             }
         }
-        let is_lost = now_ms >= LOST_AT_MS;
-        let own = &mut alone[ask.id.host as usize];
-        let placed = match placing {
-            Placing::Alone if is_lost => own.place(now_ms, &ask),
-            Placing::Deputy if is_lost => deputy.place(now_ms, &ask),
-            Placing::Leader | Placing::Deputy | Placing::Alone => leader.place(now_ms, &ask),
+        let is_unreachable = now_ms >= LEADER_LOST_AT_MS;
+        let local = &mut standalone[request.id.host as usize];
+        let placed = match placer {
+            Placer::Alone if is_unreachable => local.place(now_ms, &request),
+            Placer::Deputy if is_unreachable => deputy.place(now_ms, &request),
+            Placer::Leader | Placer::Deputy | Placer::Alone => leader.place(now_ms, &request),
         };
         let assignment = match placed {
             Placed::At(assignment) => assignment,
             Placed::Soon { again_in_ms } => {
-                held.push((now_ms + again_in_ms as f64, held_on(&ask, again_in_ms as f64)));
+                deferred.push((
+                    now_ms + again_in_ms as f64,
+                    after_deferral(&request, again_in_ms as f64),
+                ));
                 continue;
             }
             Placed::Full { .. } => {
-                outcome.refused += usize::from(is_lost);
+                outcome.refused += usize::from(is_unreachable);
                 continue;
             }
         };
-        let took_ms = engines.read(now_ms, &ask, &assignment);
-        if is_lost {
-            let goals = (ask.waited_ms + took_ms) / (ask.waited_ms + ask.goal_ms);
+        let took_ms = engines.read(now_ms, &request, &assignment);
+        if is_unreachable {
+            let goals = (request.waited_ms + took_ms) / (request.waited_ms + request.goal_ms);
             outcome.first_tokens.push(goals);
             outcome.late += usize::from(goals > 1.0);
         }
-        let host = ask.id.host;
-        let id = ask.id;
-        let renewed = Renewed { ask, assignment, is_started: false };
+        let host = request.id.host;
+        let id = request.id;
+        let renewed = Renewed { ask: request, assignment, is_started: false };
         let renewed = std::slice::from_ref(&renewed);
-        alone[host as usize].take_over(now_ms, renewed);
+        standalone[host as usize].take_over(now_ms, renewed);
         leader.take_over(now_ms, renewed);
-        if !is_untold(now_ms) {
+        if !is_unreplicated(now_ms) {
             deputy.take_over(now_ms, renewed);
         }
         events.push((now_ms + took_ms, id, Event::Started { took_ms }));
@@ -182,10 +185,10 @@
 }
 
 /// Middle and ninth tenth of first tokens, in goals, and the shares that were late and refused.
-fn summarise(placing: Placing) -> (f64, f64, f64, f64) {
+fn summarise(placer: Placer) -> (f64, f64, f64, f64) {
     let mut outcome = Outcome::default();
     for seed in 0..2 {
-        play(placing, seed, &mut outcome);
+        simulate(placer, seed, &mut outcome);
     }
     let mut goals = outcome.first_tokens;
     goals.sort_by(f64::total_cmp);
@@ -198,19 +201,19 @@
 /// deputy comes near the leader; hosts that choose alone do not.
 #[test]
 fn a_deputy_that_knows_the_load_places_nearly_as_well_as_the_leader() {
-    let row = |placing| {
-        let (middle, tenth, late, refused) = summarise(placing);
+    let row = |placer| {
+        let (middle, tenth, late, refused) = summarise(placer);
         format!(
-            "{placing:?}: p50 {middle:.2}, p90 {tenth:.2} goals, late {late:.3}, refused {refused:.3}"
+            "{placer:?}: p50 {middle:.2}, p90 {tenth:.2} goals, late {late:.3}, refused {refused:.3}"
         )
     };
-    let rows = [Placing::Leader, Placing::Deputy, Placing::Alone].map(row);
+    let rows = [Placer::Leader, Placer::Deputy, Placer::Alone].map(row);
     insta::assert_snapshot!(rows.join("\n"));
-    let lost = |placing| {
-        let (_, _, late, refused) = summarise(placing);
+    let lost = |placer| {
+        let (_, _, late, refused) = summarise(placer);
         late + refused
     };
-    let (leader, deputy, alone) =
-        (lost(Placing::Leader), lost(Placing::Deputy), lost(Placing::Alone));
-    assert!(deputy - leader < 0.25 * (alone - leader), "{leader} {deputy} {alone}");
+    let (leader, deputy, standalone) =
+        (lost(Placer::Leader), lost(Placer::Deputy), lost(Placer::Alone));
+    assert!(deputy - leader < 0.25 * (standalone - leader), "{leader} {deputy} {standalone}");
 }
--- a/clayplank-placement/tests/limits.rs
+++ b/clayplank-placement/tests/limits.rs
@@ -14,10 +14,10 @@
 const SPAN_MS: f64 = 4_000.0;
 
 /// A request may reach its engine so much later than it was sent, in ms.
-const ON_THE_WAY_MS: f64 = 200.0;
+const MAX_NETWORK_DELAY_MS: f64 = 200.0;
 
 /// What an engine may get within a span, by the bound that its owners set.
-fn most_allowed(limit_per_s: f64) -> usize {
+fn max_allowed(limit_per_s: f64) -> usize {
     (limit_per_s * SPAN_MS / 1e3 * 1.5 + 5.0) as usize
 }
 
@@ -35,14 +35,14 @@
     fleet
 }
 
-fn ask(host: u64, number: u64) -> Ask {
-    let mut ask = Ask::new(PlacementId { host, number }, "main", 3_000, 300.0);
-    ask.data_centre = DataCentre::new("a");
-    ask
+fn request(host: u64, number: u64) -> Ask {
+    let mut request = Ask::new(PlacementId { host, number }, "main", 3_000, 300.0);
+    request.data_centre = DataCentre::new("a");
+    request
 }
 
 /// The most arrivals within any span.
-fn most_in_span(mut times: Vec<f64>) -> usize {
+fn max_in_span(mut times: Vec<f64>) -> usize {
     times.sort_by(f64::total_cmp);
     let within = |(first, from): (usize, &f64)| {
         times[first..].iter().take_while(|at| **at < from + SPAN_MS).count()
@@ -64,19 +64,19 @@
     #[case] limit_per_s: f64,
     #[case] seed: u64,
 ) {
-    const NEXT_LEADS_AT_MS: f64 = 6_000.0;
-    const FORMER_PLACES_UNTIL_MS: f64 = 7_500.0;
+    const NEW_LEADER_AT_MS: f64 = 6_000.0;
+    const FORMER_LEADER_UNTIL_MS: f64 = 7_500.0;
     const END_MS: f64 = 15_000.0;
     const SHARE_WITHOUT_LEADER: f64 = 0.1;
     let mut rng = SmallRng::seed_from_u64(seed);
-    let asked_per_s = 2.0 * limit_per_s * engines as f64;
+    let requested_per_s = 2.0 * limit_per_s * engines as f64;
     let fleet = |fleet: Fleet| {
         let mut fleet = with_engines(fleet, engines);
         (0..engines).for_each(|number| fleet.set_named_limit(&id(number), Some(limit_per_s)));
         fleet
     };
     let mut leaders = [fleet(Fleet::default()), fleet(Fleet::default())];
-    let mut alone: Vec<_> = (0..hosts)
+    let mut standalone: Vec<_> = (0..hosts)
         .map(|host| {
             let mut fleet = fleet(Fleet::alone(host.wrapping_mul(0x9e37_79b9)));
             fleet.set_hosts(hosts);
@@ -86,42 +86,42 @@
     let mut arrivals: BTreeMap<UpstreamId, Vec<f64>> = BTreeMap::new();
     let (mut now_ms, mut number) = (0.0, 0);
     while now_ms < END_MS {
-        now_ms += 1e3 / asked_per_s;
+        now_ms += 1e3 / requested_per_s;
         number += 1;
         let host = rng.random_range(0..hosts);
-        let asks_former = now_ms < FORMER_PLACES_UNTIL_MS && host.is_multiple_of(2);
+        let uses_former = now_ms < FORMER_LEADER_UNTIL_MS && host.is_multiple_of(2);
         let fleet = if rng.random_bool(SHARE_WITHOUT_LEADER) {
-            &mut alone[host as usize]
-        } else if now_ms < NEXT_LEADS_AT_MS || asks_former {
+            &mut standalone[host as usize]
+        } else if now_ms < NEW_LEADER_AT_MS || uses_former {
             &mut leaders[0]
         } else {
             &mut leaders[1]
         };
-        let ask = ask(host, number);
-        if let Placed::At(assignment) = fleet.place(now_ms, &ask) {
-            let at_ms = now_ms + rng.random_range(0.0..ON_THE_WAY_MS);
+        let request = request(host, number);
+        if let Placed::At(assignment) = fleet.place(now_ms, &request) {
+            let at_ms = now_ms + rng.random_range(0.0..MAX_NETWORK_DELAY_MS);
             arrivals.entry(assignment.engine).or_default().push(at_ms);
-            fleet.note(now_ms, ask.id, Event::Ended);
+            fleet.note(now_ms, request.id, Event::Ended);
         }
     }
-    let borne = limit_per_s * END_MS / 1e3 * engines as f64;
+    let capacity = limit_per_s * END_MS / 1e3 * engines as f64;
     let all: usize = arrivals.values().map(Vec::len).sum();
-    assert!(all as f64 > borne / 2.0, "{all} of {borne} that engines take");
-    let most = arrivals.into_values().map(most_in_span).max().unwrap_or_default();
-    assert!(most <= most_allowed(limit_per_s), "{most} in a span");
+    assert!(all as f64 > capacity / 2.0, "{all} of {capacity} that engines take");
+    let most = arrivals.into_values().map(max_in_span).max().unwrap_or_default();
+    assert!(most <= max_allowed(limit_per_s), "{most} in a span");
 }
 
 #[test]
 fn a_prompt_waits_for_its_turn_while_it_can_be_in_time() {
     let mut fleet = with_engines(Fleet::default(), 1);
     fleet.set_named_limit(&id(0), Some(10.0));
-    assert!(matches!(fleet.place(0.0, &ask(1, 1)), Placed::At(_)));
-    let Placed::Soon { again_in_ms } = fleet.place(1.0, &ask(1, 2)) else {
+    assert!(matches!(fleet.place(0.0, &request(1, 1)), Placed::At(_)));
+    let Placed::Soon { again_in_ms } = fleet.place(1.0, &request(1, 2)) else {
         panic!("there is a turn within the goal");
     };
-    assert!(matches!(fleet.place(1.0 + again_in_ms as f64, &ask(1, 2)), Placed::At(_)));
+    assert!(matches!(fleet.place(1.0 + again_in_ms as f64, &request(1, 2)), Placed::At(_)));
     fleet.set_named_limit(&id(0), Some(1.0));
-    let placed = fleet.place(300.0, &ask(1, 3));
+    let placed = fleet.place(300.0, &request(1, 3));
     let Placed::Full { retry_after_ms } = placed else { panic!("{placed:?}") };
     assert!(retry_after_ms > 500, "there is no turn before");
 }
@@ -130,12 +130,12 @@
 fn a_limit_that_is_lifted_or_raised_ends_the_wait() {
     let mut fleet = with_engines(Fleet::default(), 1);
     fleet.set_named_limit(&id(0), Some(0.5));
-    assert!(matches!(fleet.place(0.0, &ask(1, 1)), Placed::At(_)));
-    assert!(matches!(fleet.place(100.0, &ask(1, 2)), Placed::Full { .. }));
+    assert!(matches!(fleet.place(0.0, &request(1, 1)), Placed::At(_)));
+    assert!(matches!(fleet.place(100.0, &request(1, 2)), Placed::Full { .. }));
     fleet.set_named_limit(&id(0), Some(20.0));
-    assert!(matches!(fleet.place(200.0, &ask(1, 3)), Placed::At(_)));
+    assert!(matches!(fleet.place(200.0, &request(1, 3)), Placed::At(_)));
     fleet.set_named_limit(&id(0), None);
-    assert!(matches!(fleet.place(201.0, &ask(1, 4)), Placed::At(_)));
+    assert!(matches!(fleet.place(201.0, &request(1, 4)), Placed::At(_)));
 }
 
 /// Only its answers tell when the limit ends.
@@ -144,9 +144,9 @@
     let mut fleet = with_engines(Fleet::default(), 1);
     fleet.set_named_limit(&id(0), Some(0.0));
     let placed = (0..600).filter(|number| {
-        let ask = ask(1, *number);
-        let is_placed = matches!(fleet.place(*number as f64 * 100.0, &ask), Placed::At(_));
-        fleet.note(*number as f64 * 100.0, ask.id, Event::Ended);
+        let request = request(1, *number);
+        let is_placed = matches!(fleet.place(*number as f64 * 100.0, &request), Placed::At(_));
+        fleet.note(*number as f64 * 100.0, request.id, Event::Ended);
         is_placed
     });
     let placed = placed.count();
@@ -158,8 +158,8 @@
     let mut fleet = Fleet::default();
     fleet.set_named_limit(&id(0), Some(0.5));
     let mut fleet = with_engines(fleet, 1);
-    assert!(matches!(fleet.place(0.0, &ask(1, 1)), Placed::At(_)));
-    assert!(matches!(fleet.place(100.0, &ask(1, 2)), Placed::Full { .. }));
+    assert!(matches!(fleet.place(0.0, &request(1, 1)), Placed::At(_)));
+    assert!(matches!(fleet.place(100.0, &request(1, 2)), Placed::Full { .. }));
 }
 
 /// A part of a prompt that it reads for another engine is no request, but memory would be renewed all the time.
@@ -168,12 +168,13 @@
     let mut fleet = with_engines(Fleet::default(), 2);
     fleet.set_named_limit(&id(0), Some(0.5));
     let long = |number: u64, prompt_tokens: u64| {
-        let mut ask = ask(1, number);
-        (ask.prompt_tokens, ask.goal_ms, ask.limit_ms) = (prompt_tokens, 3_000.0, 15_000.0);
-        ask
+        let mut request = request(1, number);
+        (request.prompt_tokens, request.goal_ms, request.limit_ms) =
+            (prompt_tokens, 3_000.0, 15_000.0);
+        request
     };
     // Its turn is taken once it has a request.
-    let gets_one = |number: &u64| match fleet.place(*number as f64, &ask(1, *number)) {
+    let gets_one = |number: &u64| match fleet.place(*number as f64, &request(1, *number)) {
         Placed::At(assignment) => assignment.engine == id(0),
         Placed::Soon { .. } | Placed::Full { .. } => false,
     };
--- a/clayplank-placement/tests/random.rs
+++ b/clayplank-placement/tests/random.rs
@@ -58,8 +58,8 @@
                 Step::Place { tokens } => {
                     number += 1;
                     let id = PlacementId { host: 1, number };
-                    let ask = Ask::new(id, "main", tokens, 20_000.0);
-                    if let Placed::At(assignment) = fleet.place(now_ms, &ask) {
+                    let request = Ask::new(id, "main", tokens, 20_000.0);
+                    if let Placed::At(assignment) = fleet.place(now_ms, &request) {
                         let mut used: Vec<_> =
                             assignment.helpers.iter().map(|part| part.engine.clone()).collect();
                         used.push(assignment.engine.clone());
--- a/clayplank-placement/tests/spread.rs
+++ b/clayplank-placement/tests/spread.rs
@@ -22,7 +22,7 @@
 
 /// What happens to placements at a time, in ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum SimEvent {
     Started,
     Ended,
 }
@@ -43,45 +43,45 @@
 }
 
 /// Plays prompts of which so many come in a second: short ones, and some that several engines read.
-fn play(engines: usize, short_per_s: f64, long_per_s: f64) -> Sent {
+fn simulate(engines: usize, short_per_s: f64, long_per_s: f64) -> Sent {
     let model = EngineModel { slots: 10, steps_per_event: 73, ..EngineModel::default() };
     let mut fleet = with_engines(Fleet::default(), engines, &model);
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut planned = BinaryHeap::new();
-    let mut written: BTreeMap<UpstreamId, usize> = BTreeMap::new();
+    let mut scheduled = BinaryHeap::new();
+    let mut stream_counts: BTreeMap<UpstreamId, usize> = BTreeMap::new();
     let mut at: BTreeMap<u64, UpstreamId> = BTreeMap::new();
     let mut sent = Sent::default();
     let per_s = short_per_s + long_per_s;
     let prompts = (RUN_MS / 1e3 * per_s) as u64;
     for number in 0..prompts {
         let now_ms = number as f64 * 1e3 / per_s;
-        while let Some(Reverse((due_us, id, happening))) = planned.pop() {
+        while let Some(Reverse((due_us, id, event))) = scheduled.pop() {
             let due_ms = due_us as f64 / 1e3;
             if due_ms > now_ms {
-                planned.push(Reverse((due_us, id, happening)));
+                scheduled.push(Reverse((due_us, id, event)));
                 break;
             }
             let placement = PlacementId { host: 1, number: id };
-            match happening {
-                Happening::Started => {
+            match event {
+                SimEvent::Started => {
                     fleet.note(due_ms, placement, Event::Started { took_ms: 1.0 });
                 }
-                Happening::Ended => {
+                SimEvent::Ended => {
                     fleet.note(due_ms, placement, Event::Ended);
-                    *written.get_mut(&at[&id]).unwrap() -= 1;
+                    *stream_counts.get_mut(&at[&id]).unwrap() -= 1;
                 }
             }
         }
         let is_long = rng.random_bool(long_per_s / per_s);
         let (tokens, goal_ms) = if is_long { (300_000, 4_000.0) } else { (5_000, 300.0) };
-        let mut ask = Ask::new(PlacementId { host: 1, number }, "main", tokens, goal_ms);
-        ask.pause_goal_ms = if is_long { 1_000.0 } else { 250.0 };
-        ask.output_tokens = 1_500;
-        ask.data_centre = DataCentre::new("a");
-        let Placed::At(assignment) = fleet.place(now_ms, &ask) else {
+        let mut request = Ask::new(PlacementId { host: 1, number }, "main", tokens, goal_ms);
+        request.pause_goal_ms = if is_long { 1_000.0 } else { 250.0 };
+        request.output_tokens = 1_500;
+        request.data_centre = DataCentre::new("a");
+        let Placed::At(assignment) = fleet.place(now_ms, &request) else {
             continue;
         };
-        let streams = written.entry(assignment.engine.clone()).or_default();
+        let streams = stream_counts.entry(assignment.engine.clone()).or_default();
         if !is_long {
             sent.short += 1;
             *sent.by_engine.entry(assignment.engine.clone()).or_default() += 1;
@@ -90,9 +90,9 @@
         *streams += 1;
         at.insert(number, assignment.engine);
         let started_ms = now_ms + assignment.first_token_ms;
-        planned.push(Reverse(((started_ms * 1e3) as u64, number, Happening::Started)));
+        scheduled.push(Reverse(((started_ms * 1e3) as u64, number, SimEvent::Started)));
         let ended_ms = started_ms + STREAM_MS;
-        planned.push(Reverse(((ended_ms * 1e3) as u64, number, Happening::Ended)));
+        scheduled.push(Reverse(((ended_ms * 1e3) as u64, number, SimEvent::Ended)));
     }
     sent
 }
@@ -101,7 +101,7 @@
 /// is sent to an engine with streams waits for their pass, and spares nobody anything.
 #[test]
 fn short_prompts_go_to_idle_engines_where_they_abound() {
-    let sent = play(960, 150.0, 3.2);
+    let sent = simulate(960, 150.0, 3.2);
     assert!(sent.busy_share() < 0.02, "{} of {} to busy ones", sent.to_busy, sent.short);
     let most = sent.by_engine.values().max().unwrap();
     assert!(*most <= 4, "{most} prompts at one engine of 960 in {RUN_MS} ms");
@@ -111,6 +111,6 @@
 /// on which nothing is written.
 #[test]
 fn streams_are_kept_together_where_long_prompts_need_the_engines() {
-    let sent = play(24, 20.0, 3.2);
+    let sent = simulate(24, 20.0, 3.2);
     assert!(sent.busy_share() > 0.6, "{} of {} to busy ones", sent.to_busy, sent.short);
 }
--- a/clayplank-placement/tests/usual.rs
+++ b/clayplank-placement/tests/typical_limits.rs
@@ -1,6 +1,6 @@
 //! Which callers are told to come back after a refusal.
 
-use clayplank_placement::{Ask, Fleet, PlacementId, UsualLimits};
+use clayplank_placement::{Ask, Fleet, PlacementId, TypicalLimits};
 use rstest::rstest;
 
 /// Limits as callers of a route with 15 s send them: most come for the first time, some wait
@@ -16,7 +16,7 @@
     #[case] limit_ms: f64,
     #[case] since_first_try_ms: f64,
 ) {
-    let mut usual = UsualLimits::default();
+    let mut usual = TypicalLimits::default();
     for limit_ms in [15_000.0, 14_996.0, 15_000.0, 4_000.0, 14_992.0, 15_000.0] {
         usual.note("audit", 15_000.0, limit_ms);
     }
@@ -26,7 +26,7 @@
 /// After a loss of power of all hosts nothing is known of callers, and many come back at once.
 #[test]
 fn the_first_callers_are_compared_with_their_route() {
-    let mut usual = UsualLimits::default();
+    let mut usual = TypicalLimits::default();
     usual.note("audit", 15_000.0, 13_900.0);
     assert_eq!(usual.since_first_try_ms("audit", 13_900.0), 1_100.0);
     for _ in 0..20 {
@@ -39,18 +39,18 @@
 #[test]
 fn a_stream_that_waits_to_go_on_does_not_change_what_is_usual() {
     let mut fleet = Fleet::default();
-    let ask = |sent_limit_ms: f64| {
-        let mut ask = Ask::new(PlacementId::default(), "main", 5_000, 300.0);
-        ask.route = "audit".to_owned();
-        ask.route_limit_ms = 15_000.0;
-        ask.sent_limit_ms = sent_limit_ms;
-        ask
+    let request = |sent_limit_ms: f64| {
+        let mut request = Ask::new(PlacementId::default(), "main", 5_000, 300.0);
+        request.route = "audit".to_owned();
+        request.route_limit_ms = 15_000.0;
+        request.sent_limit_ms = sent_limit_ms;
+        request
     };
-    fleet.place(0.0, &ask(15_000.0));
-    let mut waiting = ask(13_900.0);
+    fleet.place(0.0, &request(15_000.0));
+    let mut waiting = request(13_900.0);
     waiting.has_begun = true;
     for turn in 0..100 {
         fleet.place(f64::from(turn) * 40.0, &waiting);
     }
-    assert_eq!(fleet.since_first_try_ms(&ask(13_900.0)), 1_100.0);
+    assert_eq!(fleet.since_first_try_ms(&request(13_900.0)), 1_100.0);
 }
