--- /dev/null
+++ b/clayplank-placement/src/request.rs
@@ -0,0 +1,153 @@
+//! The placement request that a host sends for one prompt, and its possible outcomes.
+
+use clayplank_types::{DataCentre, UpstreamId};
+use serde::{Deserialize, Serialize};
+
+/// Identifies a placement by the incarnation of the requesting host and a sequence number.
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
+)]
+pub struct PlacementId {
+    /// Number that the host draws at random when it starts.
+    pub host: u64,
+    /// Increases with each placement of the host.
+    pub number: u64,
+}
+
+/// A request for engines that serve one prompt.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Ask {
+    /// Identifies the placement from now on.
+    pub id: PlacementId,
+    /// Service whose engines may serve it.
+    pub pool: String,
+    /// Tokens of the prompt.
+    pub prompt_tokens: u64,
+    /// Upper bound of the tokens of the answer.
+    pub output_tokens: u64,
+    /// Route with whose typical time limit `sent_limit_ms` is compared.
+    pub route: String,
+    /// Time limit of that route, which callers are assumed to send until others are observed.
+    pub route_limit_ms: f64,
+    /// Time limit that the caller sent with this try.
+    pub sent_limit_ms: f64,
+    /// Time until the first token is late, counted as if this were the caller's first try.
+    pub goal_ms: f64,
+    /// Time for which its host has deferred it so far, in ms.
+    #[serde(default)]
+    pub waited_ms: f64,
+    /// Time until nobody waits for the first token any more.
+    pub limit_ms: f64,
+    /// Longest pause between two events of the stream that is not late.
+    pub pause_goal_ms: f64,
+    /// Data centre of the requesting host.
+    pub data_centre: DataCentre,
+    /// Engines that have failed this request.
+    pub avoid: Vec<UpstreamId>,
+    /// Whether it was refused before and will not be retried again.
+    pub is_returning: bool,
+    /// Time since the caller's first try if this is a retry after a refusal, in ms; 0 otherwise.
+    #[serde(skip)]
+    pub(crate) since_first_try_ms: f64,
+    /// Whether its stream has started. Such a request is resumed on any engine with room, late or
+    /// not.
+    pub has_begun: bool,
+}
+
+/// Pause goal of a request that tolerates any pause.
+const NO_PAUSE_GOAL_MS: f64 = 1e9;
+
+/// Value of `goal_ms` after the goal has passed, in ms. A goal is never zero, since times are
+/// divided by it.
+pub const PASSED_GOAL_MS: f64 = 1.0;
+
+/// Most clients abandon a request whose first token takes more than this many goals.
+const LIMIT_GOALS: f64 = 4.0;
+
+/// Prompt tokens that add as much weight as one more request.
+const TOKENS_PER_WEIGHT: f64 = 10_000.0;
+
+impl Ask {
+    /// A request with a goal for its first token, and defaults for everything else.
+    pub fn new(id: PlacementId, pool: &str, prompt_tokens: u64, goal_ms: f64) -> Self {
+        Self {
+            id,
+            pool: pool.to_owned(),
+            prompt_tokens,
+            output_tokens: 0,
+            route: String::new(),
+            route_limit_ms: 0.0,
+            sent_limit_ms: 0.0,
+            goal_ms,
+            waited_ms: 0.0,
+            limit_ms: LIMIT_GOALS * goal_ms,
+            pause_goal_ms: NO_PAUSE_GOAL_MS,
+            data_centre: DataCentre::default(),
+            avoid: Vec::new(),
+            is_returning: false,
+            since_first_try_ms: 0.0,
+            has_begun: false,
+        }
+    }
+
+    /// Copy of the request with the time since its caller's first try, in ms; 0 for a new caller.
+    pub(crate) fn with_time_since_first_try(&self, since_first_try_ms: f64) -> Self {
+        let is_returning = self.is_returning || since_first_try_ms > 0.0;
+        Self { is_returning, since_first_try_ms, ..self.clone() }
+    }
+
+    /// Whether its goal has passed.
+    pub(crate) fn is_late(&self) -> bool {
+        self.goal_ms <= PASSED_GOAL_MS
+    }
+
+    /// Memory that it needs at its end, in tokens.
+    pub fn memory_tokens(&self) -> u64 {
+        self.prompt_tokens + self.output_tokens
+    }
+
+    /// Importance of the request relative to others; 1 for one without a prompt. Long prompts weigh
+    /// more because they use more of the fleet, and their callers value them accordingly.
+    pub fn weight(&self) -> f64 {
+        1.0 + self.prompt_tokens as f64 / TOKENS_PER_WEIGHT
+    }
+}
+
+/// An engine that helps to prefill a prompt, and may reserve a part of its memory.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Part {
+    /// The helping engine.
+    pub engine: UpstreamId,
+    /// Memory that must be reserved there beforehand, in tokens; 0 for none.
+    pub reserve_tokens: u64,
+}
+
+/// The engines that serve one prompt.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Assignment {
+    /// The primary engine, which receives the request and decodes the answer.
+    pub engine: UpstreamId,
+    /// Helpers that prefill parts of the prompt.
+    pub helpers: Vec<Part>,
+    /// Expected time to the first token, in ms from now.
+    pub first_token_ms: f64,
+}
+
+/// Outcome of an [`Ask`].
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum Placed {
+    /// The request should be sent to these engines.
+    At(Assignment),
+    /// The host should ask again soon. No engine accepts the request now, but one is expected to in
+    /// time, or other prompts that it would delay are about to be prefilled.
+    Soon {
+        /// Time until the host should ask again, in ms.
+        #[serde(rename = "slot_in_ms")]
+        again_in_ms: u64,
+    },
+    /// Refused: the request would be late, or harm others by more than it is worth.
+    Full {
+        /// Time until the caller should retry, in ms.
+        retry_after_ms: u64,
+    },
+}
