--- a/clayplank-members/src/follow_times.rs
+++ b/clayplank-members/src/follow_times.rs
@@ -1,61 +1,63 @@
-//! Times in which a host hears of a change, derived from the time in which it must be in force.
+//! Time-outs of the requests by which a host follows changes, derived from the time in which a
+//! change must be in force.
 //!
-//! A host follows one keeper, and asks another one as well where the first is silent. The worst case at
-//! the tolerated losses, all of them silent and asked first, is [`FollowTimes::worst_ms`].
+//! A host follows one keeper by long polling, and sends hedged requests to other keepers if that
+//! one does not answer. [`FollowTimes::worst_ms`] bounds the delay when the tolerated number of
+//! keepers is unresponsive and all of them are queried first.
 
-/// Share of the bound after which a follower without news is answered.
-const HOLD_SHARE: f64 = 0.25;
+/// Share of the bound after which a keeper answers a long poll without updates.
+const LONG_POLL_SHARE: f64 = 0.25;
 
-/// Share of the bound after which another keeper is asked as well.
-const HEDGE_SHARE: f64 = 0.4;
+/// Share of the bound after which a hedged request goes to a second keeper.
+const HEDGE_DELAY_SHARE: f64 = 0.4;
 
-/// Share of the bound after which one more is asked, and again.
-const STEP_SHARE: f64 = 0.125;
+/// Share of the bound between further hedged requests.
+const HEDGE_INTERVAL_SHARE: f64 = 0.125;
 
-/// The longest time for which a follower without news is held, in ms, where changes may take long: the
-/// same answers tell what is new of upstreams, and that the lease of the plan goes on.
-const MAX_HOLD_MS: f64 = 500.0;
+/// Maximum duration of a long poll, in ms, for large bounds. The same replies carry updates on
+/// upstreams and renew the lease of the serving plan, so a large bound must not delay them.
+const MAX_LONG_POLL_MS: f64 = 500.0;
 
-/// Time for a keeper that hears the leader to confirm what it holds, in ms: a round of questions to
-/// the leader that is under way when a follower comes, and the one after it.
-const CONFIRM_MS: u64 = 350;
+/// Time in which a keeper that is in contact with the leader confirms its state, in ms. It covers
+/// two read-index rounds: the one in progress when the request arrives, and the next one.
+const CONFIRMATION_MS: u64 = 350;
 
-/// When a host and its keepers ask and answer.
+/// Time-outs of a host that follows keepers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowTimes {
-    /// A follower without news is answered after this time.
+    /// Duration of a long poll without updates, in ms.
     pub hold_ms: u64,
-    /// A keeper that has not answered by then is asked beside another one.
+    /// Delay after which a hedged request is sent to a second keeper, in ms.
     pub hedge_ms: u64,
-    /// One more is asked after this time, and again.
+    /// Interval between further hedged requests, in ms.
     pub step_ms: u64,
 }
 
 impl FollowTimes {
-    /// The times for changes that must be in force after `apply_ms`.
+    /// Computes the time-outs for changes that must be in force within `apply_ms`.
     pub fn of_bound(apply_ms: u64) -> Self {
-        let hold_ms = (apply_ms as f64 * HOLD_SHARE).min(MAX_HOLD_MS);
-        let scale = hold_ms / HOLD_SHARE;
+        let hold_ms = (apply_ms as f64 * LONG_POLL_SHARE).min(MAX_LONG_POLL_MS);
+        let scale = hold_ms / LONG_POLL_SHARE;
         Self {
             hold_ms: hold_ms as u64,
-            hedge_ms: (scale * HEDGE_SHARE) as u64,
-            step_ms: (scale * STEP_SHARE) as u64,
+            hedge_ms: (scale * HEDGE_DELAY_SHARE) as u64,
+            step_ms: (scale * HEDGE_INTERVAL_SHARE) as u64,
         }
     }
 
-    /// The time after which a keeper that has not answered is given up: it may be held up for as
-    /// long as an election takes.
+    /// Time-out of a request to one keeper, in ms. A keeper may be delayed for as long as an
+    /// election takes.
     pub fn patience_ms(&self) -> u64 {
         self.hedge_ms + 2 * self.step_ms
     }
 
-    /// The time until a host hears of a change beside this many silent keepers, all of them asked
+    /// Maximum delay of a change, in ms, with this many unresponsive keepers, all of them queried
     /// before the one that answers.
-    pub fn worst_ms(&self, silent: u64) -> u64 {
-        let until_asked_ms = match silent {
+    pub fn worst_ms(&self, unresponsive: u64) -> u64 {
+        let until_queried_ms = match unresponsive {
             0 => 0,
-            _ => self.hedge_ms + (silent - 1) * self.step_ms,
+            _ => self.hedge_ms + (unresponsive - 1) * self.step_ms,
         };
-        until_asked_ms + CONFIRM_MS
+        until_queried_ms + CONFIRMATION_MS
     }
 }
--- a/clayplank-members/src/keeper_choice.rs
+++ b/clayplank-members/src/keeper_choice.rs
@@ -1,76 +1,77 @@
-//! Which keeper an entry host follows.
+//! Selects the keeper that an entry host follows.
 //!
-//! Each host ranks the keepers by a hash of both names, and follows the first one that answers: hosts
-//! spread evenly without telling each other, those of a keeper that is lost spread over all others, and
-//! all come back to it. A keeper that failed is followed again once a question beside the one that is
-//! followed was answered, so that no host is without news while it waits for one that is gone.
+//! Each host ranks the keepers by a hash of both names and follows the first one that answers.
+//! Hosts so spread evenly without coordination; those of a failed keeper spread over all others,
+//! and all of them return after it recovers. A failed keeper is followed again only after it has
+//! answered a separate request that runs beside the one to the followed keeper, so that no host
+//! lacks updates while it waits for a keeper that is still down.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
 use clayplank_types::HostId;
 
-use crate::owner::weigh;
+use crate::rendezvous::weigh;
 
-/// A keeper that failed is not asked for this long, in ms; after each further failure twice as long.
-const DOUBT_MS: u64 = 1_000;
-const MAX_DOUBT_MS: u64 = 30_000;
+/// Back-off after the first failure of a keeper, in ms. It doubles with each further failure.
+const MIN_BACKOFF_MS: u64 = 1_000;
+const MAX_BACKOFF_MS: u64 = 30_000;
 
-/// Until when a keeper is not asked.
+/// Back-off of a failed keeper.
 #[derive(Clone, Copy, Debug)]
-struct Doubt {
+struct Backoff {
     until_ms: u64,
-    pause_ms: u64,
+    delay_ms: u64,
 }
 
-/// The keepers as an entry host ranks them.
+/// The ranking of keepers by one entry host, with the back-off of those that failed.
 #[derive(Debug)]
 pub struct KeeperChoice {
-    own: HostId,
-    doubts: HashMap<HostId, Doubt>,
+    local: HostId,
+    backoffs: HashMap<HostId, Backoff>,
 }
 
 impl KeeperChoice {
-    /// The choice of a host; it knows nothing against any keeper.
-    pub fn new(own: HostId) -> Self {
-        Self { own, doubts: HashMap::new() }
+    /// Creates the ranking of host `local`, with no keeper in back-off.
+    pub fn new(local: HostId) -> Self {
+        Self { local, backoffs: HashMap::new() }
     }
 
-    /// The keepers in the order in which they are to be asked: by rank those that are not in doubt,
-    /// then those whose doubt ends first.
+    /// Returns the keepers in the order in which to query them: first those without back-off by
+    /// rank, then those in back-off by the end of it.
     pub fn order(&self, keepers: &[HostId]) -> Vec<HostId> {
-        let doubted_until = |keeper: &HostId| self.doubts.get(keeper).map(|doubt| doubt.until_ms);
-        let rank = |keeper: &HostId| weigh(self.own.as_str(), keeper);
+        let retry_at = |keeper: &HostId| self.backoffs.get(keeper).map(|backoff| backoff.until_ms);
+        let rank = |keeper: &HostId| weigh(self.local.as_str(), keeper);
         let mut order = keepers.to_vec();
-        order.sort_by_cached_key(|one| (doubted_until(one), Reverse(rank(one))));
+        order.sort_by_cached_key(|keeper| (retry_at(keeper), Reverse(rank(keeper))));
         order
     }
 
-    /// The keepers in doubt that may be asked again by now. They stay in doubt until they have
-    /// answered, and are not named again for a while.
+    /// Returns the keepers whose back-off has expired, for a retry. They stay in back-off until
+    /// they have answered, and are returned again only after a further delay.
     pub fn take_due(&mut self, now_ms: u64, keepers: &[HostId]) -> Vec<HostId> {
         let mut due = Vec::new();
         for keeper in keepers {
-            let Some(doubt) = self.doubts.get_mut(keeper) else {
+            let Some(backoff) = self.backoffs.get_mut(keeper) else {
                 continue;
             };
-            if doubt.until_ms <= now_ms {
-                doubt.until_ms = now_ms + doubt.pause_ms;
+            if backoff.until_ms <= now_ms {
+                backoff.until_ms = now_ms + backoff.delay_ms;
                 due.push(keeper.clone());
             }
         }
         due
     }
 
-    /// Notes that a keeper did not answer, or does not hear a leader.
+    /// Records that a keeper did not answer, or is not in contact with a leader.
     pub fn note_failed(&mut self, now_ms: u64, keeper: HostId) {
-        let former = self.doubts.get(&keeper).map_or(0, |doubt| doubt.pause_ms);
-        let pause_ms = (2 * former).clamp(DOUBT_MS, MAX_DOUBT_MS);
-        self.doubts.insert(keeper, Doubt { until_ms: now_ms + pause_ms, pause_ms });
+        let previous_ms = self.backoffs.get(&keeper).map_or(0, |backoff| backoff.delay_ms);
+        let delay_ms = (2 * previous_ms).clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
+        self.backoffs.insert(keeper, Backoff { until_ms: now_ms + delay_ms, delay_ms });
     }
 
-    /// Notes that a keeper confirmed what it holds, or hears a leader.
+    /// Records that a keeper confirmed its state, or is in contact with a leader.
     pub fn note_answered(&mut self, keeper: &HostId) {
-        self.doubts.remove(keeper);
+        self.backoffs.remove(keeper);
     }
 }
--- a/clayplank-members/src/keeper_search.rs
+++ b/clayplank-members/src/keeper_search.rs
@@ -1,8 +1,9 @@
-//! What a host knows of the keepers, and whom it asks when it has lost them.
+//! Discovery of the keepers by a host.
 //!
-//! A host is told of a few others when it starts. They need not be keepers, may be down, or may know as
-//! little themselves: so each host that is asked names those that it knows, and remembers who asked
-//! it; and one that has found a keeper tells those that it was told of itself.
+//! A host starts with a few bootstrap addresses. These hosts need not be keepers, may be down, or
+//! may know no keeper either. Each queried host therefore returns the hosts that it knows and
+//! remembers the sender as a contact, and a host that has found a keeper reports it to its
+//! bootstrap hosts.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -10,79 +11,82 @@
 use rand::Rng;
 use rand::seq::{IteratorRandom, SliceRandom};
 
-/// Hosts that are remembered beside the keepers and those that this host was told of.
+/// Maximum number of contacts that are remembered beside the keepers and the bootstrap hosts.
 const MAX_CONTACTS: usize = 16;
 
-/// Keepers that are taken from the word of others, until one of them confirms who they are: far more
-/// than vote anywhere.
+/// Maximum number of keepers learned from other hosts before a keeper confirms the list; far more
+/// than the voters of any deployment.
 const MAX_KEEPERS: usize = 64;
 
-/// Keepers that are asked in one search.
-const MAX_ASKED_KEEPERS: usize = 16;
+/// Maximum number of keepers that one search queries.
+const MAX_QUERIED_KEEPERS: usize = 16;
 
-/// Contacts that are asked in one search, beside those that this host was told of: a host that finds
-/// nobody goes on with others.
-const MAX_ASKED_CONTACTS: usize = 2;
+/// Maximum number of contacts that one search queries beside the bootstrap hosts. A search that
+/// finds no keeper is followed by another one with other contacts.
+const MAX_QUERIED_CONTACTS: usize = 2;
 
-/// Contacts that are named to another host, beside the keepers.
-const MAX_NAMED: usize = 8;
+/// Maximum number of contacts sent to another host, beside the keepers.
+const MAX_SENT_CONTACTS: usize = 8;
 
-/// The keepers that a host knows, and hosts that may know more.
+/// The keepers that a host knows, and the hosts that may know more of them.
 #[derive(Clone, Debug, Default)]
 pub struct KnownKeepers {
-    /// `None` where the settings name all keepers.
-    own: Option<HostId>,
+    /// The local host; `None` if the settings list all keepers.
+    local: Option<HostId>,
     keepers: Vec<HostId>,
     leader: Option<HostId>,
-    /// Hosts that this one was told of, when it started or since.
-    seeds: Vec<HostId>,
-    /// Others that were heard of, the newest last.
+    /// Bootstrap hosts from the settings, as of the start or their last change.
+    bootstrap_hosts: Vec<HostId>,
+    /// Other known hosts, the most recently learned last.
     contacts: VecDeque<HostId>,
 }
 
 impl KnownKeepers {
-    /// A host that is told of others, which need not be keepers.
-    pub fn of_seeds(own: HostId, seeds: impl IntoIterator<Item = HostId>) -> Self {
-        let mut known = Self { own: Some(own), ..Self::default() };
-        known.set_seeds(seeds);
+    /// Creates the view of host `local` from bootstrap hosts, which need not be keepers.
+    pub fn of_seeds(local: HostId, bootstrap_hosts: impl IntoIterator<Item = HostId>) -> Self {
+        let mut known = Self { local: Some(local), ..Self::default() };
+        known.set_seeds(bootstrap_hosts);
         known
     }
 
-    /// A host whose settings name all keepers.
+    /// Creates the view of a host whose settings list all keepers.
     pub fn of_keepers(keepers: impl IntoIterator<Item = HostId>) -> Self {
         Self { keepers: keepers.into_iter().collect(), ..Self::default() }
     }
 
-    /// Takes in whom the settings name now; those that they named before stay contacts.
-    pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = HostId>) {
-        let own = self.own.clone();
-        let seeds = seeds.into_iter().filter(|seed| Some(seed) != own.as_ref()).collect();
-        let former = std::mem::replace(&mut self.seeds, seeds);
-        former.into_iter().for_each(|host| self.learn_contact(host));
+    /// Replaces the bootstrap hosts after a change of the settings. The previous ones remain
+    /// contacts.
+    pub fn set_seeds(&mut self, bootstrap_hosts: impl IntoIterator<Item = HostId>) {
+        let local = self.local.clone();
+        let bootstrap_hosts =
+            bootstrap_hosts.into_iter().filter(|host| Some(host) != local.as_ref()).collect();
+        let previous = std::mem::replace(&mut self.bootstrap_hosts, bootstrap_hosts);
+        previous.into_iter().for_each(|host| self.learn_contact(host));
     }
 
-    /// Whom the settings name.
+    /// The bootstrap hosts from the settings.
     pub fn seeds(&self) -> &[HostId] {
-        &self.seeds
+        &self.bootstrap_hosts
     }
 
-    /// The keepers that are known, this host perhaps among them.
+    /// The known keepers; the local host may be one of them.
     pub fn keepers(&self) -> &[HostId] {
         &self.keepers
     }
 
-    /// Takes in all keepers, as one of them confirmed them; those that were replaced stay contacts.
+    /// Replaces the keepers by the list that one of them confirmed; an empty list is ignored.
+    /// Keepers that are no longer listed remain contacts.
     pub fn set_keepers(&mut self, keepers: impl IntoIterator<Item = HostId>) {
         let keepers: Vec<_> = keepers.into_iter().collect();
         if keepers.is_empty() || keepers == self.keepers {
             return;
         }
-        let former = std::mem::replace(&mut self.keepers, keepers);
-        former.into_iter().for_each(|host| self.learn_contact(host));
+        let previous = std::mem::replace(&mut self.keepers, keepers);
+        previous.into_iter().for_each(|host| self.learn_contact(host));
         self.contacts.retain(|contact| !self.keepers.contains(contact));
     }
 
-    /// Learns of keepers; returns whether one was new.
+    /// Adds keepers reported by other hosts; returns whether one of them was new.
     pub fn learn_keepers(&mut self, hosts: impl IntoIterator<Item = HostId>) -> bool {
         let before = self.keepers.len();
         for host in hosts {
@@ -94,10 +98,10 @@
         self.keepers.len() > before
     }
 
-    /// Learns of a host that may know keepers. The one that was learned of first is forgotten for it.
+    /// Adds a host that may know keepers. The oldest contact is evicted if there are too many.
     pub fn learn_contact(&mut self, host: HostId) {
-        let is_known = self.own.as_ref() == Some(&host)
-            || self.seeds.contains(&host)
+        let is_known = self.local.as_ref() == Some(&host)
+            || self.bootstrap_hosts.contains(&host)
             || self.keepers.contains(&host);
         if is_known {
             return;
@@ -109,47 +113,53 @@
         }
     }
 
-    /// Hosts that may know keepers, those first that this host was told of.
+    /// Hosts that may know keepers, the bootstrap hosts first.
     pub fn contacts(&self) -> impl Iterator<Item = &HostId> {
-        self.seeds.iter().chain(&self.contacts).filter(|host| !self.keepers.contains(host))
+        self.bootstrap_hosts
+            .iter()
+            .chain(&self.contacts)
+            .filter(|host| !self.keepers.contains(host))
     }
 
-    /// A few hosts that may know keepers, for one that asks; none where keepers are known.
+    /// A random selection of hosts that may know keepers, to send to a host that searches. Empty if
+    /// keepers are known, as those are sent instead.
     pub fn named_contacts(&self, rng: &mut impl Rng) -> Vec<HostId> {
         if !self.keepers.is_empty() {
             return Vec::new();
         }
-        self.contacts().cloned().sample(rng, MAX_NAMED)
+        self.contacts().cloned().sample(rng, MAX_SENT_CONTACTS)
     }
 
-    /// Who led when it was last heard.
+    /// The last known leader.
     pub fn leader(&self) -> Option<&HostId> {
         self.leader.as_ref()
     }
 
-    /// Takes in who leads; returns the former leader.
+    /// Sets the leader, and adds it to the keepers; returns the previous leader.
     pub fn set_leader(&mut self, leader: HostId) -> Option<HostId> {
         self.learn_keepers([leader.clone()]);
         self.leader.replace(leader)
     }
 
-    /// The next host to ask who leads: keepers in an order of chance, the one that led last after
-    /// them, then those that may know others. What was learned from the ones before counts.
-    pub fn next_to_ask(&self, asked: &HashSet<HostId>, rng: &mut impl Rng) -> Option<HostId> {
-        let was_asked = |host: &&HostId| asked.contains(*host);
-        let mut keepers: Vec<_> = self.keepers.iter().filter(|host| !was_asked(host)).collect();
-        let asked_keepers = self.keepers.len() - keepers.len();
+    /// The next host to query for the leader: keepers in random order with the last known leader
+    /// after the others, then bootstrap hosts, then other contacts. Hosts learned from earlier
+    /// queries of the same search are included.
+    pub fn next_to_ask(&self, queried: &HashSet<HostId>, rng: &mut impl Rng) -> Option<HostId> {
+        let was_queried = |host: &&HostId| queried.contains(*host);
+        let mut keepers: Vec<_> = self.keepers.iter().filter(|host| !was_queried(host)).collect();
+        let queried_keepers = self.keepers.len() - keepers.len();
         keepers.shuffle(rng);
-        keepers.truncate(MAX_ASKED_KEEPERS.saturating_sub(asked_keepers));
+        keepers.truncate(MAX_QUERIED_KEEPERS.saturating_sub(queried_keepers));
         keepers.sort_by_key(|host| Some(*host) == self.leader.as_ref());
-        let mut seeds: Vec<_> = self.seeds.iter().filter(|host| !was_asked(host)).collect();
-        seeds.shuffle(rng);
+        let mut bootstrap_hosts: Vec<_> =
+            self.bootstrap_hosts.iter().filter(|host| !was_queried(host)).collect();
+        bootstrap_hosts.shuffle(rng);
         let is_contact =
-            |host: &&HostId| !self.keepers.contains(host) && !self.seeds.contains(host);
-        let asked_contacts = asked.iter().filter(is_contact).count();
-        let may_ask_contact = asked_contacts < MAX_ASKED_CONTACTS;
-        let contact = self.contacts.iter().filter(|host| !was_asked(host)).choose(rng);
-        let next = keepers.into_iter().chain(seeds).next();
-        next.or(contact.filter(|_| may_ask_contact)).cloned()
+            |host: &&HostId| !self.keepers.contains(host) && !self.bootstrap_hosts.contains(host);
+        let queried_contacts = queried.iter().filter(is_contact).count();
+        let may_query_contact = queried_contacts < MAX_QUERIED_CONTACTS;
+        let contact = self.contacts.iter().filter(|host| !was_queried(host)).choose(rng);
+        let next = keepers.into_iter().chain(bootstrap_hosts).next();
+        next.or(contact.filter(|_| may_query_contact)).cloned()
     }
 }
--- a/clayplank-members/src/lib.rs
+++ b/clayplank-members/src/lib.rs
@@ -1,9 +1,10 @@
-//! Liveness among hosts, leaving, ownership of pools, and how a host finds and chooses a keeper.
+//! Cluster membership: failure detection, departure, ownership of pools, and discovery and
+//! selection of keepers.
 //!
-//! The failure detector is SWIM's (Das, Gupta and Motivala, DSN 2002): each
-//! host probes one other at a time, asks a few others to try before it
-//! suspects, and passes rumours along with the probes, so that the cost for a
-//! host does not grow with the number of hosts. Nothing here knows a socket.
+//! The failure detector follows SWIM (Das, Gupta and Motivala, DSN 2002). Each host probes one peer
+//! at a time, requests indirect probes through a few others before it suspects that peer, and
+//! piggybacks membership updates on probes and their replies. The load per host is therefore
+//! independent of the number of hosts. This package does no network I/O.
 //!
 //! ```
 //! use clayplank_members::{Members, Status, Timing};
@@ -19,11 +20,11 @@
 mod keeper_choice;
 mod keeper_search;
 mod members;
-mod owner;
-mod rumour;
+mod rendezvous;
+mod update;
 
 pub use follow_times::FollowTimes;
 pub use keeper_choice::KeeperChoice;
 pub use keeper_search::KnownKeepers;
 pub use members::{Effect, Members, Timing};
-pub use rumour::{Rumour, Status};
+pub use update::{Rumour, Status};
--- a/clayplank-members/src/members.rs
+++ b/clayplank-members/src/members.rs
@@ -1,4 +1,4 @@
-//! The membership view of one host.
+//! Membership view of one host, kept by the SWIM protocol.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,24 +7,25 @@
 use rand::seq::{IteratorRandom, SliceRandom};
 use rand::{RngExt, SeedableRng};
 
-use crate::owner::choose_owner;
-use crate::rumour::{Rumour, Status};
+use crate::rendezvous::choose_owner;
+use crate::update::{Rumour, Status};
 
-/// Hosts that are asked to probe one that did not answer.
+/// Peers that are requested to probe a host indirectly after it missed a direct probe.
 const INDIRECT_PROBES: usize = 2;
 
-/// Rumours that go with one probe.
-const MAX_RUMOURS: usize = 12;
+/// Maximum number of membership updates piggybacked on one message, beside the one about the local
+/// host.
+const MAX_PIGGYBACKED_UPDATES: usize = 12;
 
-/// Each rumour is passed on this often, times the logarithm of the number of hosts.
-const RUMOUR_REPEATS: u32 = 3;
+/// Each update is transmitted this many times the binary logarithm of the number of hosts.
+const RETRANSMIT_FACTOR: u32 = 3;
 
-/// Times of the failure detector.
+/// Time-outs of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two probes by one host.
+    /// Interval between two probes sent by one host, in ms.
     pub probe_interval_ms: u64,
-    /// From the suspicion of a host until it counts as gone.
+    /// Time from the suspicion of a host until it is declared dead, in ms.
     pub suspect_ms: u64,
 }
 
@@ -34,16 +35,16 @@
     }
 }
 
-/// What the caller has to carry out.
+/// A network operation that the caller of this package has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Probe a host.
+    /// Send a probe to this host.
     Probe(HostId),
-    /// Ask `via` to probe `target`.
+    /// Request that `via` probe `target`.
     ProbeVia {
-        /// Who is asked.
+        /// The peer that sends the indirect probe.
         via: HostId,
-        /// Who did not answer.
+        /// The host that missed a direct probe.
         target: HostId,
     },
 }
@@ -54,27 +55,29 @@
     version: u64,
     status: Status,
     suspect_since_ms: u64,
-    /// Passes that are left for what is known of it.
-    passes_left: u32,
-    /// Indirect probes that are still out.
-    indirect_left: usize,
+    /// Remaining transmissions of the latest update about this host.
+    transmissions_left: u32,
+    /// Indirect probes whose results are outstanding.
+    pending_indirect_probes: usize,
 }
 
-/// What one host knows of all hosts.
+/// Membership view of the local host: the status of every host, and the state of the failure
+/// detector.
 #[derive(Clone, Debug)]
 pub struct Members {
-    own: HostId,
+    local: HostId,
     members: BTreeMap<HostId, Member>,
     timing: Timing,
     next_probe_ms: u64,
-    round: Vec<HostId>,
+    probe_queue: Vec<HostId>,
     rng: SmallRng,
 }
 
 impl Members {
-    /// Takes every host for live until a probe fails.
+    /// Creates a view in which every host is live until it misses a probe. The incarnation also
+    /// seeds the random order of probes.
     pub fn new(
-        own: HostId,
+        local: HostId,
         incarnation: Incarnation,
         hosts: impl IntoIterator<Item = (HostId, DataCentre)>,
         timing: Timing,
@@ -85,222 +88,235 @@
             version: 0,
             status: Status::Live,
             suspect_since_ms: 0,
-            passes_left: 0,
-            indirect_left: 0,
+            transmissions_left: 0,
+            pending_indirect_probes: 0,
         };
         let members =
             hosts.into_iter().map(|(host, data_centre)| (host, member(data_centre))).collect();
         let rng = SmallRng::seed_from_u64(incarnation.0);
-        let mut view = Self { own, members, timing, next_probe_ms: now_ms, round: Vec::new(), rng };
-        view.set_own(incarnation.0, Status::Live);
+        let mut view =
+            Self { local, members, timing, next_probe_ms: now_ms, probe_queue: Vec::new(), rng };
+        view.set_local(incarnation.0, Status::Live);
         view
     }
 
-    /// What is known of a host.
+    /// The status of a host; `None` for a host that is not a member.
     pub fn status(&self, host: &HostId) -> Option<Status> {
         self.members.get(host).map(|member| member.status)
     }
 
-    /// Every host with its state, by name.
+    /// Every host with its status, in the order of names.
     pub fn iter(&self) -> impl Iterator<Item = (&HostId, Status)> {
         self.members.iter().map(|(host, member)| (host, member.status))
     }
 
-    /// Hosts that are neither leaving nor gone.
+    /// Hosts with status [`Status::Live`] or [`Status::Suspect`].
     pub fn live(&self) -> impl Iterator<Item = &HostId> {
         self.iter()
             .filter(|(_, status)| matches!(status, Status::Live | Status::Suspect))
             .map(|(host, _)| host)
     }
 
-    /// The owner of a pool: a live host of its data centre, or any where there is none.
+    /// The owner of a pool: a live host of `data_centre`, or any live host if that data centre has
+    /// none.
     pub fn owner_of(&self, pool: &PoolId, data_centre: &DataCentre) -> Option<&HostId> {
-        let near = |host: &&HostId| {
+        let is_in_data_centre = |host: &&HostId| {
             self.members.get(*host).is_some_and(|member| member.data_centre == *data_centre)
         };
-        choose_owner(pool, self.live().filter(near)).or_else(|| choose_owner(pool, self.live()))
+        choose_owner(pool, self.live().filter(is_in_data_centre))
+            .or_else(|| choose_owner(pool, self.live()))
     }
 
-    /// Says of this host that it stops; sticky for its incarnation.
+    /// Announces that the local host is departing. This holds until its next incarnation.
     pub fn leave(&mut self) {
-        let version = self.members.get(&self.own).map_or(0, |member| member.version);
-        self.set_own(version, Status::Leaving);
+        let version = self.members.get(&self.local).map_or(0, |member| member.version);
+        self.set_local(version, Status::Leaving);
     }
 
-    fn set_own(&mut self, version: u64, status: Status) {
-        let passes_left = self.passes();
-        if let Some(member) = self.members.get_mut(&self.own) {
+    fn set_local(&mut self, version: u64, status: Status) {
+        let transmissions_left = self.max_transmissions();
+        if let Some(member) = self.members.get_mut(&self.local) {
             member.version = version;
             member.status = status;
-            member.passes_left = passes_left;
+            member.transmissions_left = transmissions_left;
         }
     }
 
-    /// Starts the next probe when it is due, and buries hosts suspected for too long.
+    /// Declares hosts dead whose suspicion has timed out, and starts the next probe if it is due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Effect> {
-        self.bury_suspects(now_ms);
+        self.declare_suspects_dead(now_ms);
         if now_ms < self.next_probe_ms {
             return Vec::new();
         }
-        // A host that was frozen does not catch up on what it missed.
+        // After a suspension of the process, missed probes are not made up for.
         self.next_probe_ms = now_ms + self.timing.probe_interval_ms;
-        self.next_in_round().map(Effect::Probe).into_iter().collect()
+        self.next_probe_target().map(Effect::Probe).into_iter().collect()
     }
 
-    fn bury_suspects(&mut self, now_ms: u64) {
-        let passes = self.passes();
-        let deadline_ms = self.timing.suspect_ms;
+    fn declare_suspects_dead(&mut self, now_ms: u64) {
+        let max_transmissions = self.max_transmissions();
+        let suspect_ms = self.timing.suspect_ms;
         for member in self.members.values_mut() {
-            if member.status == Status::Suspect && now_ms >= member.suspect_since_ms + deadline_ms {
+            if member.status == Status::Suspect && now_ms >= member.suspect_since_ms + suspect_ms {
                 member.status = Status::Gone;
-                member.passes_left = passes;
+                member.transmissions_left = max_transmissions;
             }
         }
     }
 
-    /// Every other host once, in a new order each time; those that are gone too,
-    /// so that both sides of a healed cut find each other.
-    fn next_in_round(&mut self) -> Option<HostId> {
-        if self.round.is_empty() {
-            self.round = self.members.keys().filter(|host| **host != self.own).cloned().collect();
-            self.round.shuffle(&mut self.rng);
+    /// Takes the next host from a shuffled list of all peers, which is refilled when it is empty.
+    /// Dead hosts are included, so that both sides of a healed network partition discover each
+    /// other.
+    fn next_probe_target(&mut self) -> Option<HostId> {
+        if self.probe_queue.is_empty() {
+            self.probe_queue =
+                self.members.keys().filter(|host| **host != self.local).cloned().collect();
+            self.probe_queue.shuffle(&mut self.rng);
         }
-        self.round.pop()
+        self.probe_queue.pop()
     }
 
-    /// Notes an answer, by the host itself or through another.
+    /// Records that a host answered a direct or an indirect probe.
     pub fn note_reached(&mut self, host: &HostId) {
-        let passes = self.passes();
+        let max_transmissions = self.max_transmissions();
         if let Some(member) = self.members.get_mut(host) {
-            member.indirect_left = 0;
+            member.pending_indirect_probes = 0;
             if member.status == Status::Suspect {
                 member.status = Status::Live;
-                member.passes_left = passes;
+                member.transmissions_left = max_transmissions;
             }
         }
     }
 
-    /// Notes that a probe of our own was not answered.
+    /// Records that a host missed a direct probe; returns the indirect probes to request.
     pub fn note_missed(&mut self, now_ms: u64, target: &HostId) -> Vec<Effect> {
         if self.status(target) != Some(Status::Live) {
             return Vec::new();
         }
-        let others = self.live().filter(|host| **host != self.own && *host != target).cloned();
-        let others: Vec<_> = others.collect();
-        let chosen: Vec<_> = others.into_iter().sample(&mut self.rng, INDIRECT_PROBES);
+        let candidates =
+            self.live().filter(|host| **host != self.local && *host != target).cloned();
+        let candidates: Vec<_> = candidates.collect();
+        let selected: Vec<_> = candidates.into_iter().sample(&mut self.rng, INDIRECT_PROBES);
         if let Some(member) = self.members.get_mut(target) {
-            member.indirect_left = chosen.len();
+            member.pending_indirect_probes = selected.len();
         }
-        if chosen.is_empty() {
+        if selected.is_empty() {
             self.suspect(now_ms, target);
         }
-        chosen.into_iter().map(|via| Effect::ProbeVia { via, target: target.clone() }).collect()
+        selected.into_iter().map(|via| Effect::ProbeVia { via, target: target.clone() }).collect()
     }
 
-    /// Notes that another host could not reach the target either.
+    /// Records that an indirect probe of the target failed too.
     pub fn note_missed_via(&mut self, now_ms: u64, target: &HostId) {
-        let Some(member) = self.members.get_mut(target).filter(|member| member.indirect_left > 0)
+        let Some(member) =
+            self.members.get_mut(target).filter(|member| member.pending_indirect_probes > 0)
         else {
             return;
         };
-        member.indirect_left -= 1;
-        if member.indirect_left == 0 {
+        member.pending_indirect_probes -= 1;
+        if member.pending_indirect_probes == 0 {
             self.suspect(now_ms, target);
         }
     }
 
     fn suspect(&mut self, now_ms: u64, target: &HostId) {
-        let passes = self.passes();
+        let max_transmissions = self.max_transmissions();
         let Some(member) = self.members.get_mut(target) else {
             return;
         };
         if member.status == Status::Live {
             member.status = Status::Suspect;
             member.suspect_since_ms = now_ms;
-            member.passes_left = passes;
+            member.transmissions_left = max_transmissions;
         }
     }
 
-    /// Rumours for the next probe or answer, the least told first.
+    /// Takes the updates to piggyback on the next probe or reply, the least transmitted first.
     pub fn take_rumours(&mut self) -> Vec<Rumour> {
-        let mut told: Vec<_> =
-            self.members.iter().filter(|(_, member)| member.passes_left > 0).collect();
-        told.sort_by_key(|(_, member)| std::cmp::Reverse(member.passes_left));
-        let mut chosen: BTreeSet<HostId> =
-            told.into_iter().take(MAX_RUMOURS).map(|(host, _)| host.clone()).collect();
-        for host in &chosen {
+        let mut pending: Vec<_> =
+            self.members.iter().filter(|(_, member)| member.transmissions_left > 0).collect();
+        pending.sort_by_key(|(_, member)| std::cmp::Reverse(member.transmissions_left));
+        let mut selected: BTreeSet<HostId> = pending
+            .into_iter()
+            .take(MAX_PIGGYBACKED_UPDATES)
+            .map(|(host, _)| host.clone())
+            .collect();
+        for host in &selected {
             if let Some(member) = self.members.get_mut(host) {
-                member.passes_left -= 1;
+                member.transmissions_left -= 1;
             }
         }
-        // The own state always goes along: it tells a restarted peer who we are.
-        chosen.insert(self.own.clone());
-        chosen.iter().filter_map(|host| self.rumour_of(host)).collect()
+        // The local host's state is always included: a restarted peer needs it to identify this
+        // host.
+        selected.insert(self.local.clone());
+        selected.iter().filter_map(|host| self.update_of(host)).collect()
     }
 
-    fn rumour_of(&self, host: &HostId) -> Option<Rumour> {
+    fn update_of(&self, host: &HostId) -> Option<Rumour> {
         let member = self.members.get(host)?;
         Some(Rumour { host: host.clone(), version: member.version, status: member.status })
     }
 
-    /// What a host that we take for gone or suspect should hear of itself, to refute it.
+    /// The update to send to a host that this view holds for suspect, departing or dead, so that it
+    /// can refute it; `None` if the host is live or unknown.
     pub fn rumour_for(&self, host: &HostId) -> Option<Rumour> {
-        self.rumour_of(host).filter(|rumour| rumour.status != Status::Live)
+        self.update_of(host).filter(|update| update.status != Status::Live)
     }
 
-    /// Takes in what others tell.
-    pub fn apply_rumours(&mut self, now_ms: u64, rumours: &[Rumour]) {
-        for rumour in rumours {
-            if rumour.host == self.own {
-                self.refute(rumour);
+    /// Applies updates received from a peer, and refutes those about the local host.
+    pub fn apply_rumours(&mut self, now_ms: u64, updates: &[Rumour]) {
+        for update in updates {
+            if update.host == self.local {
+                self.refute(update);
             } else {
-                self.apply_rumour(now_ms, rumour);
+                self.apply_update(now_ms, update);
             }
         }
     }
 
-    fn refute(&mut self, rumour: &Rumour) {
-        let Some(own) = self.members.get(&self.own) else {
+    fn refute(&mut self, update: &Rumour) {
+        let Some(local) = self.members.get(&self.local) else {
             return;
         };
-        let (version, status) = (own.version, own.status);
-        if rumour.beats(version, status) {
-            self.set_own(rumour.version.max(version) + 1, status);
+        let (version, status) = (local.version, local.status);
+        if update.beats(version, status) {
+            self.set_local(update.version.max(version) + 1, status);
         }
     }
 
-    fn apply_rumour(&mut self, now_ms: u64, rumour: &Rumour) {
-        let passes = self.passes();
-        let Some(member) = self.members.get_mut(&rumour.host) else {
+    fn apply_update(&mut self, now_ms: u64, update: &Rumour) {
+        let max_transmissions = self.max_transmissions();
+        let Some(member) = self.members.get_mut(&update.host) else {
             return;
         };
-        if !rumour.beats(member.version, member.status) {
+        if !update.beats(member.version, member.status) {
             return;
         }
-        if rumour.status == Status::Suspect {
+        if update.status == Status::Suspect {
             member.suspect_since_ms = now_ms;
         }
-        member.version = rumour.version;
-        member.status = rumour.status;
-        member.passes_left = passes;
+        member.version = update.version;
+        member.status = update.status;
+        member.transmissions_left = max_transmissions;
     }
 
-    /// Takes in the platform's word that a host is leaving.
+    /// Applies a notice of the platform that a host is departing.
     pub fn apply_platform_leaving(&mut self, host: &HostId) {
-        let passes = self.passes();
+        let max_transmissions = self.max_transmissions();
         if let Some(member) =
             self.members.get_mut(host).filter(|member| member.status < Status::Leaving)
         {
             member.status = Status::Leaving;
-            member.passes_left = passes;
+            member.transmissions_left = max_transmissions;
         }
     }
 
-    fn passes(&self) -> u32 {
-        RUMOUR_REPEATS * (self.members.len() as u32 + 1).ilog2().max(1)
+    fn max_transmissions(&self) -> u32 {
+        RETRANSMIT_FACTOR * (self.members.len() as u32 + 1).ilog2().max(1)
     }
 
-    /// Spreads the first probes of many hosts that start together.
+    /// Delays the first probe by a random part of the interval, so that hosts that start at the
+    /// same time do not all probe at once.
     pub fn delay_first_probe(&mut self) {
         self.next_probe_ms += self.rng.random_range(0..=self.timing.probe_interval_ms);
     }
--- a/clayplank-members/src/owner.rs
+++ b/clayplank-members/src/rendezvous.rs
@@ -1,11 +1,13 @@
-//! Rendezvous hashing (Thaler and Ravishankar, 1998): who owns a pool, and whom a host follows.
+//! Rendezvous hashing (Thaler and Ravishankar, 1998), which selects the owner of a pool and the
+//! keeper that a host follows.
 
 use std::hash::Hasher;
 
 use clayplank_types::{HostId, PoolId};
 use siphasher::sip::SipHasher13;
 
-/// The host with the highest weight for the pool; a host that goes moves only its own pools.
+/// Selects the host with the highest weight for the pool. If a host departs, only the pools that it
+/// owned move.
 pub(crate) fn choose_owner<'a>(
     pool: &PoolId,
     hosts: impl Iterator<Item = &'a HostId>,
@@ -13,7 +15,7 @@
     hosts.max_by_key(|host| weigh(pool.as_str(), host))
 }
 
-/// The weight of a host for whoever chooses among hosts.
+/// Weight of a host for a `chooser`, which is a pool or another host.
 pub(crate) fn weigh(chooser: &str, host: &HostId) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(chooser.as_bytes());
--- a/clayplank-members/tests/follow_times.rs
+++ b/clayplank-members/tests/follow_times.rs
@@ -1,13 +1,14 @@
-//! The time until a host hears of a change beside silent keepers.
+//! Delay until a host receives a change while keepers are unresponsive.
 
 use clayplank_members::FollowTimes;
 use rstest::rstest;
 
-/// Share of the bound that is left for what lies outside: the acknowledgement, and the way of a request.
+/// Share of the bound reserved for steps outside of the follow requests: the acknowledgement of the
+/// change, and the forwarding of a request.
 const SPARE_SHARE: f64 = 0.2;
 
 #[rstest]
-fn a_change_is_heard_of_in_time_beside_the_tolerated_losses(
+fn a_change_arrives_in_time_with_the_tolerated_number_of_unresponsive_keepers(
     #[values(1_500, 2_000, 2_500, 5_000, 60_000)] apply_ms: u64,
     #[values(0, 1, 2)] losses: u64,
 ) {
@@ -16,9 +17,9 @@
     assert!(worst_ms <= apply_ms as f64 * (1.0 - SPARE_SHARE), "{worst_ms} ms, {times:?}");
 }
 
-/// Else a living keeper without news would always be asked beside another one.
+/// Otherwise hosts would always send a hedged request beside a long poll that has no updates.
 #[rstest]
-fn a_keeper_without_news_answers_before_another_one_is_asked(
+fn a_long_poll_without_updates_ends_before_a_hedged_request_is_sent(
     #[values(100, 500, 2_000, 60_000)] apply_ms: u64,
 ) {
     let times = FollowTimes::of_bound(apply_ms);
--- a/clayplank-members/tests/keeper_choice.rs
+++ b/clayplank-members/tests/keeper_choice.rs
@@ -1,4 +1,4 @@
-//! Which keepers hundreds of hosts follow.
+//! Distribution of hosts over keepers, and back-off of failed keepers.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -12,8 +12,8 @@
     (0..count).map(|number| HostId::new(format!("10.0.{number}.1"))).collect()
 }
 
-/// Whom a host follows.
-fn first(choice: &KeeperChoice, keepers: &[HostId]) -> HostId {
+/// The keeper that a host follows.
+fn followed_keeper(choice: &KeeperChoice, keepers: &[HostId]) -> HostId {
     choice.order(keepers).remove(0)
 }
 
@@ -21,11 +21,11 @@
     (0..hosts).map(|number| KeeperChoice::new(HostId::new(format!("10.9.{number}.7")))).collect()
 }
 
-/// How many hosts follow each keeper.
+/// Number of hosts that follow each keeper.
 fn spread(choices: &[KeeperChoice], keepers: &[HostId]) -> BTreeMap<HostId, usize> {
     let mut spread = BTreeMap::new();
     for choice in choices {
-        *spread.entry(first(choice, keepers)).or_default() += 1;
+        *spread.entry(followed_keeper(choice, keepers)).or_default() += 1;
     }
     spread
 }
@@ -41,67 +41,67 @@
 }
 
 #[test]
-fn hosts_of_a_lost_keeper_spread_over_the_others_and_come_back() {
+fn hosts_of_a_failed_keeper_spread_over_the_others_and_return() {
     let keepers = keepers(10);
     let mut choices = choices(984);
     let before = spread(&choices, &keepers);
-    let lost = &keepers[3];
+    let failed = &keepers[3];
     for choice in &mut choices {
-        if first(choice, &keepers) == *lost {
-            choice.note_failed(0, lost.clone());
+        if followed_keeper(choice, &keepers) == *failed {
+            choice.note_failed(0, failed.clone());
         }
     }
-    let meanwhile = spread(&choices, &keepers);
-    assert_eq!(meanwhile.get(lost), None);
-    for (keeper, hosts) in &meanwhile {
+    let during_failure = spread(&choices, &keepers);
+    assert_eq!(during_failure.get(failed), None);
+    for (keeper, hosts) in &during_failure {
         let more = hosts - before[keeper];
-        assert!(more < 2 * before[lost] / 9 + 5, "{keeper:?} gets {more} more");
+        assert!(more < 2 * before[failed] / 9 + 5, "{keeper:?} gets {more} more");
     }
     for choice in &mut choices {
         let due = choice.take_due(10_000, &keepers);
-        assert!(due.iter().all(|keeper| keeper == lost), "{due:?}");
+        assert!(due.iter().all(|keeper| keeper == failed), "{due:?}");
         due.iter().for_each(|keeper| choice.note_answered(keeper));
     }
-    assert_eq!(spread(&choices, &keepers), before, "it was asked again, and answered");
+    assert_eq!(spread(&choices, &keepers), before, "it was retried and answered");
 }
 
 #[test]
-fn a_keeper_in_doubt_is_followed_only_once_it_has_answered() {
+fn a_keeper_in_backoff_is_followed_only_after_it_has_answered() {
     let keepers = keepers(3);
     let mut choice = KeeperChoice::new(HostId::new("host"));
-    let lost = first(&choice, &keepers);
-    choice.note_failed(0, lost.clone());
-    let followed = first(&choice, &keepers);
+    let failed = followed_keeper(&choice, &keepers);
+    choice.note_failed(0, failed.clone());
+    let followed = followed_keeper(&choice, &keepers);
     assert_eq!(choice.take_due(999, &keepers), []);
-    assert_eq!(choice.take_due(1_000, &keepers), std::slice::from_ref(&lost));
-    assert_eq!(choice.take_due(1_001, &keepers), [], "it is being asked");
-    assert_eq!(first(&choice, &keepers), followed);
-    choice.note_answered(&lost);
-    assert_eq!(first(&choice, &keepers), lost);
+    assert_eq!(choice.take_due(1_000, &keepers), std::slice::from_ref(&failed));
+    assert_eq!(choice.take_due(1_001, &keepers), [], "it is being retried");
+    assert_eq!(followed_keeper(&choice, &keepers), followed);
+    choice.note_answered(&failed);
+    assert_eq!(followed_keeper(&choice, &keepers), failed);
 }
 
 #[test]
-fn one_that_fails_again_and_again_is_asked_less_and_less_often() {
+fn a_keeper_that_fails_repeatedly_is_retried_with_growing_delays() {
     let keepers = keepers(2);
     let mut choice = KeeperChoice::new(HostId::new("host"));
-    let lost = first(&choice, &keepers);
-    choice.note_failed(0, lost.clone());
-    let (mut now_ms, mut asked) = (0, 1);
+    let failed = followed_keeper(&choice, &keepers);
+    choice.note_failed(0, failed.clone());
+    let (mut now_ms, mut retries) = (0, 1);
     while now_ms < 120_000 {
         for keeper in choice.take_due(now_ms, &keepers) {
-            assert_eq!(keeper, lost);
-            asked += 1;
+            assert_eq!(keeper, failed);
+            retries += 1;
             choice.note_failed(now_ms, keeper);
         }
         now_ms += 100;
     }
-    assert!((5..=9).contains(&asked), "{asked} times in two minutes");
-    choice.note_answered(&lost);
-    assert_eq!(first(&choice, &keepers), lost);
+    assert!((5..=9).contains(&retries), "{retries} times in two minutes");
+    choice.note_answered(&failed);
+    assert_eq!(followed_keeper(&choice, &keepers), failed);
 }
 
 #[test]
-fn where_all_failed_the_one_in_doubt_for_the_shortest_time_is_asked() {
+fn keepers_that_all_failed_are_ordered_by_the_end_of_their_backoff() {
     let keepers = keepers(3);
     let mut choice = KeeperChoice::new(HostId::new("host"));
     for (number, keeper) in keepers.iter().enumerate() {
--- a/clayplank-members/tests/views.rs
+++ b/clayplank-members/tests/views.rs
@@ -1,4 +1,4 @@
-//! What one host concludes from probes, rumours and the platform.
+//! Membership view of one host after probes, gossip and notices of the platform.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,14 +10,14 @@
     HostId::new(name)
 }
 
-fn view(own: &str, incarnation: u64) -> Members {
+fn view(local: &str, incarnation: u64) -> Members {
     let centres = [("a", "hall-1"), ("b", "hall-1"), ("c", "hall-2"), ("d", "hall-2")];
     let hosts = centres.map(|(name, centre)| (host(name), DataCentre::new(centre)));
-    Members::new(host(own), Incarnation(incarnation), hosts, Timing::default(), 0)
+    Members::new(host(local), Incarnation(incarnation), hosts, Timing::default(), 0)
 }
 
-/// Has a view miss a host directly and through others.
-fn miss(view: &mut Members, now_ms: u64, target: &HostId) {
+/// Makes a view record that a host missed a direct probe and all indirect ones.
+fn miss_all_probes(view: &mut Members, now_ms: u64, target: &HostId) {
     for effect in view.note_missed(now_ms, target) {
         assert!(matches!(effect, Effect::ProbeVia { .. }));
         view.note_missed_via(now_ms, target);
@@ -25,9 +25,9 @@
 }
 
 #[test]
-fn a_silent_host_is_suspected_and_then_gone() {
+fn an_unresponsive_host_is_suspected_and_then_declared_dead() {
     let mut a = view("a", 1);
-    miss(&mut a, 100, &host("b"));
+    miss_all_probes(&mut a, 100, &host("b"));
     assert_eq!(a.status(&host("b")), Some(Status::Suspect));
     a.tick(2_099);
     assert_eq!(a.status(&host("b")), Some(Status::Suspect));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn one_that_others_reach_is_not_suspected() {
+fn a_host_that_answers_an_indirect_probe_is_not_suspected() {
     let mut a = view("a", 1);
     let effects = a.note_missed(100, &host("b"));
     assert_eq!(effects.len(), 2);
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn a_host_refutes_what_is_said_of_it() {
+fn a_host_refutes_its_own_death() {
     let (mut a, mut b) = (view("a", 1), view("b", 5));
     a.apply_rumours(0, &b.take_rumours());
-    miss(&mut a, 100, &host("b"));
+    miss_all_probes(&mut a, 100, &host("b"));
     a.tick(5_000);
     assert_eq!(a.status(&host("b")), Some(Status::Gone));
     b.apply_rumours(5_000, &[a.rumour_for(&host("b")).unwrap()]);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn leaving_is_sticky_until_a_new_life() {
+fn departure_holds_until_a_new_incarnation() {
     let (mut a, mut b) = (view("a", 1), view("b", 5));
     b.leave();
     a.apply_rumours(0, &b.take_rumours());
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_platform_s_word_counts_when_it_is_first() {
+fn a_departure_notice_of_the_platform_applies_before_the_host_s_own() {
     let mut a = view("a", 1);
     a.apply_platform_leaving(&host("c"));
     assert_eq!(a.status(&host("c")), Some(Status::Leaving));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_host_that_goes_moves_only_its_own_pools() {
+fn the_departure_of_a_host_moves_only_its_own_pools() {
     let mut a = view("a", 1);
     let centre = DataCentre::new("elsewhere");
     let pools: Vec<_> = (0..200).map(|number| PoolId::new(format!("p{number}"))).collect();
