--- a/clayplank-registry/src/digest.rs
+++ b/clayplank-registry/src/digest.rs
@@ -1,4 +1,4 @@
-//! What is known of upstreams, in a few numbers: two who know the same need not tell each other.
+//! Digests of the registry, by which a host and a keeper find the records in which they differ.
 
 use std::hash::{Hash, Hasher};
 
@@ -9,16 +9,18 @@
 use crate::heartbeat::Standing;
 use crate::registry::Record;
 
-/// Parts of a digest. Of 3,000 upstreams, one that differs has 94 records cross.
+/// Number of buckets of a digest. With 3,000 upstreams, one record that differs causes the 94
+/// records of its bucket to be sent.
 const BUCKETS: usize = 32;
 
-/// A digest of records by bucket; the bucket of an upstream is drawn from its id. It holds what
-/// counts for a choice: not the number of the last heartbeat, and nothing of those that left.
+/// Hashes of records by bucket; the bucket of an upstream is derived from its id. A digest covers
+/// the state on which the choice of an upstream depends, without the sequence numbers of heartbeats
+/// and without departed upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest([u64; BUCKETS]);
 
 impl Digest {
-    /// The digest of records, in any order.
+    /// Computes the digest of records, which may come in any order.
     pub fn of<'a>(records: impl IntoIterator<Item = &'a Record>) -> Self {
         let mut digest = Self::default();
         let present =
@@ -29,24 +31,24 @@
         digest
     }
 
-    /// The buckets in which two digests differ.
+    /// Returns the buckets in which two digests differ.
     pub fn differing(&self, other: &Self) -> Buckets {
         let differs = |bucket: &usize| self.0[*bucket] != other.0[*bucket];
         Buckets((0..BUCKETS).filter(differs).fold(0, |all, bucket| all | 1 << bucket))
     }
 }
 
-/// Some buckets of a digest, one bit each.
+/// A set of buckets of a digest, as a bit mask.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Buckets(pub u32);
 
 impl Buckets {
-    /// Whether there is none.
+    /// Whether the set is empty.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    /// Whether an upstream falls into one of them.
+    /// Whether the bucket of this upstream is in the set.
     pub fn contains(self, id: &UpstreamId) -> bool {
         self.0 & (1 << bucket(id)) != 0
     }
--- a/clayplank-registry/src/heartbeat.rs
+++ b/clayplank-registry/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What an upstream tells of itself.
+//! Heartbeats of upstreams.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::ops::Range;
@@ -6,48 +6,51 @@
 use clayplank_types::{DataCentre, UpstreamId};
 use serde::{Deserialize, Serialize};
 
-/// Whether an upstream takes new work.
+/// Status of an upstream with regard to new requests, as it reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-    /// It does.
+    /// It accepts new requests.
     #[default]
     Ready,
-    /// It finishes what it has.
+    /// It completes its requests and accepts no new ones.
     Draining,
-    /// It left.
+    /// It departed.
     Gone,
 }
 
 /// One heartbeat of an upstream.
 ///
-/// An upstream keeps its name when it starts again, and holds and knows nothing of before then: its
-/// name and the time of its start together name one life. All that is known, placed or set aside
-/// is kept by that id.
+/// An upstream keeps its name when it restarts, and retains nothing from before the restart. Its
+/// name and start time together identify one incarnation, and all state about an upstream, such as
+/// its record and its placements, is keyed by the id of the incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// This life of the upstream; see [`Heartbeat::named`].
+    /// Id of this incarnation of the upstream; see [`Heartbeat::named`].
     #[serde(default)]
     pub id: UpstreamId,
-    /// What the upstream calls itself in all its lives.
+    /// Name of the upstream, the same for all its incarnations.
     #[serde(default)]
     pub name: String,
-    /// When this life began, in ms since 1970 by the upstream's clock; 0 if it does not say so.
+    /// Start time of this incarnation, in ms since 1970 by the upstream's clock; 0 if it is not
+    /// reported.
     #[serde(default)]
     pub born_ms: u64,
-    /// Rises with each heartbeat of a life, so that a late one is told apart.
+    /// Sequence number, which increases with each heartbeat of an incarnation, so that late
+    /// heartbeats are recognized.
     pub sequence: u64,
-    /// The service that it belongs to.
+    /// Name of the service to which the upstream belongs.
     pub service: String,
-    /// Where it listens.
+    /// Address on which the upstream listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre in which the upstream runs.
     pub data_centre: DataCentre,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that the upstream runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Status of the upstream.
     pub standing: Standing,
-    /// For how much longer it is cold, in ms: it bears only so many requests a second meanwhile.
+    /// Remaining duration of the cold period, in ms, during which the upstream accepts only a
+    /// limited number of requests per second.
     #[serde(default)]
     pub cold_left_ms: u64,
 }
@@ -69,36 +72,38 @@
     }
 }
 
-/// Between the name and the start of an upstream in the id of a life.
-const LIFE_MARK: char = '@';
+/// Separates the name from the start time in the id of an incarnation.
+const INCARNATION_SEPARATOR: char = '@';
 
-/// The sign after [`LIFE_MARK`], before which all lives of a name lie in the order of ids.
-const AFTER_LIFE_MARK: char = 'A';
+/// The character that follows [`INCARNATION_SEPARATOR`], which bounds the range of ids of a name's
+/// incarnations.
+const AFTER_INCARNATION_SEPARATOR: char = 'A';
 
 impl Heartbeat {
-    /// The same of an upstream with this name: the id of its life follows from the name and
-    /// `born_ms`.
+    /// Sets the name, and the id that follows from the name and `born_ms`.
     pub fn named(self, name: &str) -> Self {
         let id = match self.born_ms {
             0 => UpstreamId::new(name),
-            born_ms => UpstreamId::new(format!("{name}{LIFE_MARK}{born_ms}")),
+            born_ms => UpstreamId::new(format!("{name}{INCARNATION_SEPARATOR}{born_ms}")),
         };
         Self { id, name: name.to_owned(), ..self }
     }
 
-    /// Whether something can be reached at the address that it tells.
+    /// Whether the reported address can be connected to: its port is not 0 and its IP address is
+    /// specified.
     pub fn is_reachable(&self) -> bool {
         self.address.port() != 0 && !self.address.ip().is_unspecified()
     }
 
-    /// What tells that an upstream left which does not say in which life: the newest, as a rule.
+    /// A departure notice that does not identify the incarnation; as a rule the latest one departs.
     pub fn gone(name: &str) -> Self {
         Self { standing: Standing::Gone, ..Self::default() }.named(name)
     }
 }
 
-/// All ids that lives of this name may have, but for the one of a life without a time of start.
+/// Range of the ids of all incarnations of this name, except that of an incarnation without a start
+/// time.
 pub fn life_ids(name: &str) -> Range<UpstreamId> {
-    let bound = |mark| UpstreamId::new(format!("{name}{mark}"));
-    bound(LIFE_MARK)..bound(AFTER_LIFE_MARK)
+    let bound = |separator| UpstreamId::new(format!("{name}{separator}"));
+    bound(INCARNATION_SEPARATOR)..bound(AFTER_INCARNATION_SEPARATOR)
 }
--- a/clayplank-registry/src/lib.rs
+++ b/clayplank-registry/src/lib.rs
@@ -1,25 +1,25 @@
-//! Upstreams that register by heartbeat, drain and leave.
+//! Registry of upstreams, which register by heartbeat, drain and depart.
 //!
-//! The registry is soft state: each keeper holds what it heard and passes it
-//! on, and nothing of it is written down. Of two records of one life of an upstream, the
-//! one with the higher sequence number holds; leaving is final, so that a late
-//! heartbeat does not revive what left. A later life of the same name ends the former ones,
-//! and nothing that comes of those counts any more.
+//! The registry is soft state: each keeper stores the heartbeats it receives and forwards them;
+//! nothing is persisted by this package. Of two records of one incarnation of an upstream, the one
+//! with the higher sequence number applies. Departure is final, so that a late heartbeat does not
+//! restore an upstream that departed. A later incarnation of the same name ends the earlier ones,
+//! and messages of those are ignored from then on.
 //!
 //! ```
 //! use clayplank_registry::{Heartbeat, Registry, Standing};
 //!
 //! let mut registry = Registry::new(1);
-//! let beat = Heartbeat { sequence: 1, born_ms: 7, ..Heartbeat::default() }.named("engine-1");
-//! registry.apply(0, &beat);
+//! let heartbeat = Heartbeat { sequence: 1, born_ms: 7, ..Heartbeat::default() }.named("engine-1");
+//! registry.apply(0, &heartbeat);
 //! registry.leave(10, &Heartbeat::gone("engine-1"));
-//! registry.apply(20, &Heartbeat { sequence: 2, ..beat.clone() });
-//! assert_eq!(registry.record(&beat.id).unwrap().heartbeat.standing, Standing::Gone);
+//! registry.apply(20, &Heartbeat { sequence: 2, ..heartbeat.clone() });
+//! assert_eq!(registry.record(&heartbeat.id).unwrap().heartbeat.standing, Standing::Gone);
 //!
-//! // It starts again under its name.
-//! let again = Heartbeat { sequence: 1, born_ms: 9, ..beat }.named("engine-1");
-//! registry.apply(30, &again);
-//! assert_eq!(registry.record(&again.id).unwrap().heartbeat.standing, Standing::Ready);
+//! // The upstream restarts under the same name.
+//! let restarted = Heartbeat { sequence: 1, born_ms: 9, ..heartbeat }.named("engine-1");
+//! registry.apply(30, &restarted);
+//! assert_eq!(registry.record(&restarted.id).unwrap().heartbeat.standing, Standing::Ready);
 //! ```
 
 mod digest;
--- a/clayplank-registry/src/limits.rs
+++ b/clayplank-registry/src/limits.rs
@@ -1,7 +1,9 @@
-//! Limits that upstreams name in their answers: requests a second that they take from all hosts together.
+//! Rate limits that upstreams report in their answers: requests per second that they accept from
+//! all hosts together.
 //!
-//! Soft state, as the registry is. Of two observations of an upstream the later one holds. That it names no limit
-//! counts as of when the request was sent: its answer may have been made before a limit was named.
+//! Limits are soft state, as is the registry. Of two observations for an upstream the later one
+//! applies. An answer without a limit counts as observed when its request was sent, since it may
+//! have been produced before the upstream set a limit.
 
 use std::collections::BTreeMap;
 
@@ -10,34 +12,35 @@
 
 use crate::registry::Cursor;
 
-/// That an upstream named no limit is remembered for this long, in ms: far longer than an earlier
-/// observation may be late.
-const LIFTED_KEPT_MS: u64 = 120_000;
+/// Retention period of an answer without a limit, in ms; far longer than the delay of any earlier
+/// observation.
+const LIFTED_RETENTION_MS: u64 = 120_000;
 
-/// What an answer told of an upstream's limit, by the clock of this host.
+/// An observation of an upstream's rate limit, with a timestamp of the local clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservedLimit {
-    /// Which upstream.
+    /// The upstream that reported the limit.
     pub upstream: UpstreamId,
-    /// Requests a second that it takes from all hosts; `None` for any number.
+    /// Requests per second that it accepts from all hosts together; `None` if it has no limit.
     pub requests_per_s: Option<f64>,
-    /// When that was so.
+    /// Time of the observation, in ms.
     pub at_ms: u64,
 }
 
-/// The same on its way to another host, whose clock reads otherwise.
+/// An observation as it is sent to another host, with its age in place of a timestamp, since clocks
+/// of hosts differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgedLimit {
-    /// Which upstream.
+    /// The upstream that reported the limit.
     pub upstream: UpstreamId,
-    /// Requests a second that it takes from all hosts; `None` for any number.
+    /// Requests per second that it accepts from all hosts together; `None` if it has no limit.
     pub requests_per_s: Option<f64>,
-    /// How long ago that was so, in ms.
+    /// Age of the observation when it is sent, in ms.
     pub age_ms: u64,
 }
 
 impl ObservedLimit {
-    /// For another host.
+    /// Converts the timestamp to an age, to send the observation to another host.
     pub fn to_aged(&self, now_ms: u64) -> AgedLimit {
         AgedLimit {
             upstream: self.upstream.clone(),
@@ -48,7 +51,7 @@
 }
 
 impl AgedLimit {
-    /// By the clock of this host.
+    /// Converts the age to a timestamp of the local clock.
     pub fn into_observed(self, now_ms: u64) -> ObservedLimit {
         ObservedLimit {
             upstream: self.upstream,
@@ -58,78 +61,81 @@
     }
 }
 
-/// What became of an observation.
+/// Effect of applying an observation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Noted {
-    /// It changed the limit.
+    /// The limit changed.
     Changed,
-    /// It told what is known.
+    /// The limit stays as it was.
     Unchanged,
-    /// What is known is later, and differs; whoever told this should learn it.
+    /// A later observation with another limit is known; the sender of the outdated one should
+    /// receive it.
     Outdated(ObservedLimit),
 }
 
-/// What changed after a cursor.
+/// Changes of limits after a cursor.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitChanges {
-    /// Where the receiver stands with these.
+    /// Cursor of the receiver after it has applied these changes.
     pub cursor: Cursor,
-    /// Limits that are new or changed.
+    /// New and changed limits.
     pub limits: Vec<AgedLimit>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Entry {
     requests_per_s: Option<f64>,
     at_ms: u64,
     change: u64,
 }
 
-impl Held {
+impl Entry {
     fn to_observed(self, upstream: &UpstreamId) -> ObservedLimit {
         let Self { requests_per_s, at_ms, .. } = self;
         ObservedLimit { upstream: upstream.clone(), requests_per_s, at_ms }
     }
 }
 
-/// Limits by upstream.
+/// The latest known rate limit of each upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
     cursor: Cursor,
-    held: BTreeMap<UpstreamId, Held>,
+    entries: BTreeMap<UpstreamId, Entry>,
 }
 
 impl Limits {
-    /// No limits; `life` tells these from others'.
-    pub fn new(life: u64) -> Self {
-        Self { cursor: Cursor { life, change: 0 }, held: BTreeMap::new() }
+    /// Creates an empty set of limits; `incarnation` distinguishes its cursors from those of other
+    /// hosts and of earlier incarnations.
+    pub fn new(incarnation: u64) -> Self {
+        Self { cursor: Cursor { life: incarnation, change: 0 }, entries: BTreeMap::new() }
     }
 
-    /// Takes in what another host observed. That there is no limit is remembered also where none is known:
-    /// others may still know one.
+    /// Applies an observation of another host. Unlike for [`Limits::note`], that an upstream has no
+    /// limit is stored even if no limit is known here, since other hosts may still know one.
     pub fn learn(&mut self, observed: &ObservedLimit) -> Noted {
         let ObservedLimit { upstream, requests_per_s, at_ms } = observed;
-        if requests_per_s.is_none() && !self.held.contains_key(upstream) {
+        if requests_per_s.is_none() && !self.entries.contains_key(upstream) {
             self.put(upstream, None, *at_ms);
             return Noted::Unchanged;
         }
         self.note(observed)
     }
 
-    /// Takes in an observation of this host.
+    /// Applies an observation of the local host.
     pub fn note(&mut self, observed: &ObservedLimit) -> Noted {
         let ObservedLimit { upstream, requests_per_s, at_ms } = observed;
         let (requests_per_s, at_ms) = (*requests_per_s, *at_ms);
-        let known = self.held.get(upstream).copied();
+        let known = self.entries.get(upstream).copied();
         match known {
             None if requests_per_s.is_none() => return Noted::Unchanged,
             Some(known) if known.requests_per_s == requests_per_s => {
-                let held = Held { at_ms: known.at_ms.max(at_ms), ..known };
-                self.held.insert(upstream.clone(), held);
+                let entry = Entry { at_ms: known.at_ms.max(at_ms), ..known };
+                self.entries.insert(upstream.clone(), entry);
                 return Noted::Unchanged;
             }
             Some(known) if known.at_ms > at_ms => {
-                // Followers may have been told what this host was.
+                // Followers may have received the same outdated limit: a new change number sends
+                // them the current one again.
                 self.put(upstream, known.requests_per_s, known.at_ms);
                 return Noted::Outdated(known.to_observed(upstream));
             }
@@ -141,45 +147,47 @@
 
     fn put(&mut self, upstream: &UpstreamId, requests_per_s: Option<f64>, at_ms: u64) {
         self.cursor.change += 1;
-        let held = Held { requests_per_s, at_ms, change: self.cursor.change };
-        self.held.insert(upstream.clone(), held);
+        let entry = Entry { requests_per_s, at_ms, change: self.cursor.change };
+        self.entries.insert(upstream.clone(), entry);
     }
 
-    /// Requests a second that an upstream takes, if it named a limit.
+    /// Requests per second that an upstream accepts, if it has a limit.
     pub fn limit_per_s(&self, upstream: &UpstreamId) -> Option<f64> {
-        self.held.get(upstream)?.requests_per_s
+        self.entries.get(upstream)?.requests_per_s
     }
 
-    /// The limit of an upstream as it was observed, if it named one.
+    /// The latest observation for an upstream, if it has a limit.
     pub fn observed_of(&self, upstream: &UpstreamId) -> Option<ObservedLimit> {
-        let held = self.held.get(upstream).filter(|held| held.requests_per_s.is_some())?;
-        Some(held.to_observed(upstream))
+        let entry = self.entries.get(upstream).filter(|entry| entry.requests_per_s.is_some())?;
+        Some(entry.to_observed(upstream))
     }
 
-    /// The upstreams that name a limit, with it.
+    /// The upstreams that have a limit, with that limit in requests per second.
     pub fn limited(&self) -> impl Iterator<Item = (&UpstreamId, f64)> {
-        self.held.iter().filter_map(|(id, held)| Some((id, held.requests_per_s?)))
+        self.entries.iter().filter_map(|(id, entry)| Some((id, entry.requests_per_s?)))
     }
 
-    /// The limits that are in force, as they were observed.
+    /// The latest observations for all upstreams that have a limit.
     pub fn observed(&self) -> impl Iterator<Item = ObservedLimit> {
-        let in_force = self.held.iter().filter(|(_, held)| held.requests_per_s.is_some());
-        in_force.map(|(id, held)| held.to_observed(id))
+        let in_force = self.entries.iter().filter(|(_, entry)| entry.requests_per_s.is_some());
+        in_force.map(|(id, entry)| entry.to_observed(id))
     }
 
-    /// What a follower lacks that knows these limits up to a cursor.
+    /// The changes after the cursor of a follower; all limits if the cursor belongs to another
+    /// incarnation.
     pub fn changes_after(&self, now_ms: u64, cursor: Cursor) -> LimitChanges {
         let known = if cursor.life == self.cursor.life { cursor.change } else { 0 };
-        let changed = self.held.iter().filter(|(_, held)| held.change > known);
-        let limits = changed.map(|(id, held)| held.to_observed(id).to_aged(now_ms));
+        let changed = self.entries.iter().filter(|(_, entry)| entry.change > known);
+        let limits = changed.map(|(id, entry)| entry.to_observed(id).to_aged(now_ms));
         LimitChanges { cursor: self.cursor, limits: limits.collect() }
     }
 
-    /// Forgets upstreams that are not known any more, and limits that were lifted long ago.
+    /// Drops upstreams that are no longer known, and observations without a limit after their
+    /// retention period.
     pub fn forget(&mut self, now_ms: u64, is_known: impl Fn(&UpstreamId) -> bool) {
-        self.held.retain(|id, held| {
-            let is_in_force = held.requests_per_s.is_some();
-            is_known(id) && (is_in_force || now_ms < held.at_ms + LIFTED_KEPT_MS)
+        self.entries.retain(|id, entry| {
+            let is_in_force = entry.requests_per_s.is_some();
+            is_known(id) && (is_in_force || now_ms < entry.at_ms + LIFTED_RETENTION_MS)
         });
     }
 }
--- a/clayplank-registry/tests/limits.rs
+++ b/clayplank-registry/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Which of several observations of an upstream's limit holds.
+//! Order of several observations of an upstream's rate limit.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -22,12 +22,12 @@
 #[case::lifted_between_two_answers_that_name_it(&[(Some(1.0), 10), (Some(1.0), 30), (None, 20)], Some(1.0))]
 #[case::named_again(&[(Some(1.0), 10), (None, 20), (Some(1.0), 30)], Some(1.0))]
 #[case::never_named(&[(None, 10)], None)]
-fn the_latest_observation_holds(
-    #[case] told: &[(Option<f64>, u64)],
+fn the_latest_observation_applies(
+    #[case] received: &[(Option<f64>, u64)],
     #[case] limit_per_s: Option<f64>,
 ) {
     let mut limits = Limits::new(1);
-    for (requests_per_s, at_ms) in told {
+    for (requests_per_s, at_ms) in received {
         limits.note(&observed(*requests_per_s, *at_ms));
     }
     assert_eq!(limits.limit_per_s(&id()), limit_per_s);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_follower_is_told_what_changed_after_its_cursor() {
+fn a_follower_receives_the_changes_after_its_cursor() {
     let mut limits = Limits::new(1);
     assert_eq!(limits.note(&observed(Some(1.0), 10)), Noted::Changed);
     let first = limits.changes_after(15, Cursor::default());
@@ -54,9 +54,9 @@
     );
 }
 
-/// Whoever told what is outdated may have told others too.
+/// The sender of an outdated observation may have sent it to other hosts too.
 #[test]
-fn what_is_outdated_is_answered_by_what_holds_and_told_again() {
+fn an_outdated_observation_returns_the_current_limit_and_sends_it_again() {
     let mut limits = Limits::new(1);
     limits.note(&observed(Some(1.0), 10));
     limits.note(&observed(None, 20));
@@ -67,18 +67,18 @@
 }
 
 #[test]
-fn two_hosts_with_other_clocks_agree() {
-    let (mut here, mut there) = (Limits::new(1), Limits::new(2));
-    here.note(&observed(Some(3.0), 1_000));
-    let told = here.changes_after(1_040, Cursor::default()).limits.remove(0);
-    assert_eq!(there.note(&told.into_observed(90_000)), Noted::Changed);
-    // An answer there that came before says nothing any more.
-    assert!(matches!(there.note(&observed(None, 89_950)), Noted::Outdated(_)));
-    assert_eq!(there.note(&observed(None, 89_970)), Noted::Changed);
+fn hosts_with_different_clocks_agree() {
+    let (mut first_host, mut second_host) = (Limits::new(1), Limits::new(2));
+    first_host.note(&observed(Some(3.0), 1_000));
+    let received = first_host.changes_after(1_040, Cursor::default()).limits.remove(0);
+    assert_eq!(second_host.note(&received.into_observed(90_000)), Noted::Changed);
+    // An answer that the second host received before that observation is outdated.
+    assert!(matches!(second_host.note(&observed(None, 89_950)), Noted::Outdated(_)));
+    assert_eq!(second_host.note(&observed(None, 89_970)), Noted::Changed);
 }
 
 #[test]
-fn limits_of_upstreams_that_are_gone_are_forgotten() {
+fn limits_of_removed_upstreams_are_dropped() {
     let mut limits = Limits::new(1);
     limits.note(&observed(Some(1.0), 10));
     limits.forget(1_000_000, |_| true);
--- a/clayplank-registry/tests/limits_agree.rs
+++ b/clayplank-registry/tests/limits_agree.rs
@@ -1,4 +1,4 @@
-//! Hosts and keepers that tell each other of limits agree in the end, whatever was lost or late.
+//! Hosts and keepers that exchange rate limits converge, regardless of lost and late messages.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -9,23 +9,23 @@
 const HOSTS: usize = 4;
 const KEEPERS: usize = 3;
 
-/// From one step to the next, in ms.
+/// Time between two steps, in ms.
 const STEP_MS: u64 = 20;
 
-/// What happens in a step.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The upstream names another limit, or none.
+    /// The upstream changes its limit; `None` removes it.
     Change(Option<u8>),
-    /// A host gets the answer to a request that it sent so many steps ago.
+    /// A host receives the answer to a request that it sent this many steps ago.
     Answer { host: usize, sent_ago: u64 },
-    /// A host tells the keeper that places what it has to tell; the call may be lost.
+    /// A host reports its pending observation to the leader; the call may be lost.
     Report { host: usize, is_lost: bool },
-    /// The keeper that places tells another one all that it knows.
+    /// The leader sends all limits to another keeper.
     Spread { keeper: usize },
-    /// A host asks a keeper what is new.
+    /// A host requests the changes from a keeper.
     Follow { host: usize, keeper: usize },
-    /// Another keeper places from now on, or one that knows nothing in its stead.
+    /// A keeper becomes the leader; if `is_new`, it is a new incarnation without any state.
     Lead { keeper: usize, is_new: bool },
 }
 
@@ -45,40 +45,43 @@
     UpstreamId::new("u")
 }
 
-/// One host: what it knows, what it has to tell, and up to where it knows each keeper.
+/// A host with its limits, its observation to report, and its cursor for each keeper.
 struct Host {
     limits: Limits,
-    waiting: Option<ObservedLimit>,
+    pending_report: Option<ObservedLimit>,
     cursors: [Cursor; KEEPERS],
 }
 
-struct World {
+struct Simulation {
     now_ms: u64,
-    lives: u64,
-    named: Option<f64>,
+    last_incarnation: u64,
+    named_limit: Option<f64>,
     hosts: Vec<Host>,
     keepers: Vec<Limits>,
     leader: usize,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let host =
-            |life| Host { limits: Limits::new(life), waiting: None, cursors: Default::default() };
+        let host = |incarnation| Host {
+            limits: Limits::new(incarnation),
+            pending_report: None,
+            cursors: Default::default(),
+        };
         Self {
             now_ms: 1_000,
-            lives: 100,
-            named: None,
+            last_incarnation: 100,
+            named_limit: None,
             hosts: (0..HOSTS as u64).map(host).collect(),
             keepers: (0..KEEPERS as u64).map(|keeper| Limits::new(50 + keeper)).collect(),
             leader: 0,
         }
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         self.now_ms += STEP_MS;
         match *step {
-            Step::Change(named) => self.named = named.map(f64::from),
+            Step::Change(named_limit) => self.named_limit = named_limit.map(f64::from),
             Step::Answer { host, sent_ago } => self.answer(host, sent_ago * STEP_MS),
             Step::Report { host, is_lost } => self.report(host, is_lost),
             Step::Spread { keeper } => self.spread(keeper),
@@ -86,30 +89,31 @@
             Step::Lead { keeper, is_new } => {
                 self.leader = keeper;
                 if is_new {
-                    self.lives += 1;
-                    self.keepers[keeper] = Limits::new(self.lives);
+                    self.last_incarnation += 1;
+                    self.keepers[keeper] = Limits::new(self.last_incarnation);
                 }
             }
         }
     }
 
     fn answer(&mut self, host: usize, sent_ago_ms: u64) {
-        let at_ms = if self.named.is_some() { self.now_ms } else { self.now_ms - sent_ago_ms };
-        let observed = ObservedLimit { upstream: id(), requests_per_s: self.named, at_ms };
+        let at_ms =
+            if self.named_limit.is_some() { self.now_ms } else { self.now_ms - sent_ago_ms };
+        let observed = ObservedLimit { upstream: id(), requests_per_s: self.named_limit, at_ms };
         let host = &mut self.hosts[host];
-        let is_told = match host.limits.note(&observed) {
+        let is_reported = match host.limits.note(&observed) {
             Noted::Changed => true,
             Noted::Unchanged => observed.requests_per_s.is_some(),
             Noted::Outdated(_) => false,
         };
-        if is_told {
-            host.waiting = Some(observed);
+        if is_reported {
+            host.pending_report = Some(observed);
         }
     }
 
-    /// A host tells again what no keeper took.
+    /// The host reports its pending observation; it stays pending if the call is lost.
     fn report(&mut self, host: usize, is_lost: bool) {
-        if !is_lost && let Some(observed) = self.hosts[host].waiting.take() {
+        if !is_lost && let Some(observed) = self.hosts[host].pending_report.take() {
             self.keepers[self.leader].learn(&observed);
         }
     }
@@ -125,14 +129,14 @@
         let host = &mut self.hosts[host];
         let changes = self.keepers[keeper].changes_after(self.now_ms, host.cursors[keeper]);
         for limit in changes.limits {
-            if let Noted::Outdated(own) = host.limits.learn(&limit.into_observed(self.now_ms)) {
-                host.waiting = Some(own);
+            if let Noted::Outdated(current) = host.limits.learn(&limit.into_observed(self.now_ms)) {
+                host.pending_report = Some(current);
             }
         }
         host.cursors[keeper] = changes.cursor;
     }
 
-    /// Requests go on, and nothing is lost any more.
+    /// Delivers all further messages without loss, while requests continue.
     fn settle(&mut self) {
         for _ in 0..3 {
             for host in 0..HOSTS {
@@ -142,7 +146,7 @@
             }
             (0..KEEPERS).for_each(|keeper| self.spread(keeper));
             for (host, keeper) in
-                (0..HOSTS).flat_map(|host| (0..KEEPERS).map(move |one| (host, one)))
+                (0..HOSTS).flat_map(|host| (0..KEEPERS).map(move |keeper| (host, keeper)))
             {
                 self.follow(host, keeper);
                 self.report(host, false);
@@ -156,12 +160,12 @@
 
     #[test]
     fn all_know_what_the_upstream_names_once_nothing_is_lost(steps in steps()) {
-        let mut world = World::new();
-        steps.iter().for_each(|step| world.take(step));
-        world.settle();
-        let known = world.hosts.iter().map(|host| &host.limits).chain(&world.keepers);
+        let mut simulation = Simulation::new();
+        steps.iter().for_each(|step| simulation.apply(step));
+        simulation.settle();
+        let known = simulation.hosts.iter().map(|host| &host.limits).chain(&simulation.keepers);
         for limits in known {
-            prop_assert_eq!(limits.limit_per_s(&id()), world.named);
+            prop_assert_eq!(limits.limit_per_s(&id()), simulation.named_limit);
         }
     }
 }
