--- a/clayplank-clock/src/instant.rs
+++ b/clayplank-clock/src/instant.rs
@@ -1,4 +1,4 @@
-//! A reading of elapsed time.
+//! Timestamps of elapsed time that include suspensions of the machine.
 
 use std::ops::{Add, Sub};
 use std::sync::OnceLock;
@@ -6,27 +6,28 @@
 
 use crate::suspension;
 
-/// When the process first asked, by the runtime's clock.
+/// First reading of the runtime's clock by this process.
 static START: OnceLock<tokio::time::Instant> = OnceLock::new();
 
-/// A reading of elapsed time, which counts while the machine is suspended.
+/// A timestamp of elapsed time, which includes the time for which the machine was suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(Duration);
 
 impl Instant {
-    /// The time now.
+    /// The current time.
     pub fn now() -> Self {
-        // The runtime's clock first: a suspension between the two counts from the next time on.
+        // The runtime's clock is read first, so that a suspension between the two readings is
+        // included.
         let awake = START.get_or_init(tokio::time::Instant::now).elapsed();
-        Self(awake + suspension::span())
+        Self(awake + suspension::total_suspended())
     }
 
-    /// The time that has passed since.
+    /// The time since this timestamp.
     pub fn elapsed(self) -> Duration {
         Self::now().saturating_duration_since(self)
     }
 
-    /// The time from an earlier reading to this one; none if it was later.
+    /// The time from an earlier timestamp to this one; zero if `earlier` is the later one.
     pub fn saturating_duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -35,8 +36,8 @@
 impl Add<Duration> for Instant {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        Self(self.0.saturating_add(span))
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0.saturating_add(duration))
     }
 }
 
@@ -52,14 +53,14 @@
 impl Sub<Duration> for Instant {
     type Output = Self;
 
-    /// Not before the first reading of the process.
-    fn sub(self, span: Duration) -> Self {
-        Self(self.0.saturating_sub(span))
+    /// Saturates at the first reading of the clock by this process.
+    fn sub(self, duration: Duration) -> Self {
+        Self(self.0.saturating_sub(duration))
     }
 }
 
-/// Milliseconds since the process first asked; they count while the machine is suspended, and
-/// never go back.
+/// Milliseconds since the first reading of the clock by this process. They include suspensions of
+/// the machine and never decrease.
 pub fn now_ms() -> u64 {
     Instant::now().0.as_millis() as u64
 }
--- a/clayplank-clock/src/lib.rs
+++ b/clayplank-clock/src/lib.rs
@@ -1,18 +1,19 @@
-//! Elapsed time that counts while the machine is suspended, and waits by it.
+//! Elapsed time that includes suspensions of the machine, and waits based on it.
 //!
-//! The runtime's clock is steady: it stands still while the machine is suspended, and others go on
-//! meanwhile. A lease that is measured by it holds for too long after the machine wakes, and so does
-//! all that compares two of its readings. [`Instant`] adds what the system's clocks tell of the
-//! time in between; it never goes back. Tests that pause and advance the runtime's clock move it too.
+//! The runtime's clock is monotonic, but it stops while the machine is suspended, whereas other
+//! machines continue. A lease measured by it is held for too long after the machine resumes, and
+//! any other comparison of two of its readings is wrong in the same way. [`Instant`] adds the time
+//! of suspensions, which it derives from two system clocks; it never decreases. Tests that pause
+//! and advance the runtime's clock affect it too.
 //!
 //! ```
 //! use std::time::Duration;
 //!
 //! # #[tokio::main(flavor = "current_thread")]
 //! # async fn main() {
-//! let until = clayplank_clock::Instant::now() + Duration::from_millis(5);
+//! let deadline = clayplank_clock::Instant::now() + Duration::from_millis(5);
 //! let never = std::future::pending::<()>();
-//! assert!(clayplank_clock::timeout_at(until, never).await.is_err());
+//! assert!(clayplank_clock::timeout_at(deadline, never).await.is_err());
 //! # }
 //! ```
 
--- a/clayplank-clock/src/suspension.rs
+++ b/clayplank-clock/src/suspension.rs
@@ -1,4 +1,4 @@
-//! How long the machine was suspended since the process first asked.
+//! Detection of suspensions of the machine.
 
 use std::sync::LazyLock;
 use std::time::Duration;
@@ -6,59 +6,62 @@
 use rustix::time::{ClockId, Timespec, clock_gettime};
 use tokio::sync::watch;
 
-/// Less than this is no suspension: the two clocks are read one after the other, and the least time
-/// for which machines are suspended is some hundred milliseconds.
-const LEAST: Duration = Duration::from_millis(20);
+/// Minimum duration that counts as a suspension. The two clocks are read one after the other, so
+/// they differ a little; machines are suspended for at least some hundred milliseconds.
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
-/// What is known of times in which the machine was suspended.
+/// Suspensions of the machine that were detected since the first reading of the clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Suspensions {
-    /// How often it was found to have been suspended.
+    /// Number of detected suspensions.
     pub count: u64,
-    /// For how long, in all.
+    /// Total duration of the detected suspensions.
     pub span: Duration,
 }
 
-/// By how much the clock that counts suspensions was ahead when the process first asked.
-static BASE: LazyLock<Duration> = LazyLock::new(read_ahead);
+/// Offset between the clock that counts suspensions and the one that does not, at the first
+/// reading.
+static INITIAL_OFFSET: LazyLock<Duration> = LazyLock::new(read_offset);
 
-static FOUND: LazyLock<watch::Sender<Suspensions>> = LazyLock::new(watch::Sender::default);
+static DETECTED: LazyLock<watch::Sender<Suspensions>> = LazyLock::new(watch::Sender::default);
 
-/// Suspensions as they are found, which is when anybody asks for the time.
+/// Subscribes to detected suspensions. They are detected when any task of the process reads the
+/// clock.
 pub fn subscribe() -> watch::Receiver<Suspensions> {
-    FOUND.subscribe()
+    DETECTED.subscribe()
 }
 
-/// How long the machine was suspended since the process first asked.
-pub(crate) fn span() -> Duration {
-    let ahead = read_ahead().saturating_sub(*BASE);
-    let known = FOUND.borrow().span;
-    let real = if ahead < known + LEAST { known } else { note(ahead) };
-    real + of_thread()
+/// Total time for which the machine was suspended since the first reading of the clock.
+pub(crate) fn total_suspended() -> Duration {
+    let offset = read_offset().saturating_sub(*INITIAL_OFFSET);
+    let known = DETECTED.borrow().span;
+    let detected = if offset < known + MIN_SUSPENSION { known } else { record(offset) };
+    detected + simulated_span()
 }
 
-/// Takes in a longer span than was known; returns the longest.
-fn note(ahead: Duration) -> Duration {
-    let mut longest = ahead;
-    FOUND.send_if_modified(|found| {
-        let is_news = ahead >= found.span + LEAST;
-        if is_news {
-            found.count += 1;
-            found.span = ahead;
+/// Records a longer total duration of suspensions; returns the longest one recorded so far,
+/// possibly by another thread.
+fn record(offset: Duration) -> Duration {
+    let mut longest = offset;
+    DETECTED.send_if_modified(|suspensions| {
+        let is_longer = offset >= suspensions.span + MIN_SUSPENSION;
+        if is_longer {
+            suspensions.count += 1;
+            suspensions.span = offset;
         }
-        longest = found.span;
-        is_news
+        longest = suspensions.span;
+        is_longer
     });
     longest
 }
 
-/// By how much the clock that counts suspensions is ahead of the one that does not, or a little
-/// less: the second one is read last, so that a process that is held up in between, for however
-/// long, takes that for no suspension.
-fn read_ahead() -> Duration {
+/// Offset between the clock that counts suspensions and the one that does not, or a little less.
+/// The clock without suspensions is read last, so that a delay of any length between the two
+/// readings does not count as a suspension.
+fn read_offset() -> Duration {
     let with_suspensions = to_duration(clock_gettime(ClockId::Boottime));
-    let without = to_duration(clock_gettime(ClockId::Monotonic));
-    with_suspensions.saturating_sub(without)
+    let without_suspensions = to_duration(clock_gettime(ClockId::Monotonic));
+    with_suspensions.saturating_sub(without_suspensions)
 }
 
 fn to_duration(time: Timespec) -> Duration {
@@ -68,35 +71,35 @@
 }
 
 #[cfg(not(feature = "test-util"))]
-fn of_thread() -> Duration {
+fn simulated_span() -> Duration {
     Duration::ZERO
 }
 
 #[cfg(feature = "test-util")]
-use of_tests::of_thread;
+use simulation::simulated_span;
 #[cfg(feature = "test-util")]
-pub use of_tests::suspend;
+pub use simulation::suspend;
 
-/// Suspensions that a test brings about, for its own thread alone.
+/// Suspensions that a test simulates for its own thread.
 #[cfg(feature = "test-util")]
-mod of_tests {
+mod simulation {
     use std::cell::Cell;
     use std::time::Duration;
 
-    use super::FOUND;
+    use super::DETECTED;
 
     thread_local! {
-        static SPAN: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+        static SIMULATED_SPAN: Cell<Duration> = const { Cell::new(Duration::ZERO) };
     }
 
-    /// From now on this thread finds that the machine was suspended for this much longer.
+    /// Simulates for this thread that the machine was suspended for `span`.
     pub fn suspend(span: Duration) {
-        SPAN.set(SPAN.get() + span);
-        // Whoever waits looks at the time again; on other threads it has not changed.
-        FOUND.send_modify(|found| found.count += 1);
+        SIMULATED_SPAN.set(SIMULATED_SPAN.get() + span);
+        // Wakes all waits, which read the clock again; for other threads it has not changed.
+        DETECTED.send_modify(|suspensions| suspensions.count += 1);
     }
 
-    pub(super) fn of_thread() -> Duration {
-        SPAN.get()
+    pub(super) fn simulated_span() -> Duration {
+        SIMULATED_SPAN.get()
     }
 }
--- a/clayplank-clock/src/wait.rs
+++ b/clayplank-clock/src/wait.rs
@@ -1,7 +1,7 @@
-//! Waits that end in time also where the machine was suspended meanwhile.
+//! Waits that end at their deadline even if the machine was suspended meanwhile.
 //!
-//! A timer of the runtime lacks the time of a suspension: it fires that much too late. These look at
-//! the time again as soon as a suspension is found.
+//! A timer of the runtime does not count the time of a suspension, and fires late by that time. The
+//! waits of this module read the clock again as soon as a suspension is detected.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -12,44 +12,45 @@
 use crate::instant::Instant;
 use crate::suspension::subscribe;
 
-/// The time was over first.
+/// Error of a wait whose deadline passed before the future completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
-/// Waits until a time.
-pub async fn sleep_until(until: Instant) {
+/// Waits until a deadline.
+pub async fn sleep_until(deadline: Instant) {
     let mut suspensions = subscribe();
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep(left) => {}
+            () = tokio::time::sleep(remaining) => {}
             // The sender is never dropped.
             _ = suspensions.changed() => {}
         }
     }
 }
 
-/// Waits for a span.
-pub async fn sleep(span: Duration) {
-    sleep_until(Instant::now() + span).await;
+/// Waits for a duration.
+pub async fn sleep(duration: Duration) {
+    sleep_until(Instant::now() + duration).await;
 }
 
 pin_project! {
-    /// A future with a time limit. An async function would hold the future twice, as its argument and
-    /// where it is polled; with limits inside limits, as on the way of a request, hosts took 10% more
-    /// memory (two quiet days of 14 hosts: 3.31 and 3.32 GB x s, and 3.05 and 3.06 with this).
-    struct Limited<F, D> {
+    /// A future with a time-out. An async function would store the future twice, as its argument
+    /// and where it is polled. With nested time-outs, as in the processing of a request, this
+    /// increased the memory use of hosts by 10%: 3.31 and 3.32 GB x s for 14 hosts under low load,
+    /// against 3.05 and 3.06 with this type.
+    struct TimeoutFuture<F, D> {
         #[pin]
         future: F,
         #[pin]
-        delay: D,
+        timer: D,
     }
 }
 
-impl<F: Future, D: Future<Output = ()>> Future for Limited<F, D> {
+impl<F: Future, D: Future<Output = ()>> Future for TimeoutFuture<F, D> {
     type Output = Result<F::Output, Elapsed>;
 
     fn poll(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Self::Output> {
@@ -57,28 +58,28 @@
         if let Poll::Ready(output) = this.future.poll(context) {
             return Poll::Ready(Ok(output));
         }
-        this.delay.poll(context).map(|()| Err(Elapsed))
+        this.timer.poll(context).map(|()| Err(Elapsed))
     }
 }
 
-/// Waits for a future, for a span at most.
+/// Waits for a future, for `duration` at most.
 ///
 /// # Errors
-/// The time was over first.
+/// Returns [`Elapsed`] if the future did not complete within `duration`.
 pub fn timeout<F: Future>(
-    span: Duration,
+    duration: Duration,
     future: F,
 ) -> impl Future<Output = Result<F::Output, Elapsed>> {
-    timeout_at(Instant::now() + span, future)
+    timeout_at(Instant::now() + duration, future)
 }
 
-/// Waits for a future, up to a time.
+/// Waits for a future until `deadline` at most.
 ///
 /// # Errors
-/// The time was over first.
+/// Returns [`Elapsed`] if the future did not complete before `deadline`.
 pub fn timeout_at<F: Future>(
-    until: Instant,
+    deadline: Instant,
     future: F,
 ) -> impl Future<Output = Result<F::Output, Elapsed>> {
-    Limited { future, delay: sleep_until(until) }
+    TimeoutFuture { future, timer: sleep_until(deadline) }
 }
--- a/clayplank-types/benches/fingerprint.rs
+++ b/clayplank-types/benches/fingerprint.rs
@@ -1,16 +1,16 @@
-//! Time of a request's fingerprint by the size of its body.
+//! Time to compute the fingerprint of a request, by the size of its body.
 
 #![allow(missing_docs, reason = "criterion's macros write undocumented functions")]
 
 use clayplank_types::{RequestFingerprint, RequestIdentity};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
-/// A small call, a prompt of 5,000 tokens, and one of a million, in bytes.
-const BODIES: [usize; 3] = [1_000, 20_000, 4_000_000];
+/// Sizes of a small request, a prompt of 5,000 tokens and a prompt of a million tokens, in bytes.
+const BODY_SIZES_BYTES: [usize; 3] = [1_000, 20_000, 4_000_000];
 
 fn fingerprints(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("fingerprint");
-    for size in BODIES {
+    for size in BODY_SIZES_BYTES {
         let body = vec![7; size];
         let identity = RequestIdentity {
             caller: "clubs",
--- a/clayplank-types/src/band.rs
+++ b/clayplank-types/src/band.rs
@@ -1,12 +1,12 @@
-//! Length bands: prompts grouped by their number of tokens.
+//! Length bands, which group prompts by their number of tokens.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Upper bounds of the bands, in tokens, rising.
+/// Upper bounds of the length bands, in tokens, in increasing order.
 ///
-/// A prompt belongs to the first band whose bound it does not pass; longer
-/// prompts belong to one more band without a bound.
+/// A prompt belongs to the first band whose bound it does not exceed. Longer prompts belong to one
+/// more band, which has no bound.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(try_from = "Vec<u64>", into = "Vec<u64>")]
 #[schemars(with = "Vec<u64>")]
@@ -14,19 +14,19 @@
     bounds_tokens: Vec<u64>,
 }
 
-/// Bounds that do not rise.
+/// Error for bounds that do not increase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the bounds of length bands must rise, from 1 on; bound {position} does not")]
 pub struct UnorderedBands {
-    /// Which bound is wrong, counted from 0.
+    /// Index of the first invalid bound, counted from 0.
     pub position: usize,
 }
 
 impl LengthBands {
-    /// Checks that the bounds rise.
+    /// Creates length bands after a check that the bounds increase.
     ///
     /// # Errors
-    /// Names the first bound that is not above the one before it.
+    /// Returns the index of the first bound that is not above the previous one.
     pub fn new(bounds_tokens: Vec<u64>) -> Result<Self, UnorderedBands> {
         let mut previous = 0;
         for (position, &bound) in bounds_tokens.iter().enumerate() {
@@ -38,17 +38,18 @@
         Ok(Self { bounds_tokens })
     }
 
-    /// How many bands there are.
+    /// Number of bands, including the one without a bound.
     pub fn count(&self) -> usize {
         self.bounds_tokens.len() + 1
     }
 
-    /// The band of a prompt.
+    /// Index of the band to which a prompt of this length belongs.
     pub fn index_of(&self, prompt_tokens: u64) -> usize {
         self.bounds_tokens.partition_point(|&bound| bound < prompt_tokens)
     }
 
-    /// A short name: the bound in thousands, or `more` for the last band.
+    /// Short name of a band: its bound in thousands, as in `8k`, or in tokens if it is not a
+    /// multiple of 1,000; `more` for the last band.
     pub fn name(&self, index: usize) -> String {
         match self.bounds_tokens.get(index) {
             Some(bound) if bound % 1_000 == 0 => format!("{}k", bound / 1_000),
--- a/clayplank-types/src/fingerprint.rs
+++ b/clayplank-types/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Tells whether two requests are the same one, sent again.
+//! Fingerprints of requests, by which repeated requests are recognized.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,47 +6,47 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Hex digits of a fingerprint as text.
+/// Number of hex digits of a fingerprint in text form.
 const HEX_DIGITS: usize = 32;
 
-/// The parts of a request that stay as they are when its caller sends it again. The id of an
-/// attempt is none of them.
+/// The parts of a request that stay the same when its caller sends it again. The attempt id is not
+/// among them, since each attempt has another one.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-    /// Who sends it: a client account, or what else tells callers apart.
+    /// The caller: a client account, or another property that distinguishes callers.
     pub caller: &'a str,
-    /// The host that it names.
+    /// Host name to which the request is addressed.
     pub host: &'a str,
-    /// Its path, with the query.
+    /// Path with the query string.
     pub path: &'a str,
-    /// Its body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
-/// A digest of a [`RequestIdentity`]: nobody finds another request with the same one, and the body
-/// cannot be read from it. 128 bits of SHA-256.
+/// Digest of a [`RequestIdentity`]: the first 128 bits of its SHA-256 hash. It is infeasible to
+/// find another request with the same digest, or to recover the body from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestFingerprint(u128);
 
 impl RequestFingerprint {
-    /// Wraps a number, for tests and for what was read elsewhere.
+    /// Wraps a number, for tests and for fingerprints decoded from elsewhere.
     pub const fn new(number: u128) -> Self {
         Self(number)
     }
 
-    /// The digest of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(identity: &RequestIdentity<'_>) -> Self {
         let mut hasher = Sha256::new();
         for text in [identity.caller, identity.host, identity.path] {
-            // Lengths keep the parts apart.
+            // The length before each part keeps the boundaries between the parts unambiguous.
             hasher.update((text.len() as u64).to_be_bytes());
             hasher.update(text.as_bytes());
         }
         hasher.update(identity.body);
         let digest: [u8; 32] = hasher.finalize().into();
-        let (half, _) = digest.split_at(16);
-        Self(half.iter().fold(0, |number, byte| number << 8 | u128::from(*byte)))
+        let (high_bytes, _) = digest.split_at(16);
+        Self(high_bytes.iter().fold(0, |number, byte| number << 8 | u128::from(*byte)))
     }
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// A text that names no fingerprint.
+/// Error for text that is not a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a fingerprint has 32 hex digits")]
 pub struct UnknownFingerprintText;
--- a/clayplank-types/src/id.rs
+++ b/clayplank-types/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of hosts, upstreams, accounts and attempts.
+//! Ids and names of hosts, upstreams, accounts, requests and attempts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,12 +14,12 @@
         pub struct $name(String);
 
         impl $name {
-            /// Wraps a name.
+            /// Wraps a name, which is not validated.
             pub fn new(name: impl Into<String>) -> Self {
                 Self(name.into())
             }
 
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -34,39 +34,39 @@
 }
 
 name_type!(
-    /// One of the parties that share the fleet.
+    /// An organization that shares the fleet with others and owns client accounts.
     Partner
 );
 name_type!(
-    /// A machine that runs the daemon.
+    /// Id of a host, which is a machine that runs the daemon.
     HostId
 );
 name_type!(
-    /// A data centre, as the settings name it.
+    /// Name of a data centre in the settings.
     DataCentre
 );
 name_type!(
-    /// A model engine or a plain service.
+    /// Id of an upstream, which is a model engine or a plain service.
     UpstreamId
 );
 name_type!(
-    /// A group of engines that share one queue and one owner.
+    /// Id of a pool, which is a group of engines with a common queue and a common owner.
     PoolId
 );
 
-/// A client account of one partner, written `partner/name`.
+/// Id of a client account of one partner, written `partner/name`.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 pub struct AccountId {
     /// The partner that owns the account.
     pub partner: Partner,
-    /// The account's name, unique within the partner.
+    /// Name of the account, unique within the partner.
     pub name: String,
 }
 
 impl AccountId {
-    /// Joins a partner and a name.
+    /// Creates the id of a partner's account.
     pub fn new(partner: Partner, name: impl Into<String>) -> Self {
         Self { partner, name: name.into() }
     }
@@ -78,13 +78,13 @@
     }
 }
 
-/// A text that is not an id of the wanted kind.
+/// Error for text that is not an id of the expected kind.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{text}` is not {wanted}")]
 pub struct UnknownIdText {
-    /// What was given.
+    /// The text that could not be parsed.
     pub text: String,
-    /// What would be right.
+    /// Description of the expected kind of id.
     pub wanted: &'static str,
 }
 
@@ -103,18 +103,19 @@
     }
 }
 
-/// One dispatch of a request to an upstream; 128 random bits, never used twice.
+/// Id of an attempt, which is one dispatch of a request to an upstream. It consists of 128 random
+/// bits, so that no id is used twice.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct AttemptId(u128);
 
 impl AttemptId {
-    /// Draws a new id.
+    /// Generates a random id.
     pub fn random() -> Self {
         Self(rand::random())
     }
 
-    /// An id with the given bits, for replays and tests.
+    /// Creates an id with the given bits, for replays and tests.
     pub fn from_bits(bits: u128) -> Self {
         Self(bits)
     }
@@ -136,14 +137,14 @@
     type Err = UnknownIdText;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let wrong = || UnknownIdText {
+        let error = || UnknownIdText {
             text: text.to_owned(),
             wanted: "an attempt id (32 hexadecimal digits)",
         };
         if text.len() != 32 {
-            return Err(wrong());
+            return Err(error());
         }
-        u128::from_str_radix(text, 16).map(Self).map_err(|_| wrong())
+        u128::from_str_radix(text, 16).map(Self).map_err(|_| error())
     }
 }
 
@@ -161,11 +162,11 @@
     }
 }
 
-/// A request inside one scheduler.
+/// Id of a request, unique within one scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
-/// One life of a process; a restart draws a larger one.
+/// Incarnation number of a process. It is larger after each restart.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/clayplank-types/src/lib.rs
+++ b/clayplank-types/src/lib.rs
@@ -11,11 +11,11 @@
 mod band;
 mod fingerprint;
 mod id;
+mod observation;
 mod outcome;
 mod prefix;
 mod priority;
 mod ratio;
-mod sighting;
 
 pub use band::{LengthBands, UnorderedBands};
 pub use fingerprint::{RequestFingerprint, RequestIdentity, UnknownFingerprintText};
@@ -23,8 +23,8 @@
     AccountId, AttemptId, DataCentre, HostId, Incarnation, Partner, PoolId, RequestId,
     UnknownIdText, UpstreamId,
 };
+pub use observation::{HeldBack, HostMoment, SeenOutcome, Sighting};
 pub use outcome::{Outcome, Refusal, RefusalReason};
 pub use prefix::{MAX_PREFIX_BLOCKS, PREFIX_BLOCK_TOKENS, prefix_hashes};
 pub use priority::{EnginePriority, Priority};
 pub use ratio::TokenRatio;
-pub use sighting::{HeldBack, HostMoment, SeenOutcome, Sighting};
--- a/clayplank-types/src/outcome.rs
+++ b/clayplank-types/src/outcome.rs
@@ -1,25 +1,26 @@
-//! What a caller is told about its request.
+//! Outcomes and refusals of requests, as reported to their callers.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// How a request ended, as far as the system can swear to it.
+/// Outcome of a request, as far as the system can guarantee it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It ran and the whole answer was passed on.
+    /// It ran, and the complete answer was forwarded.
     Answered,
-    /// No byte of it reached an upstream, or the upstream proved its refusal.
+    /// It did not run: no byte of it reached an upstream, or the upstream proved that it refused
+    /// the request.
     NotRun,
-    /// It ran, and ended without a whole answer.
+    /// It ran, and ended without a complete answer.
     Failed,
     /// It may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The name that stands in the response header.
+    /// Name of the outcome in the response header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -36,38 +37,38 @@
     }
 }
 
-/// Why a request was not run.
+/// Reason for which a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
-    /// The predicted end lies after the deadline.
+    /// The predicted completion is later than the deadline.
     DeadlineOutOfReach,
-    /// The account is over its own limit of requests a second.
+    /// The account exceeds its limit of requests per second.
     RateLimit,
-    /// The account or the host has too many requests waiting.
+    /// Too many requests of the account or on the host are waiting.
     QueueFull,
-    /// No live engine has the model.
+    /// No live engine serves the model.
     NoEngine,
-    /// The prompt is larger than all engines of a pool together.
+    /// The prompt exceeds the capacity of all engines of a pool together.
     PromptTooLarge,
-    /// The settings could not be confirmed in time.
+    /// The settings could not be confirmed within their time-out.
     SettingsStale,
-    /// The host is about to stop.
+    /// The host is shutting down.
     Leaving,
-    /// No claim could be had for a request that must not be repeated.
+    /// No claim was obtained for a request that must not be repeated.
     NoClaim,
     /// The owner of the engines did not answer.
     OwnerUnreachable,
-    /// The upstream refused, and proved that it began nothing.
+    /// The upstream refused the request, and proved that it had not started it.
     UpstreamRefused,
-    /// The service has as many requests in progress as it may.
+    /// The service has reached its limit of requests in progress.
     ServiceBusy,
-    /// Upstreams ended under the same request before.
+    /// The request is quarantined, since upstreams terminated while they ran it before.
     HeldBack,
 }
 
 impl RefusalReason {
-    /// The name that stands in the response body.
+    /// Name of the reason in the response body.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::DeadlineOutOfReach => "deadline-out-of-reach",
@@ -86,18 +87,18 @@
     }
 }
 
-/// A request that was not run, and when it is worth asking again.
+/// Refusal of a request that was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("not run: {}; retry after {retry_after_ms} ms", reason.as_str())]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When the request would fit, from now.
+    /// Time from now after which the request can be expected to be admitted, in ms.
     pub retry_after_ms: u64,
 }
 
 impl Refusal {
-    /// Joins a reason and a time.
+    /// Creates a refusal with a retry delay in ms.
     pub fn new(reason: RefusalReason, retry_after_ms: u64) -> Self {
         Self { reason, retry_after_ms }
     }
--- a/clayplank-types/src/priority.rs
+++ b/clayplank-types/src/priority.rs
@@ -1,9 +1,9 @@
-//! Priority classes of requests.
+//! Priority classes of requests and of prefills.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// How soon a request should run, compared with those of other accounts.
+/// Priority class of a request relative to those of other accounts.
 #[derive(
     Clone,
     Copy,
@@ -20,20 +20,20 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Somebody waits for the answer now.
+    /// Interactive: a user waits for the answer.
     High,
-    /// The usual class.
+    /// The default class.
     #[default]
     Normal,
-    /// Work that may wait.
+    /// Background work that may be delayed.
     Low,
 }
 
 impl Priority {
-    /// Every class, the most urgent first.
+    /// All classes, the most urgent first.
     pub const ALL: [Self; 3] = [Self::High, Self::Normal, Self::Low];
 
-    /// The place in [`Priority::ALL`].
+    /// Index of the class in [`Priority::ALL`].
     pub fn rank(self) -> usize {
         match self {
             Self::High => 0,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// The class of a rank; ranks above the last are `Low`.
+    /// The class with this rank; [`Priority::Low`] for ranks that are too large.
     pub fn from_rank(rank: usize) -> Self {
         Self::ALL.get(rank).copied().unwrap_or(Self::Low)
     }
 }
 
-/// The class in which an engine reads a prompt; 0 is read first.
+/// Priority with which an engine prefills a prompt; 0 is prefilled first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/clayplank-types/tests/units.rs
+++ b/clayplank-types/tests/units.rs
@@ -1,4 +1,4 @@
-//! Ids, bands and prefixes.
+//! Ids, length bands, prefix hashes and token estimates.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn ids_are_read_as_they_are_written() {
+fn ids_are_parsed_from_their_text() {
     let attempt = AttemptId::random();
     assert_eq!(attempt.to_string().parse::<AttemptId>().unwrap(), attempt);
     assert!("xyz".parse::<AttemptId>().is_err());
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn bands_hold_their_upper_bound() {
+fn bands_include_their_upper_bound() {
     let bands = LengthBands::new(vec![10, 20]).unwrap();
     assert_eq!([0, 10, 11, 20, 21].map(|tokens| bands.index_of(tokens)), [0, 0, 1, 1, 2]);
     assert!(LengthBands::new(vec![10, 10]).is_err());
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_reason_is_written_as_it_is_named() {
+fn a_refusal_reason_serializes_to_its_name() {
     let reason = RefusalReason::DeadlineOutOfReach;
     assert_eq!(serde_json::to_value(reason).unwrap(), reason.as_str());
 }
