--- a/clayplank-clock/src/wait.rs
+++ b/clayplank-clock/src/wait.rs
@@ -40,8 +40,8 @@
 pin_project! {
     /// A future with a time-out. An async function would store the future twice, as its argument
     /// and where it is polled. With nested time-outs, as in the processing of a request, this
-    /// increased the memory use of hosts by 10%: 3.31 and 3.32 GB x s for 14 hosts under low load,
-    /// against 3.05 and 3.06 with this type.
+    /// increased the memory use of hosts by 10%: 3.31 and 3.32 GB x s in two runs of 14 hosts under
+    /// low load, against 3.05 and 3.06 with this type.
     struct TimeoutFuture<F, D> {
         #[pin]
         future: F,
--- a/clayplank-members/src/keeper_choice.rs
+++ b/clayplank-members/src/keeper_choice.rs
@@ -1,8 +1,8 @@
 //! Selects the keeper that an entry host follows.
 //!
 //! Each host ranks the keepers by a hash of both names and follows the first one that answers.
-//! Hosts so spread evenly without coordination; those of a failed keeper spread over all others,
-//! and all of them return after it recovers. A failed keeper is followed again only after it has
+//! Hosts therefore spread evenly without coordination; those of a failed keeper spread over all
+//! others, and all of them return after it recovers. A failed keeper is followed again only after it has
 //! answered a separate request that runs beside the one to the followed keeper, so that no host
 //! lacks updates while it waits for a keeper that is still down.
 
@@ -13,7 +13,8 @@
 
 use crate::rendezvous::weigh;
 
-/// Back-off after the first failure of a keeper, in ms. It doubles with each further failure.
+/// Back-off after the first failure of a keeper, in ms. It doubles with each further failure,
+/// up to [`MAX_BACKOFF_MS`].
 const MIN_BACKOFF_MS: u64 = 1_000;
 const MAX_BACKOFF_MS: u64 = 30_000;
 
--- a/clayplank-members/tests/keeper_search.rs
+++ b/clayplank-members/tests/keeper_search.rs
@@ -209,7 +209,7 @@
     assert_eq!(keepers, [497, 498, 499]);
     assert!(known.contacts().count() < 20);
     known.set_keepers([]);
-    assert_eq!(known.keepers().len(), 3, "an empty list says nothing");
+    assert_eq!(known.keepers().len(), 3, "an empty list is ignored");
 }
 
 /// A reported list of many keepers may be outdated: each search queries only some of them.
--- a/clayplank-registry/src/heartbeat.rs
+++ b/clayplank-registry/src/heartbeat.rs
@@ -23,7 +23,7 @@
 ///
 /// An upstream keeps its name when it restarts, and retains nothing from before the restart. Its
 /// name and start time together identify one incarnation, and all state about an upstream, such as
-/// its record and its placements, is keyed by the id of the incarnation.
+/// its record, placements and reservations, is keyed by the id of the incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Id of this incarnation of the upstream; see [`Heartbeat::named`].
--- a/clayplank-registry/src/registry.rs
+++ b/clayplank-registry/src/registry.rs
@@ -163,9 +163,9 @@
         without_start_time.into_iter().chain(with_start_time)
     }
 
-    /// Whether a later incarnation of the same upstream is known, so that this heartbeat came late.
-    /// If the later one has sent nothing for long, this one may be a new incarnation whose clock
-    /// was set back.
+    /// Whether a heartbeat is a late one of an earlier incarnation, since a later incarnation is
+    /// known and still sends heartbeats. If the later one has sent nothing for
+    /// [`MAX_MESSAGE_DELAY_MS`], this may be a new incarnation whose clock was set back.
     fn is_of_earlier_incarnation(&self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
         self.incarnations(&heartbeat.name).any(|entry| {
             let is_later = entry.record.heartbeat.born_ms > heartbeat.born_ms;
@@ -208,9 +208,9 @@
         false
     }
 
-    /// Identifies the departing incarnation: the latest one, if the notice does not say so. Shortly
-    /// after the latest one replaced an active incarnation, the notice is a late message of that
-    /// earlier one.
+    /// Identifies the departing incarnation. A notice without a start time is for the latest one,
+    /// unless that one has only just replaced an active incarnation: then the notice is taken for a
+    /// late message of the replaced one.
     fn departing_incarnation(&self, now_ms: u64, departure: &Heartbeat) -> Heartbeat {
         if departure.born_ms != 0 {
             return departure.clone();
--- a/clayplank-registry/tests/limits.rs
+++ b/clayplank-registry/tests/limits.rs
@@ -82,7 +82,7 @@
     let mut limits = Limits::new(1);
     limits.note(&observed(Some(1.0), 10));
     limits.forget(1_000_000, |_| true);
-    assert_eq!(limits.limit_per_s(&id()), Some(1.0), "it is in force for as long as it says so");
+    assert_eq!(limits.limit_per_s(&id()), Some(1.0), "a limit applies until it is lifted");
     limits.forget(20, |_| false);
     assert_eq!(limits.limit_per_s(&id()), None);
 }
