--- a/clayplankd/src/follow.rs
+++ b/clayplankd/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following: how plans, settings and news of upstreams reach the hosts.
+//! Distribution of plans, settings and upstream updates from the keepers to the entry hosts.
 
 pub(crate) mod exchange;
 pub(crate) mod fleet_followers;
--- a/clayplankd/src/follow/exchange.rs
+++ b/clayplankd/src/follow/exchange.rs
@@ -1,5 +1,5 @@
-//! One exchange with the keepers: the first in a host's order is asked, and others beside it while it
-//! is silent.
+//! One exchange of an entry host with the keepers: a request to its first-ranked keeper, and hedged
+//! requests to further ones while that is unresponsive.
 
 use clayplank_types::HostId;
 use clayplank_wire::{Followed, follow_reply};
@@ -10,60 +10,66 @@
 use crate::follow::following::{Following, Position};
 use crate::process::clock::{millis, now_ms};
 
-/// Keepers that are asked for the silence of others, in one exchange. More would overrun keepers that are
-/// slow since hundreds of hosts come to them.
+/// Maximum number of hedged requests in one exchange. More would overload keepers that are slow because
+/// hundreds of hosts send them requests.
 const MAX_HEDGES: usize = 2;
 
-/// What an exchange came to.
-pub(crate) struct Exchanged {
-    /// `None` if no keeper confirmed what it holds.
+/// Result of an exchange.
+pub(crate) struct ExchangeResult {
+    /// `None` if no keeper sent confirmed state.
     pub(crate) answer: Option<Answer>,
-    /// Keepers that were asked before, in the order in which that was known.
+    /// Requests to other keepers that failed, in the order in which the failures were noticed.
     pub(crate) failures: Vec<Failure>,
 }
 
-/// What a keeper confirmed.
+/// Confirmed state that a keeper sent.
 pub(crate) struct Answer {
     pub(crate) keeper: HostId,
     pub(crate) followed: Followed,
-    /// The lease counts from then on.
-    pub(crate) asked_ms: u64,
+    /// Time at which the request was sent, in ms. The lease starts then.
+    pub(crate) requested_ms: u64,
 }
 
-/// Why a keeper confirmed nothing.
+/// A request to a keeper that brought no confirmed state.
 pub(crate) struct Failure {
     pub(crate) keeper: HostId,
-    pub(crate) asked_ms: u64,
-    pub(crate) exchange: ExchangeOutcome,
+    /// Time at which the request was sent, in ms.
+    pub(crate) requested_ms: u64,
+    pub(crate) outcome: ExchangeOutcome,
     pub(crate) cause: String,
 }
 
-/// Keepers that were asked, and when.
-type AskedAt = Vec<(HostId, u64)>;
+/// The keepers to which requests were sent, and the times in ms.
+type SentRequests = Vec<(HostId, u64)>;
 
 impl Following {
-    /// Asks one keeper after the other until one confirms what it holds, or none is left.
-    pub(crate) async fn exchange(&self, order: &[HostId], position: &Position) -> Exchanged {
+    /// Sends requests to one keeper after the other until one answers with confirmed state, or all have
+    /// failed. The next request starts when one fails, or as a hedge when none has answered in time.
+    pub(crate) async fn exchange(
+        &self,
+        ranked_keepers: &[HostId],
+        position: &Position,
+    ) -> ExchangeResult {
         let times = self.times();
-        let mut waiting = FuturesUnordered::new();
-        let mut asked = AskedAt::new();
+        let mut pending = FuturesUnordered::new();
+        let mut sent = SentRequests::new();
         let mut failures = Vec::new();
-        let mut rest = order.iter().peekable();
+        let mut unqueried = ranked_keepers.iter().peekable();
         let mut wait_ms = times.hedge_ms;
         let mut hedges = 0;
         loop {
-            if let Some(keeper) = rest.next_if(|_| hedges <= MAX_HEDGES) {
-                let is_hedge = !waiting.is_empty();
-                asked.push((keeper.clone(), now_ms()));
-                waiting.push(self.ask(keeper, position, is_hedge));
+            if let Some(keeper) = unqueried.next_if(|_| hedges <= MAX_HEDGES) {
+                let is_hedge = !pending.is_empty();
+                sent.push((keeper.clone(), now_ms()));
+                pending.push(self.request_updates(keeper, position, is_hedge));
             }
-            if waiting.is_empty() {
-                return Exchanged { answer: None, failures };
+            if pending.is_empty() {
+                return ExchangeResult { answer: None, failures };
             }
-            match clayplank_clock::timeout(millis(wait_ms), waiting.next()).await {
+            match clayplank_clock::timeout(millis(wait_ms), pending.next()).await {
                 Ok(Some(Ok(answer))) => {
-                    failures.extend(silent(&asked, &failures, &answer, times.hedge_ms));
-                    return Exchanged { answer: Some(answer), failures };
+                    failures.extend(unresponsive(&sent, &failures, &answer, times.hedge_ms));
+                    return ExchangeResult { answer: Some(answer), failures };
                 }
                 Ok(Some(Err(failure))) => failures.push(failure),
                 Ok(None) => {}
@@ -75,58 +81,60 @@
         }
     }
 
-    /// Asks a keeper for what is new; one that is asked beside another, for the plan alone.
-    async fn ask(
+    /// Requests updates from a keeper. A hedged request is for the plan, without the updates of upstreams.
+    async fn request_updates(
         &self,
         keeper: &HostId,
         position: &Position,
         is_hedge: bool,
     ) -> Result<Answer, Failure> {
-        let asked_ms = now_ms();
-        let failure = |exchange, cause: &str| Failure {
+        let requested_ms = now_ms();
+        let failure = |outcome, cause: &str| Failure {
             keeper: keeper.clone(),
-            asked_ms,
-            exchange,
+            requested_ms,
+            outcome,
             cause: cause.to_owned(),
         };
         let Some(request) = self.request(keeper, position, is_hedge) else {
-            return Err(failure(ExchangeOutcome::Failed, "the question cannot be encoded"));
+            return Err(failure(ExchangeOutcome::Failed, "the request cannot be encoded"));
         };
-        let patience = millis(self.times().patience_ms());
+        let timeout = millis(self.times().patience_ms());
         let call = self
             .keepers
             .peers()
-            .call(keeper, patience, |mut client| async move { client.follow(request).await });
+            .call(keeper, timeout, |mut client| async move { client.follow(request).await });
         match call.await.map(|reply| reply.result) {
             Ok(Some(follow_reply::Result::Followed(followed))) => {
-                Ok(Answer { keeper: keeper.clone(), followed, asked_ms })
+                Ok(Answer { keeper: keeper.clone(), followed, requested_ms })
             }
             Ok(Some(follow_reply::Result::NotLeaderHint(_)) | None) => {
-                Err(failure(ExchangeOutcome::Unconfirmed, "it hears no leader"))
+                Err(failure(ExchangeOutcome::Unconfirmed, "the keeper hears no leader"))
             }
             Err(error) => Err(failure(ExchangeOutcome::Failed, &error.to_string())),
         }
     }
 }
 
-/// Keepers that should have answered when another one did.
-fn silent(
-    asked: &AskedAt,
+/// Failures of the keepers whose answers were overdue when another one answered.
+fn unresponsive(
+    sent: &SentRequests,
     failures: &[Failure],
     answer: &Answer,
-    due_after_ms: u64,
+    timeout_ms: u64,
 ) -> Vec<Failure> {
     let now_ms = now_ms();
-    let has_ended = |keeper: &HostId| {
-        *keeper == answer.keeper || failures.iter().any(|one| one.keeper == *keeper)
+    let has_finished = |keeper: &HostId| {
+        *keeper == answer.keeper || failures.iter().any(|failure| failure.keeper == *keeper)
     };
-    let is_due = |asked_ms: u64| now_ms >= asked_ms + due_after_ms;
-    let silent = asked.iter().filter(|(keeper, at_ms)| !has_ended(keeper) && is_due(*at_ms));
-    let failure = |(keeper, asked_ms): &(HostId, u64)| Failure {
+    let is_overdue = |requested_ms: u64| now_ms >= requested_ms + timeout_ms;
+    let unresponsive = sent
+        .iter()
+        .filter(|(keeper, requested_ms)| !has_finished(keeper) && is_overdue(*requested_ms));
+    let failure = |(keeper, requested_ms): &(HostId, u64)| Failure {
         keeper: keeper.clone(),
-        asked_ms: *asked_ms,
-        exchange: ExchangeOutcome::Failed,
-        cause: "it is silent, and another keeper answered".to_owned(),
+        requested_ms: *requested_ms,
+        outcome: ExchangeOutcome::Failed,
+        cause: "no answer in time, and another keeper answered".to_owned(),
     };
-    silent.map(failure).collect()
+    unresponsive.map(failure).collect()
 }
--- a/clayplankd/src/follow/fleet_followers.rs
+++ b/clayplankd/src/follow/fleet_followers.rs
@@ -1,4 +1,4 @@
-//! Answers those that follow a keeper: entry hosts, and other keepers on behalf of theirs.
+//! Answers follow requests at a keeper: of entry hosts, and of other keepers on behalf of their hosts.
 
 use clayplank_placement::Renewed;
 use clayplank_registry::{Cursor, Digest, Heartbeat};
@@ -11,10 +11,10 @@
 use crate::fleet::fleet_keeper::{FleetKeeper, News};
 use crate::follow::relay::{Relay, Renewals};
 use crate::keepers::keeper::Keeper;
-use crate::keepers::keeper_messages::{DeltaAfter, Watch, Watched};
+use crate::keepers::keeper_messages::{GetDelta, Watch, Watched};
 use crate::process::inner::malformed;
 
-/// What a keeper answers its followers from.
+/// The parts of a keeper that answer its followers.
 #[derive(Clone, Copy)]
 pub(crate) struct Followers<'a> {
     pub(crate) fleet: &'a FleetKeeper,
@@ -22,25 +22,28 @@
     pub(crate) relay: &'a Relay,
 }
 
-/// What a follower asks with, decoded.
-struct Asked {
+/// A decoded follow request.
+struct DecodedRequest {
     host: HostId,
+    /// Revision that the follower has applied.
     revision: u64,
     plan_version: u64,
     cursor: Cursor,
+    /// Digest of what the follower knows, if the keeper requested one.
     digest: Option<Digest>,
     limits_cursor: Cursor,
+    /// Whether the follower also sent a request to another keeper.
     is_hedge: bool,
 }
 
 impl Followers<'_> {
-    /// Answers a follower.
+    /// Answers a follow request.
     pub(crate) async fn answer(
         self,
         request: FollowRequest,
     ) -> Result<follow_reply::Result, Status> {
         let known: Vec<Heartbeat> = decode(&request.known).map_err(malformed)?;
-        let asked = Asked {
+        let decoded = DecodedRequest {
             host: HostId::new(request.from_host),
             revision: request.applied_revision,
             plan_version: request.plan_version,
@@ -51,40 +54,40 @@
         };
         self.fleet.learn(&known);
         match request.keeper {
-            Some(of_keeper) => self.answer_keeper(&asked, &of_keeper).await,
+            Some(keeper_part) => self.answer_keeper(&decoded, &keeper_part).await,
             None => {
                 let renewed: Vec<Renewed> = decode(&request.renewed).map_err(malformed)?;
-                self.relay.note_renewed(request.life, renewed);
-                self.answer_host(&asked).await
+                self.relay.record_renewals(request.life, renewed);
+                self.answer_host(&decoded).await
             }
         }
     }
 
-    /// Answers an entry host when there is news, and after a while that there is none. What it is told
-    /// holds all that was acknowledged before it asked.
-    async fn answer_host(self, asked: &Asked) -> Result<follow_reply::Result, Status> {
+    /// Answers an entry host as soon as there are updates, or after the hold time without any. The answer
+    /// includes all that was acknowledged before the request came.
+    async fn answer_host(self, request: &DecodedRequest) -> Result<follow_reply::Result, Status> {
         let newest_round = self.relay.newest_round();
-        self.fleet.note_entry_host(asked.host.clone());
-        self.relay.wait_for_news(asked.revision, asked.cursor).await;
+        self.fleet.note_entry_host(request.host.clone());
+        self.relay.wait_for_updates(request.revision, request.cursor).await;
         let Some(leader) = self.relay.confirm_after(newest_round).await else {
             return Ok(follow_reply::Result::NotLeaderHint(String::new()));
         };
-        let delta = self.keeper.send(DeltaAfter(asked.revision)).await;
-        let delta = delta.map_err(|_| stopping())?;
-        self.followed(asked, delta, &leader)
+        let delta = self.keeper.send(GetDelta(request.revision)).await;
+        let delta = delta.map_err(|_| stopping_status())?;
+        self.reply(request, delta, &leader)
     }
 
     /// Answers another keeper at once, if this one leads.
     async fn answer_keeper(
         self,
-        asked: &Asked,
-        of_keeper: &KeeperFollow,
+        request: &DecodedRequest,
+        keeper_part: &KeeperFollow,
     ) -> Result<follow_reply::Result, Status> {
-        let renewals: Renewals = decode(&of_keeper.renewals).map_err(malformed)?;
+        let renewals: Renewals = decode(&keeper_part.renewals).map_err(malformed)?;
         let watch =
-            Watch { host: asked.host.clone(), applied_revision: asked.revision, wait_ms: 0 };
-        let answer = self.keeper.send(watch).await.map_err(|_| stopping())?;
-        let delta = match answer.await.map_err(|_| stopping())? {
+            Watch { host: request.host.clone(), applied_revision: request.revision, wait_ms: 0 };
+        let answer = self.keeper.send(watch).await.map_err(|_| stopping_status())?;
+        let delta = match answer.await.map_err(|_| stopping_status())? {
             Watched::Delta(delta) => delta,
             Watched::NotLeader(hint) => {
                 let hint = hint.map_or_else(String::new, |host| host.to_string());
@@ -92,46 +95,46 @@
             }
         };
         self.fleet.renew_all(&renewals);
-        self.fleet.note_relayed_hosts(asked.host.clone(), of_keeper.entry_hosts);
-        // The rest of the state comes with the log.
+        self.fleet.note_relayed_hosts(request.host.clone(), keeper_part.entry_hosts);
+        // The keeper receives the rest of the state with the replicated log.
         let delta = Delta { revision: delta.revision, ..Delta::default() };
-        self.followed(asked, delta, self.relay.own())
+        self.reply(request, delta, self.relay.local_host())
     }
 
-    /// The news for a follower, with what it has to know of the other hosts.
-    fn followed(
+    /// The reply to a follower: updates of plan and upstreams, and what it must know of the other hosts.
+    fn reply(
         self,
-        asked: &Asked,
+        request: &DecodedRequest,
         mut delta: Delta,
         leader: &HostId,
     ) -> Result<follow_reply::Result, Status> {
         let fleet = self.fleet;
-        let news = match asked.is_hedge {
-            true => News::later(asked.cursor),
-            false => fleet.news_for(asked.cursor, asked.digest.as_ref()),
+        let updates = match request.is_hedge {
+            true => News::later(request.cursor),
+            false => fleet.news_for(request.cursor, request.digest.as_ref()),
         };
-        let news = news.map_err(malformed)?;
-        let plan_edit = fleet.take_edit(&mut delta, asked.plan_version);
+        let updates = updates.map_err(malformed)?;
+        let plan_edit = fleet.take_edit(&mut delta, request.plan_version);
         Ok(follow_reply::Result::Followed(Followed {
             delta: encode(&delta).map_err(malformed)?,
             plan_edit,
-            changes: news.changes,
+            changes: updates.changes,
             entry_hosts: fleet.count_entry_hosts(),
-            asks_digest: news.asks_digest,
-            asks_known: news.asks_known.0,
+            asks_digest: updates.asks_digest,
+            asks_known: updates.asks_known.0,
             keepers: fleet.keepers().hosts().iter().map(ToString::to_string).collect(),
             deputy: fleet.keepers().deputy().map_or_else(String::new, |host| host.to_string()),
             leader: leader.to_string(),
-            limits: encode_limits(fleet, asked.limits_cursor)?,
+            limits: encode_limits(fleet, request.limits_cursor)?,
         }))
     }
 }
 
-fn stopping() -> Status {
+fn stopping_status() -> Status {
     Status::unavailable("the keeper is stopping")
 }
 
-/// What a follower lacks of the limits that upstreams name; empty if nothing.
+/// The changes after a cursor of the limits that upstreams name; empty if there are none.
 fn encode_limits(fleet: &FleetKeeper, cursor: Cursor) -> Result<Vec<u8>, Status> {
     let changes = fleet.limit_changes(cursor);
     if changes.cursor == cursor {
@@ -140,7 +143,7 @@
     encode(&changes).map_err(malformed)
 }
 
-/// What a follower knows, if it told it.
+/// The digest that a follower sent; `None` if it sent none.
 fn decode_digest(bytes: &[u8]) -> Result<Option<Digest>, Status> {
     if bytes.is_empty() {
         return Ok(None);
--- a/clayplankd/src/follow/following.rs
+++ b/clayplankd/src/follow/following.rs
@@ -1,4 +1,5 @@
-//! Follows a keeper: the plan, the upstreams, who leads, and when all of it was confirmed.
+//! Task of an entry host that follows a keeper: it receives the plan, the upstreams, the leader, and the
+//! confirmation that all of it is up to date.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -24,13 +25,14 @@
 use crate::process::clock::{millis, now_ms};
 use crate::process::logging::part;
 
-/// Pause after an exchange in which no keeper confirmed the plan, drawn up to this time, in ms.
-const FOLLOW_PAUSE_MS: u64 = 100;
+/// Maximum random pause, in ms, after the first exchange in which no keeper confirmed the plan.
+const RETRY_PAUSE_MS: u64 = 100;
 
-/// The pause doubles this often at most, after each further exchange of that kind.
+/// Maximum number of times that the maximum pause doubles: it does so after each further exchange without
+/// a confirmation.
 const MAX_PAUSE_DOUBLINGS: u32 = 3;
 
-/// What an entry host follows.
+/// The parts of an entry host that the updates of the keepers change.
 pub(crate) struct Following {
     pub(crate) host: HostId,
     pub(crate) contract: SharedContract,
@@ -40,23 +42,26 @@
     pub(crate) directory: Arc<Directory>,
     pub(crate) entry: Arc<Entry>,
     pub(crate) figures: Arc<FollowFigures>,
-    /// A change must be in force after this time, in ms.
+    /// Time, in ms, within which a change must be in force on this host.
     pub(crate) apply_ms: Arc<AtomicU64>,
 }
 
-/// Up to where a host follows the keepers.
+/// Progress of a host in following the keepers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Position {
+    /// Revision of the applied state.
     revision: u64,
+    /// Cursor of the applied upstream updates.
     cursor: Cursor,
     /// The plan in force here; version 0 before the first.
     plan: PlanDocument,
-    /// Whom it followed last.
+    /// The keeper that answered last.
     keeper: Option<HostId>,
-    /// Whether the keeper asked what this host knows.
-    tells_digest: bool,
-    /// Upstreams of which the keeper may lack what this host knows.
-    tells_known: Buckets,
+    /// Whether the keeper requested a digest of what this host knows.
+    sends_digest: bool,
+    /// Buckets of upstreams for which the keeper requested what this host knows.
+    requested_buckets: Buckets,
+    /// Cursor of the applied changes of upstream limits.
     limits_cursor: Cursor,
 }
 
@@ -65,56 +70,59 @@
     let mut position = Position::default();
     let mut choice = KeeperChoice::new(following.host.clone());
     let mut log = FollowLog::new(Arc::clone(&following.figures));
-    let mut found = following.keepers.subscribe();
+    let mut leader_changes = following.keepers.subscribe();
     let mut probes = JoinSet::new();
-    let mut failed = 0;
+    let mut failed_exchanges = 0;
     loop {
-        note_probes(&mut probes, &mut choice);
+        record_probes(&mut probes, &mut choice);
         let keepers = following.keepers.hosts();
         following.figures.set_keepers(keepers.len());
         following.start_probes(&mut probes, choice.take_due(now_ms(), &keepers));
         let outcome = following.exchange(&choice.order(&keepers), &position).await;
         for failure in &outcome.failures {
-            following.note_failure(failure, outcome.answer.is_some(), &mut choice, &mut log);
+            following.record_failure(failure, outcome.answer.is_some(), &mut choice, &mut log);
         }
         if let Some(answer) = outcome.answer {
-            failed = 0;
+            failed_exchanges = 0;
             choice.note_answered(&answer.keeper);
             position.keeper = Some(answer.keeper);
-            following.apply(&mut position, &mut log, &answer.followed, answer.asked_ms);
+            following.apply_answer(&mut position, &mut log, &answer.followed, answer.requested_ms);
             continue;
         }
         following.keepers.doubt_leader();
-        let pause_ms = FOLLOW_PAUSE_MS << failed.min(MAX_PAUSE_DOUBLINGS);
-        failed += 1;
-        wait_for_leader(pause_ms, &mut found, &mut choice).await;
+        let pause_ms = RETRY_PAUSE_MS << failed_exchanges.min(MAX_PAUSE_DOUBLINGS);
+        failed_exchanges += 1;
+        wait_for_leader(pause_ms, &mut leader_changes, &mut choice).await;
     }
 }
 
-/// Takes in which keepers in doubt hear a leader.
-fn note_probes(probes: &mut JoinSet<(HostId, bool)>, choice: &mut KeeperChoice) {
+/// Records which of the probed keepers hear a leader.
+fn record_probes(probes: &mut JoinSet<(HostId, bool)>, choice: &mut KeeperChoice) {
     while let Some(probed) = probes.try_join_next() {
         match probed {
             Ok((keeper, true)) => choice.note_answered(&keeper),
             Ok((keeper, false)) => choice.note_failed(now_ms(), keeper),
-            // It stays in doubt, and is asked again.
-            Err(error) => log::error!(target: part::SETTINGS, "A probe ended: {error}."),
+            // The keeper stays suspect, and is probed again.
+            Err(error) => {
+                log::error!(target: part::SETTINGS, "A keeper probe task failed: {error}")
+            }
         }
     }
 }
 
-/// Waits for a time drawn up to `pause_ms`, or until another leader is found, which is asked at once.
+/// Waits for a random time of at most `pause_ms`, or until another leader is found. That leader is
+/// cleared of suspicion, so that it can be queried at once.
 async fn wait_for_leader(
     pause_ms: u64,
-    found: &mut watch::Receiver<Option<HostId>>,
+    leader_changes: &mut watch::Receiver<Option<HostId>>,
     choice: &mut KeeperChoice,
 ) {
     let pause = clayplank_clock::sleep(millis(rand::random_range(0..pause_ms)));
     tokio::select! {
         () = pause => {}
-        // The sender lives as long as the host.
-        _ = found.changed() => {
-            if let Some(leader) = &*found.borrow_and_update() {
+        // The channel stays open as long as the host runs.
+        _ = leader_changes.changed() => {
+            if let Some(leader) = &*leader_changes.borrow_and_update() {
                 choice.note_answered(leader);
             }
         }
@@ -122,61 +130,62 @@
 }
 
 impl Following {
-    /// When keepers are asked.
+    /// Time-outs of the requests to keepers, derived from the bound on changes.
     pub(crate) fn times(&self) -> FollowTimes {
         FollowTimes::of_bound(self.apply_ms.load(Ordering::SeqCst))
     }
 
-    /// Asks keepers in doubt, beside the one that is followed, whether they hear a leader.
+    /// Probes the suspect keepers that are due, concurrently with the followed one: whether they hear a
+    /// leader.
     fn start_probes(&self, probes: &mut JoinSet<(HostId, bool)>, due: Vec<HostId>) {
         for keeper in due {
             let keepers = self.keepers.clone();
             probes.spawn(async move {
-                let hears_leader = keepers.ask_for_leader(&keeper).await.is_some();
+                let hears_leader = keepers.query_leader(&keeper).await.is_some();
                 (keeper, hears_leader)
             });
         }
     }
 
-    /// Takes in that a keeper confirmed nothing. One that hears no leader is no worse than the others
-    /// unless one of them does.
-    fn note_failure(
+    /// Records that a keeper sent no confirmed state. A keeper that hears no leader becomes suspect only if
+    /// another one answered: otherwise all may lack a leader.
+    fn record_failure(
         &self,
         failure: &Failure,
         has_answer: bool,
         choice: &mut KeeperChoice,
         log: &mut FollowLog,
     ) {
-        let Failure { keeper, asked_ms, exchange, cause } = failure;
-        log.note_failed(*exchange, keeper, *asked_ms, cause);
-        if *exchange == ExchangeOutcome::Failed {
-            self.doubt(keeper);
+        let Failure { keeper, requested_ms, outcome, cause } = failure;
+        log.record_failed(*outcome, keeper, *requested_ms, cause);
+        if *outcome == ExchangeOutcome::Failed {
+            self.suspect_if_leader(keeper);
         }
-        if has_answer || *exchange == ExchangeOutcome::Failed {
+        if has_answer || *outcome == ExchangeOutcome::Failed {
             choice.note_failed(now_ms(), keeper.clone());
         }
     }
 
-    /// If a keeper that does not answer leads, the next one is looked for.
-    fn doubt(&self, keeper: &HostId) {
+    /// Starts a search for the next leader if an unresponsive keeper is the last known leader.
+    fn suspect_if_leader(&self, keeper: &HostId) {
         if self.keepers.leader().as_ref() == Some(keeper) {
             self.keepers.doubt_leader();
         }
     }
 
-    /// The question for what is new after a position, with what this host runs and knows; a keeper that is
-    /// asked beside another one is not told what it knows.
+    /// The request for updates after a position, with the placements that this host runs and the upstream
+    /// state that it knows; a hedged request omits the upstream state. `None` if it cannot be encoded.
     pub(crate) fn request(
         &self,
         keeper: &HostId,
         position: &Position,
         is_hedge: bool,
     ) -> Option<FollowRequest> {
-        let is_new = position.keeper.as_ref().is_some_and(|former| former != keeper);
-        let tells_digest = !is_hedge && (is_new || position.tells_digest);
-        let digest = if tells_digest { encode(&self.directory.digest()).ok()? } else { Vec::new() };
-        let asked = if is_hedge { Buckets::default() } else { position.tells_known };
-        let known = self.directory.heartbeats_in(asked);
+        let is_other_keeper = position.keeper.as_ref().is_some_and(|former| former != keeper);
+        let sends_digest = !is_hedge && (is_other_keeper || position.sends_digest);
+        let digest = if sends_digest { encode(&self.directory.digest()).ok()? } else { Vec::new() };
+        let buckets = if is_hedge { Buckets::default() } else { position.requested_buckets };
+        let known = self.directory.heartbeats_in(buckets);
         Some(FollowRequest {
             from_host: self.host.to_string(),
             life: self.link.life(),
@@ -192,37 +201,39 @@
         })
     }
 
-    /// Takes an answer in; one that cannot be used changes nothing but what is asked next.
-    fn apply(
+    /// Applies an answer. An unusable one changes nothing; if its plan edit does not apply, the next request
+    /// is for the complete plan.
+    fn apply_answer(
         &self,
         position: &mut Position,
         log: &mut FollowLog,
         followed: &Followed,
-        asked_ms: u64,
+        requested_ms: u64,
     ) {
         let (Ok(delta), Ok(changes)) =
             (decode::<Delta>(&followed.delta), unpack::<Changes>(&followed.changes))
         else {
-            log::error!(target: part::SETTINGS, "The keeper's answer cannot be read.");
+            log::error!(target: part::SETTINGS, "Could not decode the answer of a keeper.");
             return;
         };
         let plan = match new_plan(position, &delta, &followed.plan_edit) {
             Ok(plan) => plan,
             Err(error) => {
-                log::warn!(target: part::SETTINGS, cause:% = error; "Asks for the whole plan");
+                log::warn!(target: part::SETTINGS, cause:% = error;
+                    "Could not apply an edit of the plan; requests the complete plan");
                 position.plan = PlanDocument::default();
                 return;
             }
         };
         let is_new_plan = plan.is_some();
         if let Some(plan) = plan {
-            if !self.put_in_force(&plan) {
+            if !self.activate_plan(&plan) {
                 return;
             }
             position.plan = plan;
         }
-        if let Some(held_back) = delta.held_back {
-            self.entry.set_held_back(held_back);
+        if let Some(quarantined) = delta.held_back {
+            self.entry.set_held_back(quarantined);
         }
         if let Some(cordoned) = delta.cordoned {
             self.set_cordoned(cordoned);
@@ -231,12 +242,13 @@
         if is_new_plan {
             self.set_engines();
         } else {
-            self.change_engines(&changed);
+            self.update_engines(&changed);
         }
-        self.take_limits(position, &followed.limits);
-        // A new host that was confirmed by a hedged question knows no upstreams yet.
+        self.apply_limits(position, &followed.limits);
+        // Answers to hedged requests hold no upstreams, so a new host that received only such an answer
+        // must not count as confirmed.
         if changes.cursor != Cursor::default() {
-            self.gate.confirm(asked_ms);
+            self.gate.confirm(requested_ms);
         }
         self.entry.set_hosts(followed.entry_hosts);
         self.link.set_hosts(followed.entry_hosts);
@@ -246,24 +258,26 @@
         self.keepers.set_deputy(deputy.map(HostId::new));
         let leader = HostId::new(&followed.leader);
         if let Some(keeper) = &position.keeper {
-            log.note_confirmed(position.plan.version, keeper, &leader, asked_ms);
+            log.record_confirmed(position.plan.version, keeper, &leader, requested_ms);
         }
-        self.keepers.note_answer(leader);
+        self.keepers.record_answer(leader);
         position.revision = delta.revision;
         position.cursor = changes.cursor;
-        position.tells_digest = followed.asks_digest;
-        position.tells_known = Buckets(followed.asks_known);
+        position.sends_digest = followed.asks_digest;
+        position.requested_buckets = Buckets(followed.asks_known);
     }
 
-    /// Takes in what others heard of limits. A keeper that knows less than this host is told so.
-    fn take_limits(&self, position: &mut Position, limits: &[u8]) {
+    /// Applies the upstream limits that other hosts observed. Where this host knows a newer limit, it
+    /// reports that one.
+    fn apply_limits(&self, position: &mut Position, limits: &[u8]) {
         if limits.is_empty() {
             return;
         }
         let changes = match decode::<LimitChanges>(limits) {
             Ok(changes) => changes,
             Err(error) => {
-                log::error!(target: part::SETTINGS, "Limits of upstreams cannot be read: {error}.");
+                log::error!(target: part::SETTINGS,
+                    "Could not decode the limits of upstreams: {error}");
                 return;
             }
         };
@@ -273,14 +287,14 @@
             match self.directory.learn_limit(&observed) {
                 Noted::Changed => self.link.set_named_limit(&observed),
                 Noted::Unchanged => {}
-                Noted::Outdated(own) => self.link.tell_limit(own),
+                Noted::Outdated(local) => self.link.tell_limit(local),
             }
         }
         position.limits_cursor = changes.cursor;
     }
 
-    /// Puts a plan in force; whether it could be read.
-    fn put_in_force(&self, document: &PlanDocument) -> bool {
+    /// Puts a plan in force. Returns whether it could be parsed.
+    fn activate_plan(&self, document: &PlanDocument) -> bool {
         let version = document.version;
         match self.contract.parse_plan(&document.text) {
             Ok(plan) => {
@@ -290,13 +304,14 @@
                 true
             }
             Err(faults) => {
-                log::error!(target: part::SETTINGS, "Plan {version} cannot be read: {faults}");
+                log::error!(target: part::SETTINGS,
+                    "Could not parse version {version} of the plan: {faults}");
                 false
             }
         }
     }
 
-    /// Sends nothing more to upstreams of some data centres.
+    /// Cordons data centres: no further requests are sent to their upstreams.
     fn set_cordoned(&self, cordoned: BTreeSet<DataCentre>) {
         let names: Vec<_> = cordoned.iter().map(DataCentre::as_str).collect();
         log::info!(target: part::SETTINGS, cordoned = names.join(","); "Cordons are in force");
@@ -305,6 +320,7 @@
         self.directory.set_cordoned(cordoned);
     }
 
+    /// Replaces all engines of the plan, with their limits.
     fn set_engines(&self) {
         if let Some(plan) = self.gate.plan() {
             self.link.set_engines(&plan, &self.directory.records());
@@ -312,19 +328,20 @@
         }
     }
 
-    fn change_engines(&self, changed: &[Record]) {
+    /// Updates the engines whose records changed.
+    fn update_engines(&self, changed: &[Record]) {
         if let Some(plan) = self.gate.plan() {
             self.link.change_engines(&plan, changed);
         }
     }
 }
 
-/// The plan that an answer brings, whole or as an edit of the one that is held.
+/// The new plan in an answer, either complete or as an edit of the current one; `None` if there is none.
 fn new_plan(
     position: &Position,
     delta: &Delta,
     plan_edit: &[u8],
-) -> Result<Option<PlanDocument>, EditFault> {
+) -> Result<Option<PlanDocument>, PlanEditError> {
     if plan_edit.is_empty() {
         return Ok(delta.plan.clone());
     }
@@ -332,11 +349,11 @@
     Ok(Some(edit.apply(&position.plan)?))
 }
 
-/// Why an edit of the plan is of no use.
+/// Why an edit of the plan could not be applied.
 #[derive(Debug, thiserror::Error)]
-enum EditFault {
+enum PlanEditError {
     #[error(transparent)]
-    Unreadable(#[from] PackError),
+    Unpack(#[from] PackError),
     #[error(transparent)]
-    Unfit(#[from] EditError),
+    Apply(#[from] EditError),
 }
--- a/clayplankd/src/follow/news_pages.rs
+++ b/clayplankd/src/follow/news_pages.rs
@@ -1,23 +1,25 @@
-//! News of upstreams as they are sent, packed once for all followers that need the same.
+//! Cache of encoded upstream updates, so that each page is packed once for all followers.
 
 use std::collections::HashMap;
 
 use clayplank_registry::{Changes, Cursor};
 use clayplank_state::{PackError, pack};
 
-/// Packed news by the cursor after which they come, for one state of a registry. Hosts that start
-/// together ask for the same pages.
+/// Packed updates by the cursor that they follow, for one state of a registry. Hosts that start at the
+/// same time request the same pages.
 #[derive(Debug, Default)]
 pub(crate) struct NewsPages {
+    /// Cursor of the registry state to which the cached pages belong.
     newest: Cursor,
-    packed: HashMap<Cursor, Vec<u8>>,
+    pages: HashMap<Cursor, Vec<u8>>,
 }
 
 impl NewsPages {
-    /// The news after a cursor, for a registry that stands at `newest`.
+    /// The packed updates after a cursor, for a registry whose newest cursor is `newest`. `read` reads
+    /// them if they are not cached.
     ///
     /// # Errors
-    /// They cannot be packed.
+    /// The updates cannot be packed.
     pub(crate) fn packed(
         &mut self,
         newest: Cursor,
@@ -26,13 +28,13 @@
     ) -> Result<Vec<u8>, PackError> {
         if self.newest != newest {
             self.newest = newest;
-            self.packed.clear();
+            self.pages.clear();
         }
-        if let Some(bytes) = self.packed.get(&after) {
+        if let Some(bytes) = self.pages.get(&after) {
             return Ok(bytes.clone());
         }
         let bytes = pack(&read())?;
-        self.packed.insert(after, bytes.clone());
+        self.pages.insert(after, bytes.clone());
         Ok(bytes)
     }
 }
--- a/clayplankd/src/follow/plan_edits.rs
+++ b/clayplankd/src/follow/plan_edits.rs
@@ -1,42 +1,43 @@
-//! Plans that were in force lately, and the edits that lead hosts from one to the newest.
+//! Recent serving plans, and the edits that turn each of them into the newest one.
 
 use std::collections::{HashMap, VecDeque};
 
 use clayplank_state::{PlanDocument, PlanEdit};
 
-/// Former plans that are kept: more changes than come while a host is out of touch for some
-/// seconds. Each may have a few hundred kilobytes.
-const KEPT_PLANS: usize = 16;
+/// Maximum number of former plans kept: more than the changes published while a host is disconnected
+/// for some seconds. Each may have a few hundred kilobytes.
+const MAX_FORMER_PLANS: usize = 16;
 
-/// Former plans, and packed edits to the newest.
+/// The newest plan, recent former plans, and the packed edits from them to the newest.
 #[derive(Debug, Default)]
 pub(crate) struct PlanEdits {
+    /// The oldest first.
     former: VecDeque<PlanDocument>,
     newest: Option<PlanDocument>,
-    /// By the version that they lead from, 0 for those that lead from any.
-    packed: HashMap<u64, Vec<u8>>,
+    /// Packed edits by the version that they start from; 0 for the complete plan, which fits any version.
+    packed_edits: HashMap<u64, Vec<u8>>,
 }
 
 impl PlanEdits {
-    /// Takes a plan in, if it is newer than what was known.
+    /// Stores a plan if it is newer than the newest known one.
     pub(crate) fn note(&mut self, document: &PlanDocument) {
         if self.newest.as_ref().is_some_and(|newest| newest.version >= document.version) {
             return;
         }
-        self.packed.clear();
+        self.packed_edits.clear();
         self.former.extend(self.newest.replace(document.clone()));
-        while self.former.len() > KEPT_PLANS {
+        while self.former.len() > MAX_FORMER_PLANS {
             self.former.pop_front();
         }
     }
 
-    /// The edit from a version to this plan, as it is sent, or the whole plan if the version
-    /// is not known any more; `None` if this plan is not the newest.
+    /// The packed edit from a version to this plan, or the complete plan if that version is no longer
+    /// kept. `None` if this plan is not the newest, or the edit cannot be packed.
     pub(crate) fn edit(&mut self, from: u64, document: &PlanDocument) -> Option<Vec<u8>> {
         let newest = self.newest.as_ref().filter(|newest| newest.version == document.version)?;
         let base = self.former.iter().find(|former| former.version == from);
         let from = base.map_or(0, |base| base.version);
-        if let Some(bytes) = self.packed.get(&from) {
+        if let Some(bytes) = self.packed_edits.get(&from) {
             return Some(bytes.clone());
         }
         let edit = match base {
@@ -44,7 +45,7 @@
             None => PlanEdit::whole(newest),
         };
         let bytes = edit.pack().ok()?;
-        self.packed.insert(from, bytes.clone());
+        self.packed_edits.insert(from, bytes.clone());
         Some(bytes)
     }
 }
--- a/clayplankd/src/follow/relay.rs
+++ b/clayplankd/src/follow/relay.rs
@@ -1,9 +1,10 @@
-//! How a keeper confirms, for all of its followers at once, that what it holds is the newest.
+//! Confirmation by the leader that the state of this keeper is up to date, for all its followers at once.
 //!
-//! Entry hosts follow any keeper. One that does not lead asks the leader now and then, and is
-//! confirmed once its own state holds all that was acknowledged before it asked. So a change of
-//! leader costs the next one a call of each keeper: with a call of each host, a leader of hundreds would use its
-//! processor up on them, be late with its own heartbeats, and be replaced before it has answered all.
+//! Entry hosts follow any keeper. A keeper that is not the leader queries the leader in rounds, and its
+//! state is confirmed once it includes all that was acknowledged before the round started. So after a
+//! change of leader, the new leader receives one call from each keeper. With one call from each host, a
+//! leader with hundreds of hosts would spend its processor time on them, send its heartbeats late, and
+//! be replaced before it has answered all calls.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -27,55 +28,59 @@
 use crate::process::logging::part;
 use crate::process::peers::{PeerError, Peers};
 
-/// Between two questions to the leader: an answer of each covers all followers that wait.
-const ROUND_EVERY: Duration = Duration::from_millis(50);
+/// Pause between two rounds. The answer of a round serves all followers that wait.
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time for the leader to answer a keeper.
-const ROUND_PATIENCE: Duration = Duration::from_millis(300);
+/// Time-out of the leader's answer to a round.
+const ROUND_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time for the own replica to apply what the leader had when it answered.
-const APPLY_PATIENCE: Duration = Duration::from_millis(300);
+/// Time-out for the local replica to apply the revision that the leader had when it answered.
+const APPLY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a follower's question waits for a confirmation: an election is over within this time.
-const CONFIRM_PATIENCE: Duration = Duration::from_millis(600);
+/// Longest wait of a follower's request for a confirmation: an election is over within this time.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Between two lines on followers that are not confirmed, in ms.
-const UNCONFIRMED_LINE_EVERY_MS: u64 = 1_000;
+/// Minimum interval between two log lines on unconfirmed followers, in ms.
+const UNCONFIRMED_LOG_INTERVAL_MS: u64 = 1_000;
 
-/// Placements by the lives of the hosts that run them.
+/// Renewed placements, by the incarnation of the host that runs them.
 pub(crate) type Renewals = HashMap<u64, Vec<Renewed>>;
 
-/// The number of a round of questions to the leader. Clocks tell too little: a question of a follower
-/// and the round that answers it may fall into one millisecond.
+/// Number of a round of requests to the leader. Timestamps are too coarse: a follower's request and the
+/// round that answers it may fall into the same millisecond.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Round(u64);
 
-/// What was confirmed last.
+/// The last confirmed round.
 #[derive(Clone, Debug, Default)]
 struct Confirmed {
-    /// All that was acknowledged before this round began is held here.
+    /// The local state includes all that was acknowledged before this round started.
     round: Round,
     leader: Option<HostId>,
 }
 
-/// Up to where this keeper knows the leader's registry.
+/// Progress of this keeper in following the leader's registry.
 #[derive(Debug, Default)]
 struct Position {
     leader: Option<HostId>,
+    /// Cursor of the applied upstream updates.
     cursor: Cursor,
-    tells_digest: bool,
-    tells_known: Buckets,
+    /// Whether the leader requested a digest of what this keeper knows.
+    sends_digest: bool,
+    /// Buckets of upstreams for which the leader requested what this keeper knows.
+    requested_buckets: Buckets,
+    /// Cursor of the applied changes of upstream limits.
     limits_cursor: Cursor,
 }
 
-/// Why a round confirmed nothing.
+/// Why a round brought no confirmation.
 #[derive(Debug, thiserror::Error)]
 enum RoundError {
     #[error("no keeper leads")]
     NoLeader,
     #[error("the keeper is stopping")]
     Stopping,
-    #[error("the own replica did not apply in time what the leader has")]
+    #[error("the local replica did not apply the leader's revision in time")]
     Behind,
     #[error(transparent)]
     Peer(#[from] PeerError),
@@ -85,51 +90,54 @@
     Packed(#[from] PackError),
 }
 
-/// Confirms what a keeper holds.
+/// Confirms the state of a keeper and shares the confirmations among its followers.
 pub(crate) struct Relay {
-    own: HostId,
+    local_host: HostId,
     keeper: Address<Keeper>,
     fleet: Arc<FleetKeeper>,
     peers: Peers,
     applied: watch::Receiver<Applied>,
     times: FollowTimes,
-    wanted: Notify,
+    /// Notified when a follower waits for a round.
+    round_requested: Notify,
     confirmed: watch::Sender<Confirmed>,
     rounds: RoundCounts,
-    /// When a follower that was not confirmed was last told of in the log.
-    told_ms: AtomicU64,
+    /// Time, in ms, of the last log line on an unconfirmed follower; 0 before the first.
+    unconfirmed_logged_ms: AtomicU64,
     renewals: Mutex<PendingRenewals>,
 }
 
-/// How many rounds there were.
+/// Numbers of started, confirmed and failed rounds.
 #[derive(Debug, Default)]
 struct RoundCounts {
-    begun: AtomicU64,
+    started: AtomicU64,
     confirmed: AtomicU64,
     failed: AtomicU64,
 }
 
 impl RoundCounts {
-    fn begin(&self) -> Round {
-        Round(self.begun.fetch_add(1, Ordering::SeqCst) + 1)
+    fn start(&self) -> Round {
+        Round(self.started.fetch_add(1, Ordering::SeqCst) + 1)
     }
 
-    fn ended(&self) -> (u64, u64) {
+    /// Numbers of confirmed and of failed rounds.
+    fn finished(&self) -> (u64, u64) {
         (self.confirmed.load(Ordering::SeqCst), self.failed.load(Ordering::SeqCst))
     }
 }
 
-/// What hosts told of their placements since the last round.
+/// Renewed placements that hosts reported since the last round.
 #[derive(Debug, Default)]
 struct PendingRenewals {
-    by_life: Renewals,
-    /// Lives that had placements when they told last: the leader has to know when there is none.
+    by_incarnation: Renewals,
+    /// Incarnations with placements in their last report: the leader must be told when they have none
+    /// any more.
     busy: HashSet<u64>,
 }
 
 impl Relay {
     pub(crate) fn new(
-        own: HostId,
+        local_host: HostId,
         keeper: Address<Keeper>,
         fleet: Arc<FleetKeeper>,
         peers: Peers,
@@ -137,73 +145,73 @@
         times: FollowTimes,
     ) -> Self {
         Self {
-            own,
+            local_host,
             keeper,
             fleet,
             peers,
             applied,
             times,
-            wanted: Notify::new(),
+            round_requested: Notify::new(),
             confirmed: watch::Sender::new(Confirmed::default()),
             rounds: RoundCounts::default(),
-            told_ms: AtomicU64::new(0),
+            unconfirmed_logged_ms: AtomicU64::new(0),
             renewals: Mutex::default(),
         }
     }
 
     /// The host of this keeper.
-    pub(crate) fn own(&self) -> &HostId {
-        &self.own
+    pub(crate) fn local_host(&self) -> &HostId {
+        &self.local_host
     }
 
-    /// Takes in what a life of a host runs, for the leader.
-    pub(crate) fn note_renewed(&self, life: u64, renewed: Vec<Renewed>) {
+    /// Records the placements that an incarnation of a host runs, for the next report to the leader.
+    pub(crate) fn record_renewals(&self, incarnation: u64, renewed: Vec<Renewed>) {
         let mut pending = lock(&self.renewals);
         let was_busy = if renewed.is_empty() {
-            pending.busy.remove(&life)
+            pending.busy.remove(&incarnation)
         } else {
-            !pending.busy.insert(life)
+            !pending.busy.insert(incarnation)
         };
         if was_busy || !renewed.is_empty() {
-            pending.by_life.insert(life, renewed);
+            pending.by_incarnation.insert(incarnation, renewed);
         }
     }
 
-    /// Waits until there is something new for a follower, for some time at most: a change of the
-    /// state, of the registry, or of the leader.
-    pub(crate) async fn wait_for_news(&self, revision: u64, cursor: Cursor) {
+    /// Waits until the state, the registry or the leader changes, at most for the hold time. Returns at once
+    /// for a follower without state.
+    pub(crate) async fn wait_for_updates(&self, revision: u64, cursor: Cursor) {
         let mut registry = self.fleet.subscribe();
         let mut applied = self.applied.clone();
         let mut confirmed = self.confirmed.subscribe();
         let leader = confirmed.borrow_and_update().leader.clone();
-        let has_news = *registry.borrow_and_update() != cursor;
-        if has_news || revision == 0 {
+        let has_updates = *registry.borrow_and_update() != cursor;
+        if has_updates || revision == 0 {
             return;
         }
-        let news = async {
+        let updates = async {
             tokio::select! {
                 _ = registry.changed() => {}
                 _ = applied.wait_for(|applied| applied.revision > revision) => {}
                 _ = confirmed.wait_for(|confirmed| confirmed.leader != leader) => {}
             }
         };
-        // Without news the follower is told that there is none.
-        clayplank_clock::timeout(millis(self.times.hold_ms), news).await.ok();
+        // After the time-out the follower is answered without updates.
+        clayplank_clock::timeout(millis(self.times.hold_ms), updates).await.ok();
     }
 
-    /// The newest round that has begun.
+    /// The newest started round.
     pub(crate) fn newest_round(&self) -> Round {
-        Round(self.rounds.begun.load(Ordering::SeqCst))
+        Round(self.rounds.started.load(Ordering::SeqCst))
     }
 
-    /// Waits until a round is confirmed that began after another one; returns who leads, or `None` if that is
-    /// not known in time.
+    /// Waits until a round later than `round` is confirmed. Returns the leader, or `None` if no such round is
+    /// confirmed in time.
     pub(crate) async fn confirm_after(&self, round: Round) -> Option<HostId> {
         let mut confirmed = self.confirmed.subscribe();
-        let before = self.rounds.ended();
-        self.wanted.notify_one();
+        let before = self.rounds.finished();
+        self.round_requested.notify_one();
         let is_later = confirmed.wait_for(|confirmed| confirmed.round > round);
-        match clayplank_clock::timeout(CONFIRM_PATIENCE, is_later).await {
+        match clayplank_clock::timeout(CONFIRM_TIMEOUT, is_later).await {
             Ok(confirmed) => confirmed.ok()?.leader.clone(),
             Err(_) => {
                 self.log_unconfirmed(before);
@@ -212,15 +220,16 @@
         }
     }
 
-    /// Tells, now and then, that a follower was not confirmed, and which rounds ran while it waited.
+    /// Logs that a follower was not confirmed, with the numbers of rounds that finished while it waited.
+    /// Lines that would follow too early are omitted.
     fn log_unconfirmed(&self, before: (u64, u64)) {
         let now_ms = now_ms();
-        let told_ms = self.told_ms.load(Ordering::SeqCst);
-        if told_ms > 0 && now_ms < told_ms + UNCONFIRMED_LINE_EVERY_MS {
+        let logged_ms = self.unconfirmed_logged_ms.load(Ordering::SeqCst);
+        if logged_ms > 0 && now_ms < logged_ms + UNCONFIRMED_LOG_INTERVAL_MS {
             return;
         }
-        self.told_ms.store(now_ms, Ordering::SeqCst);
-        let (confirmed, failed) = self.rounds.ended();
+        self.unconfirmed_logged_ms.store(now_ms, Ordering::SeqCst);
+        let (confirmed, failed) = self.rounds.finished();
         let leader = self.applied.borrow().leader.clone();
         log::warn!(target: part::KEEPER,
             leader = leader.as_ref().map_or("", HostId::as_str),
@@ -228,56 +237,62 @@
             "A follower is not confirmed");
     }
 
-    /// One question to the leader, or to the own keeper if it leads.
+    /// Runs one round: a request to the leader, or to the local keeper if that is the leader.
     async fn run_round(&self, position: &mut Position) -> Result<HostId, RoundError> {
         let leader = self.applied.borrow().leader.clone().ok_or(RoundError::NoLeader)?;
-        if leader == self.own {
-            self.confirm_own().await?;
+        if leader == self.local_host {
+            self.confirm_local_leadership().await?;
         } else {
-            self.ask_leader(&leader, position).await?;
+            self.follow_leader(&leader, position).await?;
         }
-        self.fleet.keepers().note_answer(leader.clone());
+        self.fleet.keepers().record_answer(leader.clone());
         Ok(leader)
     }
 
-    /// Has the own keeper confirm that it still leads.
-    async fn confirm_own(&self) -> Result<(), RoundError> {
+    /// Has the local keeper confirm that it is still the leader.
+    async fn confirm_local_leadership(&self) -> Result<(), RoundError> {
         let renewals = self.take_renewals();
         self.fleet.renew_all(&renewals);
         let applied_revision = self.applied.borrow().revision;
-        let watch = Watch { host: self.own.clone(), applied_revision, wait_ms: 0 };
+        let watch = Watch { host: self.local_host.clone(), applied_revision, wait_ms: 0 };
         let answer = self.keeper.send(watch).await.map_err(|_| RoundError::Stopping)?;
-        match clayplank_clock::timeout(ROUND_PATIENCE, answer).await {
+        match clayplank_clock::timeout(ROUND_TIMEOUT, answer).await {
             Ok(Ok(Watched::Delta(_))) => Ok(()),
             Ok(Ok(Watched::NotLeader(_))) | Err(_) => Err(RoundError::NoLeader),
             Ok(Err(_)) => Err(RoundError::Stopping),
         }
     }
 
-    /// Asks the leader what this keeper lacks of its registry, and waits for the rest in the own log.
-    async fn ask_leader(&self, leader: &HostId, position: &mut Position) -> Result<(), RoundError> {
+    /// Requests registry updates from the leader, and waits until the local replica has applied the
+    /// leader's revision.
+    async fn follow_leader(
+        &self,
+        leader: &HostId,
+        position: &mut Position,
+    ) -> Result<(), RoundError> {
         let request = self.request(leader, position)?;
         let call = self
             .peers
-            .call(leader, ROUND_PATIENCE, |mut client| async move { client.follow(request).await });
+            .call(leader, ROUND_TIMEOUT, |mut client| async move { client.follow(request).await });
         let Some(follow_reply::Result::Followed(followed)) = call.await?.result else {
             return Err(RoundError::NoLeader);
         };
         position.leader = Some(leader.clone());
-        self.take_answer(position, &followed)?;
+        self.apply_answer(position, &followed)?;
         let revision = decode::<Delta>(&followed.delta)?.revision;
         let mut applied = self.applied.clone();
         let is_applied = applied.wait_for(|applied| applied.revision >= revision);
-        match clayplank_clock::timeout(APPLY_PATIENCE, is_applied).await {
+        match clayplank_clock::timeout(APPLY_TIMEOUT, is_applied).await {
             Ok(Ok(_)) => Ok(()),
             Ok(Err(_)) => Err(RoundError::Stopping),
             Err(_) => Err(RoundError::Behind),
         }
     }
 
+    /// The request for updates after a position, with the pending renewals.
     fn request(&self, leader: &HostId, position: &Position) -> Result<FollowRequest, CodecError> {
-        let is_new = position.leader.as_ref().is_some_and(|former| former != leader);
-        let digest = if is_new || position.tells_digest {
+        let is_other_leader = position.leader.as_ref().is_some_and(|former| former != leader);
+        let digest = if is_other_leader || position.sends_digest {
             encode(&self.fleet.digest())?
         } else {
             Vec::new()
@@ -287,10 +302,10 @@
             renewals: encode(&self.take_renewals())?,
         };
         Ok(FollowRequest {
-            from_host: self.own.to_string(),
+            from_host: self.local_host.to_string(),
             applied_revision: self.applied.borrow().revision,
             cursor: encode(&position.cursor)?,
-            known: encode(&self.fleet.heartbeats_in(position.tells_known))?,
+            known: encode(&self.fleet.heartbeats_in(position.requested_buckets))?,
             digest,
             keeper: Some(keeper),
             limits_cursor: encode(&position.limits_cursor)?,
@@ -298,7 +313,8 @@
         })
     }
 
-    fn take_answer(&self, position: &mut Position, followed: &Followed) -> Result<(), RoundError> {
+    /// Applies the leader's answer.
+    fn apply_answer(&self, position: &mut Position, followed: &Followed) -> Result<(), RoundError> {
         let changes: Changes = unpack(&followed.changes)?;
         let heartbeats: Vec<_> =
             changes.records.into_iter().map(|record| record.heartbeat).collect();
@@ -314,31 +330,31 @@
         let deputy = Some(&followed.deputy).filter(|host| !host.is_empty());
         keepers.set_deputy(deputy.map(HostId::new));
         position.cursor = changes.cursor;
-        position.tells_digest = followed.asks_digest;
-        position.tells_known = Buckets(followed.asks_known);
+        position.sends_digest = followed.asks_digest;
+        position.requested_buckets = Buckets(followed.asks_known);
         Ok(())
     }
 
     fn take_renewals(&self) -> Renewals {
-        std::mem::take(&mut lock(&self.renewals).by_life)
+        std::mem::take(&mut lock(&self.renewals).by_incarnation)
     }
 }
 
-/// Asks the leader whenever a follower waits, and as soon as another one leads.
+/// Runs a round whenever a follower waits, and as soon as the leader changes.
 pub(crate) async fn run_relay(relay: Arc<Relay>) {
     let mut position = Position::default();
     let mut applied = relay.applied.clone();
     loop {
         let known = relay.confirmed.borrow().leader.clone();
         tokio::select! {
-            () = relay.wanted.notified() => {}
+            () = relay.round_requested.notified() => {}
             changed = applied.wait_for(|now| now.leader.is_some() && now.leader != known) => {
                 if changed.is_err() {
                     return;
                 }
             }
         }
-        let round = relay.rounds.begin();
+        let round = relay.rounds.start();
         match relay.run_round(&mut position).await {
             Ok(leader) => {
                 relay.rounds.confirmed.fetch_add(1, Ordering::SeqCst);
@@ -346,11 +362,12 @@
             }
             Err(cause) => {
                 relay.rounds.failed.fetch_add(1, Ordering::SeqCst);
-                log::debug!(target: part::KEEPER, "Followers are not confirmed: {cause}.");
-                // Who waits still does.
-                relay.wanted.notify_one();
+                log::debug!(target: part::KEEPER,
+                    "A round brought no confirmation for the followers: {cause}");
+                // The followers still wait, so another round is needed.
+                relay.round_requested.notify_one();
             }
         }
-        clayplank_clock::sleep(ROUND_EVERY).await;
+        clayplank_clock::sleep(ROUND_INTERVAL).await;
     }
 }
--- a/clayplankd/src/follow/settings_watch.rs
+++ b/clayplankd/src/follow/settings_watch.rs
@@ -1,4 +1,4 @@
-//! Settings in force on this host, and how long they may be used.
+//! Settings in force on this host, and the lease for which they may be used.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,11 +12,11 @@
 use crate::process::host::Host;
 use crate::process::logging::part;
 
-/// The newest settings, and when they were confirmed.
+/// The newest settings, and the time of their last confirmation.
 #[derive(Debug)]
 pub(crate) struct CurrentSettings {
     view: ArcSwap<SettingsView>,
-    /// When the confirmation was asked for, plus one; 0 before the first.
+    /// Time, in ms, at which the last confirmation was requested, plus one; 0 before the first.
     confirmed_ms: AtomicU64,
     lease_ms: u64,
 }
@@ -26,7 +26,7 @@
         Self { view: ArcSwap::default(), confirmed_ms: AtomicU64::new(0), lease_ms }
     }
 
-    /// The settings, if they were confirmed within the lease.
+    /// The settings, if their last confirmation is within the lease.
     pub(crate) fn confirmed(&self) -> Option<Arc<SettingsView>> {
         self.is_confirmed().then(|| self.view.load_full())
     }
@@ -42,18 +42,19 @@
     }
 }
 
-/// Follows the settings. The lease counts from when the keeper that confirmed
-/// was asked, not from when its answer came: on the way it may have been held up.
-pub(crate) async fn run_settings_watch(host: Arc<Host>, own: HostId) {
+/// Keeps the settings up to date. The lease counts from the time at which the confirmation was
+/// requested, not from its arrival: the answer may have been delayed on its way.
+pub(crate) async fn run_settings_watch(host: Arc<Host>, local_host: HostId) {
     let current = &host.current;
-    let patience = millis(WATCH_WAIT_MS + current.lease_ms);
+    let timeout = millis(WATCH_WAIT_MS + current.lease_ms);
     loop {
         let applied = current.view();
-        let watched = host.keepers.watch(&own, applied.revision(), patience).await;
-        let (mut delta, asked_ms) = match watched {
+        let result = host.keepers.watch(&local_host, applied.revision(), timeout).await;
+        let (mut delta, requested_ms) = match result {
             Ok(answer) => answer,
             Err(error) => {
-                log::warn!(target: part::SETTINGS, "The settings are not confirmed: {error}.");
+                log::warn!(target: part::SETTINGS,
+                    "The keepers did not confirm the settings: {error}");
                 continue;
             }
         };
@@ -63,13 +64,15 @@
         if !delta.items.is_empty() || delta.revision > applied.revision() {
             let mut next = SettingsView::clone(&applied);
             let (revision, count) = (delta.revision, delta.items.len());
-            if let Err(stale) = next.apply(delta) {
-                log::error!(target: part::SETTINGS, "Settings were not taken: {stale}.");
+            if let Err(error) = next.apply(delta) {
+                log::error!(target: part::SETTINGS,
+                    "Could not apply an update of the settings: {error}");
                 continue;
             }
-            log::info!(target: part::SETTINGS, "Revision {revision} is in force, {count} settings changed.");
+            log::info!(target: part::SETTINGS,
+                "Applied revision {revision} of the settings, which changed {count} of them.");
             current.view.store(Arc::new(next));
         }
-        current.confirmed_ms.store(asked_ms + 1, Ordering::SeqCst);
+        current.confirmed_ms.store(requested_ms + 1, Ordering::SeqCst);
     }
 }
--- a/clayplankd/src/keepers.rs
+++ b/clayplankd/src/keepers.rs
@@ -1,4 +1,5 @@
-//! Keepers: the replicated log on this host, and how its leader is found and asked.
+//! Keepers, the hosts with a replica of the replicated state: the replica on this host, and the
+//! client that finds the leader and sends requests to it.
 
 pub(crate) mod first_start;
 pub(crate) mod full_disk;
--- a/clayplankd/src/keepers/first_start.rs
+++ b/clayplankd/src/keepers/first_start.rs
@@ -1,18 +1,19 @@
-//! Whether a disk was there when the whole system started for the first time.
+//! Persistent note that this disk was present when the complete system started for the first time.
 //!
-//! Only the first start of a process is told so. One that ends before the log is begun has to know
-//! it still when it comes back: else it would be taken for one that has lost its disk, and if
-//! most are, nobody may begin. The note is lost with the disk, as it should be.
+//! Only the first process started on a host is given that information. A process that terminates
+//! before the replicated log is created must still know it after a restart: without the note it
+//! would be taken for a keeper that lost its disk, and if that holds for a majority, no keeper may
+//! create the log. The note is deliberately lost together with the disk.
 
 use clayplank_agreement::{Notes, StoreError};
 
-/// The note that says so.
+/// File name of the note.
 const FILE: &str = "first_start";
 
-/// Notes a first start, or recalls one that was noted.
+/// Saves the note on the first start; on later starts, returns whether it was saved.
 ///
 /// # Errors
-/// The disk is full, or the note is damaged.
+/// The disk is full, or the saved note is corrupt.
 pub(crate) fn recall_first_start(notes: &Notes, is_first_start: bool) -> Result<bool, StoreError> {
     if is_first_start {
         notes.save(FILE, &true)?;
--- a/clayplankd/src/keepers/full_disk.rs
+++ b/clayplankd/src/keepers/full_disk.rs
@@ -1,4 +1,4 @@
-//! A disk without room: waits, and says so once.
+//! Waits for space on a full disk, logging the start and the end of the wait once each.
 
 use std::time::Duration;
 
@@ -7,17 +7,19 @@
 use crate::process::clock::now_ms;
 use crate::process::logging::part;
 
-/// Between two tries: short beside the seconds that a full disk takes to be cleared.
+/// Pause between two write attempts: short compared with the seconds that it takes to free space on
+/// a full disk.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// How long a disk has been full, if it is.
+/// State of a write that is retried while the disk is full.
 #[derive(Debug, Default)]
 pub(crate) struct FullDisk {
+    /// Time of the first attempt that found the disk full, in ms; `None` while the disk has space.
     since_ms: Option<u64>,
 }
 
 impl FullDisk {
-    /// Waits before the next try.
+    /// Waits before the next write attempt.
     pub(crate) async fn wait(&mut self, error: &StoreError) {
         if self.since_ms.is_none() {
             self.since_ms = Some(now_ms());
@@ -26,10 +28,11 @@
         clayplank_clock::sleep(RETRY_PAUSE).await;
     }
 
-    /// Notes that a write went through.
+    /// Records that a write succeeded.
     pub(crate) fn note_room(&mut self) {
         if let Some(since_ms) = self.since_ms.take() {
-            log::info!(target: part::KEEPER, waited_ms = now_ms() - since_ms; "The disk has room again");
+            log::info!(target: part::KEEPER, waited_ms = now_ms() - since_ms;
+                "The disk has room again");
         }
     }
 }
--- a/clayplankd/src/keepers/keeper.rs
+++ b/clayplankd/src/keepers/keeper.rs
@@ -1,7 +1,7 @@
-//! The keeper: a replica of the log, its disk, and the state that it drives.
+//! The keeper actor: a replica of the log, its storage, and the state machine that it drives.
 //!
-//! Messages change the replica; once the mailbox is empty, one write and one
-//! sync cover them all. Only then are messages sent and replies given.
+//! Messages change the replica in memory. Once the mailbox is empty, one write and one sync persist
+//! the changes of all of them; only then are messages to peers and replies sent.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -19,126 +19,136 @@
 use crate::process::clock::now_ms;
 use crate::process::logging::part;
 
-/// Messages that are handled before a write, though more are waiting.
-const MAX_BATCH: usize = 512;
+/// Maximum number of messages that are handled before a write although more are queued.
+const MAX_BATCH_MESSAGES: usize = 512;
 
-/// The log file is replaced by a snapshot when it is larger than this, in bytes.
+/// Default size of the log file, in bytes, above which a snapshot replaces it.
 const COMPACT_BYTES: u64 = 32 << 20;
 
-/// The log in memory is replaced by one when it has more entries than this.
+/// Number of log entries in memory at which a snapshot replaces them.
 const COMPACT_ENTRIES: usize = 20_000;
 
-/// The same limit, in bytes, of a keeper whose entries are whole plans: a few hundred
-/// kilobytes each, in 128 MB of disk.
+/// Size limit of the log file, in bytes, for a keeper whose entries are complete plans: each has a
+/// few hundred kilobytes, and the disk has 128 MB.
 const COMPACT_PLANS_BYTES: u64 = 8 << 20;
 
-/// How long, in ms, a new leader waits for enough voters before it takes a plan with fewer.
+/// Time after an election, in ms, during which the new leader refuses plans while it has too few
+/// voters. After it, plans are accepted with fewer.
 const VOTERS_GRACE_MS: u64 = 4_000;
 
-/// A watch that has no reply yet.
+/// A watch request without a reply yet.
 pub(crate) struct PendingWatch {
     pub(crate) host: HostId,
     pub(crate) applied_revision: u64,
-    pub(crate) due_ms: u64,
+    pub(crate) deadline_ms: u64,
     pub(crate) reply: oneshot::Sender<Watched>,
 }
 
-/// A command that is not applied yet.
+/// A proposed command that is not applied yet.
 pub(crate) struct PendingCommand {
     pub(crate) term: u64,
     pub(crate) reply: oneshot::Sender<Executed>,
 }
 
-/// A command that is applied, and not yet on as many disks as its acknowledgement promises.
+/// A command that is applied, but not yet synced to as many disks as its acknowledgement guarantees.
 struct UnderReplicated {
     index: u64,
     reply: Reply,
     to: oneshot::Sender<Executed>,
 }
 
-/// How far a keeper is: what it has applied, and whom it hears.
+/// State applied by this replica, and the leader that it knows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Applied {
-    /// The newest revision of its state.
+    /// Revision of the applied state.
     pub(crate) revision: u64,
-    /// Who leads, as far as it knows.
+    /// The leader, as far as this replica knows.
     pub(crate) leader: Option<HostId>,
+    /// Newest applied serving plan.
     pub(crate) plan: Option<PlanDocument>,
-    /// Data centres whose upstreams get nothing.
+    /// Data centres whose upstreams receive no requests.
     pub(crate) cordoned: BTreeSet<DataCentre>,
 }
 
-/// Somebody who waits for a leader to speak.
-pub(crate) struct PendingLeader {
-    pub(crate) asked_ms: u64,
-    pub(crate) due_ms: u64,
+/// A request that waits until this replica hears from a leader.
+pub(crate) struct PendingLeaderQuery {
+    pub(crate) requested_ms: u64,
+    pub(crate) deadline_ms: u64,
     pub(crate) reply: oneshot::Sender<Option<HostId>>,
 }
 
-/// The actor.
+/// Actor that owns the replica, its storage and the state machine.
 #[derive(xtra::Actor)]
 pub(crate) struct Keeper {
+    /// `None` while a write or a compaction runs on a blocking thread.
     pub(crate) store: Option<Store>,
     pub(crate) options: Options,
-    /// Whether this disk was there when the whole system started for the first time.
+    /// Whether this disk was present when the complete system started for the first time: only then
+    /// may this keeper create the log.
     pub(crate) may_begin: bool,
-    /// `None` until the log was begun or is received.
+    /// `None` until the log is created here or received from a peer, and after a disk failure.
     pub(crate) replica: Option<Replica>,
     pub(crate) machine: Machine,
     applied_index: u64,
+    /// Commands proposed here, by log index.
     pub(crate) commands: BTreeMap<u64, PendingCommand>,
-    /// Commands that wait for more copies, the oldest first.
+    /// Applied commands that wait for more synced copies, the oldest first.
     under_replicated: VecDeque<UnderReplicated>,
     pub(crate) watches: Vec<PendingWatch>,
-    pub(crate) leader_watches: Vec<PendingLeader>,
+    pub(crate) leader_queries: Vec<PendingLeaderQuery>,
+    /// Watches that wait for their linearizable read.
     reads: HashMap<ReadId, Vec<PendingWatch>>,
+    /// Revision in force on each host that watches this leader.
     pub(crate) in_force: BTreeMap<HostId, u64>,
     outbox: mpsc::UnboundedSender<Envelope>,
-    failed: mpsc::Sender<StoreError>,
-    batched: usize,
+    disk_failed: mpsc::Sender<StoreError>,
+    /// Messages handled since the last write.
+    batched_messages: usize,
     sizing: Sizing,
     applied: watch::Sender<Applied>,
+    /// Time at which this keeper became leader, in ms; `None` while it does not lead.
     led_since_ms: Option<u64>,
     log: KeeperLog,
 }
 
-/// What a keeper does not find in the log itself.
+/// Settings of a keeper that are not part of the replicated log.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sizing {
-    /// The log file is replaced by a snapshot when it is larger than this.
+    /// Size of the log file, in bytes, above which a snapshot replaces it.
     pub(crate) compact_bytes: u64,
-    /// Voters that a plan waits for, so that it survives the losses that are tolerated.
-    pub(crate) wanted_voters: usize,
-    /// Disks that a command has to be on before it is acknowledged, if there are as many voters.
-    wanted_copies: usize,
+    /// Number of voters that a plan requires, so that it survives the tolerated losses.
+    pub(crate) required_voters: usize,
+    /// Number of disks that must have synced a command before it is acknowledged, capped by the
+    /// number of voters.
+    required_copies: usize,
 }
 
 impl Default for Sizing {
     fn default() -> Self {
-        Self { compact_bytes: COMPACT_BYTES, wanted_voters: 0, wanted_copies: 0 }
+        Self { compact_bytes: COMPACT_BYTES, required_voters: 0, required_copies: 0 }
     }
 }
 
 impl Sizing {
-    /// For a log of whole plans that survives the loss of `losses` disks.
+    /// Settings for a log of complete plans that survives the loss of `losses` disks.
     pub(crate) fn of_plans(losses: usize) -> Self {
         Self {
             compact_bytes: COMPACT_PLANS_BYTES,
-            wanted_voters: 2 * losses + 1,
-            wanted_copies: losses + 1,
+            required_voters: 2 * losses + 1,
+            required_copies: losses + 1,
         }
     }
 }
 
 impl Keeper {
-    /// Starts from what the disk holds.
+    /// Creates a keeper from the state loaded from disk, if there is one.
     pub(crate) fn new(
         store: Store,
         state: Option<StoredState>,
         options: Options,
         sizing: Sizing,
         outbox: mpsc::UnboundedSender<Envelope>,
-        failed: mpsc::Sender<StoreError>,
+        disk_failed: mpsc::Sender<StoreError>,
     ) -> Self {
         let id = store.identity().id.clone();
         let mut keeper = Self {
@@ -151,89 +161,93 @@
             commands: BTreeMap::new(),
             under_replicated: VecDeque::new(),
             watches: Vec::new(),
-            leader_watches: Vec::new(),
+            leader_queries: Vec::new(),
             reads: HashMap::new(),
             in_force: BTreeMap::new(),
             outbox,
-            failed,
-            batched: 0,
+            disk_failed,
+            batched_messages: 0,
             sizing,
             applied: watch::Sender::new(Applied::default()),
             led_since_ms: None,
             log: KeeperLog::default(),
         };
         if let Some(state) = state {
-            keeper.load(&state);
+            keeper.load_state(&state);
             keeper.replica = Some(Replica::new(id, state, options, now_ms()));
         }
         keeper
     }
 
-    /// Lets this keeper begin a log, or be counted on when another one does.
+    /// Sets whether this keeper may create the log, or may be a member of a log that a peer creates.
     pub(crate) fn with_may_begin(mut self, may_begin: bool) -> Self {
         self.may_begin = may_begin;
         self
     }
 
-    /// Takes the state over that a log begins with.
-    pub(crate) fn load(&mut self, state: &StoredState) {
+    /// Loads the state with which a log starts.
+    pub(crate) fn load_state(&mut self, state: &StoredState) {
         self.machine = load_machine(&state.snapshot.data);
         self.applied_index = state.snapshot.last.index;
-        self.tell_applied();
+        self.publish_applied();
     }
 
-    /// How far this keeper is, as it changes.
+    /// Subscribes to changes of the applied state and the known leader.
     pub(crate) fn applied(&self) -> watch::Receiver<Applied> {
         self.applied.subscribe()
     }
 
-    fn tell_applied(&mut self) {
+    fn publish_applied(&mut self) {
         let leader = self.leader_host();
         let revision = self.machine.revision();
         let (plan, cordoned) = (self.machine.plan(), self.machine.cordoned());
-        self.applied.send_if_modified(|held| {
-            let is_new = held.revision != revision || held.leader != leader;
+        self.applied.send_if_modified(|current| {
+            let is_new = current.revision != revision || current.leader != leader;
             if is_new {
                 let (plan, cordoned) = (plan.cloned(), cordoned.clone());
-                *held = Applied { revision, leader, plan, cordoned };
+                *current = Applied { revision, leader, plan, cordoned };
             }
             is_new
         });
     }
 
-    /// Writes, sends and applies, unless more messages wait.
+    /// Persists, sends and applies pending changes, unless more messages are queued and the batch is
+    /// not full.
     pub(crate) async fn flush(&mut self, context: &Context<Self>) {
-        self.batched += 1;
-        let more_waits = !context.mailbox().address().is_empty();
-        if more_waits && self.batched < MAX_BATCH {
+        self.batched_messages += 1;
+        let has_more_messages = !context.mailbox().address().is_empty();
+        if has_more_messages && self.batched_messages < MAX_BATCH_MESSAGES {
             return;
         }
-        self.batched = 0;
+        self.batched_messages = 0;
         self.start_due_watches();
         while let Some(ready) = self.take_ready() {
-            if !self.carry_out(ready).await {
+            if !self.process_ready(ready).await {
                 return;
             }
         }
-        self.answer_replicated_commands();
-        self.tell_applied();
-        self.log.tell(self.replica.as_ref(), now_ms());
-        self.answer_leader_watches();
+        self.acknowledge_replicated_commands();
+        self.publish_applied();
+        self.log.log_changes(self.replica.as_ref(), now_ms());
+        self.answer_leader_queries();
         self.compact_if_large().await;
     }
 
-    /// Tells those who wait for a leader which one spoke, or that none did in time.
-    fn answer_leader_watches(&mut self) {
+    /// Answers the requests that wait for a leader: with the leader that was heard since they came, or
+    /// with `None` at their deadlines.
+    fn answer_leader_queries(&mut self) {
         let now_ms = now_ms();
-        let waiting = std::mem::take(&mut self.leader_watches);
-        for watch in waiting {
-            let heard =
-                self.replica.as_ref().and_then(|one| one.leader_heard_after(watch.asked_ms));
+        let waiting = std::mem::take(&mut self.leader_queries);
+        for query in waiting {
+            let heard = self
+                .replica
+                .as_ref()
+                .and_then(|replica| replica.leader_heard_after(query.requested_ms));
             let leader = heard.map(|id| HostId::new(id.host.clone()));
-            if leader.is_some() || now_ms >= watch.due_ms {
-                watch.reply.send(leader).ok();
+            if leader.is_some() || now_ms >= query.deadline_ms {
+                query.reply.send(leader).ok();
             } else {
-                self.leader_watches.push(watch);
+                self.leader_queries.push(query);
             }
         }
     }
@@ -243,7 +257,7 @@
         (!ready.is_empty()).then_some(ready)
     }
 
-    async fn carry_out(&mut self, ready: Ready) -> bool {
+    async fn process_ready(&mut self, ready: Ready) -> bool {
         let written = ready.last_written();
         let Some(ready) = self.write(ready).await else {
             return false;
@@ -261,17 +275,18 @@
         for entry in &ready.committed {
             self.apply(entry);
         }
-        self.tell_applied();
-        self.log.tell(self.replica.as_ref(), now_ms());
-        self.note_leadership();
+        self.publish_applied();
+        self.log.log_changes(self.replica.as_ref(), now_ms());
+        self.record_leadership();
         self.finish_reads(&ready.reads);
-        self.drop_waiters_if_deposed();
+        self.fail_waiters_if_not_leader();
         self.start_due_watches();
         true
     }
 
-    /// Writes off the runtime's threads. While the disk is full this keeper says nothing, as
-    /// one whose disk stalls: the others go on without it. Any other failure ends the process.
+    /// Writes on a blocking thread. While the disk is full, this keeper retries and neither sends nor
+    /// replies, like a keeper whose disk stalls: its peers continue without it. Any other disk failure
+    /// terminates the process.
     async fn write(&mut self, mut ready: Ready) -> Option<Ready> {
         if !ready.must_sync() {
             return Some(ready);
@@ -284,9 +299,9 @@
                 let result = store.write(&ready, &hard_state);
                 (store, ready, result)
             });
-            let (store, tried, result) = task.await.ok()?;
+            let (store, returned, result) = task.await.ok()?;
             self.store = Some(store);
-            ready = tried;
+            ready = returned;
             match result {
                 Ok(()) => {
                     full.note_room();
@@ -294,18 +309,19 @@
                 }
                 Err(error) if error.is_full() => full.wait(&error).await,
                 Err(error) => {
-                    self.fail(error);
+                    self.stop_on_disk_failure(error);
                     return None;
                 }
             }
         }
     }
 
-    /// Stops for good: nothing can be written any more.
-    pub(crate) fn fail(&mut self, error: StoreError) {
-        log::error!(target: part::KEEPER, "The disk failed: {error}.");
+    /// Stops this replica permanently and reports the disk failure, which ends the process.
+    pub(crate) fn stop_on_disk_failure(&mut self, error: StoreError) {
+        log::error!(target: part::KEEPER,
+            "Writing to the disk failed, stopping this replica: {error}");
         self.replica = None;
-        self.failed.try_send(error).ok();
+        self.disk_failed.try_send(error).ok();
     }
 
     fn apply(&mut self, entry: &Entry) {
@@ -328,70 +344,73 @@
                     to: pending.reply,
                 });
             }
-            // Another leader's entry took this place: ours is gone.
+            // An entry of another leader was committed at this index, so the local one is lost.
             Some(_) | None => {
                 pending.reply.send(Executed::NotLeader(self.leader_host())).ok();
             }
         }
     }
 
-    /// Acknowledges the commands that are on as many disks as the losses that are tolerated ask
-    /// for. A quorum is enough where all voters are there that these losses need; of three
-    /// voters, where two disks may be lost, it is two, and what they acknowledge could be lost.
-    fn answer_replicated_commands(&mut self) {
+    /// Acknowledges applied commands once they are synced to one disk more than the tolerated losses.
+    /// A quorum suffices only if there are as many voters as these losses require. With three voters
+    /// and two tolerated disk losses, the quorum is two: both of its disks may be lost, and with them
+    /// a command that was acknowledged after the quorum alone.
+    fn acknowledge_replicated_commands(&mut self) {
         let Some(replica) = &self.replica else {
             return;
         };
-        let wanted = self.sizing.wanted_copies.min(replica.configuration().voters.len());
+        let required = self.sizing.required_copies.min(replica.configuration().voters.len());
         while let Some(oldest) = self.under_replicated.front()
-            && replica.copies(oldest.index) >= wanted
+            && replica.copies(oldest.index) >= required
             && let Some(UnderReplicated { reply, to, .. }) = self.under_replicated.pop_front()
         {
             to.send(Executed::Reply(reply)).ok();
         }
     }
 
-    fn note_leadership(&mut self) {
+    fn record_leadership(&mut self) {
         let leads = self.replica.as_ref().is_some_and(Replica::is_leader);
         self.led_since_ms = match (leads, self.led_since_ms) {
             (true, None) => {
                 log::info!(target: part::KEEPER, "Leads the keepers.");
                 Some(now_ms())
             }
-            (true, held) => held,
+            (true, since_ms) => since_ms,
             (false, Some(_)) => {
-                log::info!(target: part::KEEPER, "Leads the keepers no more.");
+                log::info!(target: part::KEEPER, "This keeper is no longer the leader.");
                 None
             }
             (false, None) => None,
         };
     }
 
-    /// Whether a plan has to wait for more voters: those lost at once must not be a quorum.
+    /// Whether a plan must be refused for lack of voters: disks that are lost at the same time must
+    /// not form a quorum. Holds only during the grace period after an election.
     pub(crate) fn lacks_voters(&self) -> bool {
         let Some(replica) = &self.replica else {
             return true;
         };
-        let is_young =
+        let is_in_grace_period =
             self.led_since_ms.is_none_or(|since_ms| now_ms() < since_ms + VOTERS_GRACE_MS);
-        is_young && replica.configuration().voters.len() < self.sizing.wanted_voters
+        is_in_grace_period && replica.configuration().voters.len() < self.sizing.required_voters
     }
 
-    /// Who leads, as far as this keeper knows.
+    /// Host of the leader, as far as this replica knows.
     pub(crate) fn leader_host(&self) -> Option<HostId> {
         let leader = self.replica.as_ref()?.leader()?;
         Some(HostId::new(leader.host.clone()))
     }
 
-    /// Starts reads for watches that have news or have waited long enough.
+    /// Starts a linearizable read for the watches with updates and those whose deadline has passed.
     fn start_due_watches(&mut self) {
         let Some(replica) = self.replica.as_mut().filter(|replica| replica.is_leader()) else {
             return;
         };
         let now_ms = now_ms();
         let revision = self.machine.revision();
-        let is_due =
-            |watch: &mut PendingWatch| watch.applied_revision < revision || watch.due_ms <= now_ms;
+        let is_due = |watch: &mut PendingWatch| {
+            watch.applied_revision < revision || watch.deadline_ms <= now_ms
+        };
         let due: Vec<_> = self.watches.extract_if(.., is_due).collect();
         if due.is_empty() {
             return;
@@ -412,7 +431,7 @@
         }
     }
 
-    fn drop_waiters_if_deposed(&mut self) {
+    fn fail_waiters_if_not_leader(&mut self) {
         if self.replica.as_ref().is_some_and(Replica::is_leader) {
             return;
         }
@@ -456,13 +475,15 @@
         self.store = Some(store);
         match result {
             Ok(()) => {
-                log::info!(target: part::KEEPER, "Compacted the log at {}.", self.applied_index)
+                log::info!(target: part::KEEPER,
+                    "Replaced the log up to index {} by a snapshot.", self.applied_index)
             }
-            // The former files hold all of it still; the next entry brings the next try.
+            // The previous files are still complete; the next flush tries again.
             Err(error) if error.is_full() => {
-                log::warn!(target: part::KEEPER, cause:% = error; "The log was not compacted");
+                log::warn!(target: part::KEEPER, cause:% = error;
+                    "The disk is too full to compact the log; keeps the previous files");
             }
-            Err(error) => self.fail(error),
+            Err(error) => self.stop_on_disk_failure(error),
         }
     }
 }
@@ -470,10 +491,10 @@
 fn load_machine(data: &[u8]) -> Machine {
     match Machine::from_snapshot(data) {
         Ok(machine) => machine,
-        // The bytes passed their checksum: they are of another version.
+        // The bytes passed their checksum, so they were written by an incompatible version.
         Err(error) => panic!("the snapshot cannot be read: {error}"),
     }
 }
 
-/// A keeper's address, where this host is one.
+/// Address of the keeper actor; `None` on a host that is not a keeper.
 pub(crate) type KeeperAddress = Option<xtra::Address<Keeper>>;
--- a/clayplankd/src/keepers/keeper_client.rs
+++ b/clayplankd/src/keepers/keeper_client.rs
@@ -1,4 +1,4 @@
-//! Asks the leading keeper; the search for it stands in `leader_search`.
+//! Client of the keepers: sends requests to the leader, which `leader_search` finds.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -20,73 +20,75 @@
 use crate::process::logging::part;
 use crate::process::peers::{PeerError, Peers};
 
-/// Between two tries.
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// A keeper that does not answer this long after its answer was due may be dead: whether another
-/// one leads is found out meanwhile. Most commands take a few milliseconds, plans of megabytes
+/// Time after which an overdue answer makes the keeper suspect: a search for another leader then runs
+/// while the call continues. Most commands take a few milliseconds; plans of several megabytes take
 /// longer.
-const DOUBT_AFTER: Duration = Duration::from_millis(200);
+const SUSPECT_AFTER: Duration = Duration::from_millis(200);
 
-/// The longest wait for one keeper; longer than it holds a watch.
-const CALL_PATIENCE: Duration = Duration::from_millis(1_500);
+/// Time-out of a call to one keeper; longer than the time for which a keeper holds a watch.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Why no keeper did what was asked.
+/// Why a request to the keepers failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum KeeperError {
-    /// No leader was found in time. The command may be applied or not.
+    /// No leader answered in time. A command may have been applied or not.
     #[error("no keeper answered in time")]
     NoLeader,
-    /// The command or the reply cannot be encoded.
+    /// The command cannot be encoded, or the reply cannot be decoded.
     #[error(transparent)]
     Codec(#[from] clayplank_state::CodecError),
 }
 
-/// The keepers that are known, and who led last.
+/// The known keepers, the last known leader and its deputy.
 #[derive(Debug, Default)]
-pub(super) struct Known {
+pub(super) struct ClientState {
     pub(super) hosts: KnownKeepers,
-    /// The keeper that the leader named last to place while it is silent itself.
+    /// The keeper that the leader named last to choose engines while the leader is unresponsive.
     deputy: Option<HostId>,
-    /// When the leader last answered.
-    answered_ms: u64,
+    /// Time of the leader's last answer, in ms.
+    last_answer_ms: u64,
 }
 
-/// A client of the keepers; commands are safe to send again.
+/// A client of the keepers. It may send a command more than once, so commands must be idempotent.
 #[derive(Clone, Debug)]
 pub(crate) struct KeeperClient {
     pub(super) peers: Peers,
-    /// The host that asks; `None` where the settings name all keepers.
-    pub(super) own: Option<HostId>,
-    pub(super) known: Arc<Mutex<Known>>,
-    /// Told that the leader may be gone.
-    pub(super) doubted: Arc<Notify>,
-    /// Told of a keeper that was not known.
-    pub(super) learned: Arc<Notify>,
-    /// The leader that was found last.
-    found: watch::Sender<Option<HostId>>,
+    /// The host of this client; `None` if the settings name all keepers.
+    pub(super) local_host: Option<HostId>,
+    pub(super) state: Arc<Mutex<ClientState>>,
+    /// Notified when the leader is suspected to have failed.
+    pub(super) leader_suspected: Arc<Notify>,
+    /// Notified when new keepers or bootstrap addresses become known.
+    pub(super) hosts_learned: Arc<Notify>,
+    /// The last leader found.
+    found_leader: watch::Sender<Option<HostId>>,
 }
 
-/// One keeper's answer to a question that only the leader answers.
-pub(crate) enum Asked<T> {
+/// Result of a call to one keeper, for a request that only the leader answers.
+pub(crate) enum CallOutcome<T> {
     Answer(T),
+    /// The keeper is not the leader; holds the host that may lead, or an empty string.
     NotLeader(String),
-    Again,
+    /// The keeper gave no usable answer; the request is sent again.
+    Retry,
 }
 
-/// When a keeper that leads answers.
+/// Time at which the leader's answer is due.
 #[derive(Clone, Copy, Debug)]
 enum AnswerDue {
     /// As soon as a quorum agrees.
-    AtOnce,
-    /// As soon as there is news, or after the time for which it holds a watch.
+    Immediate,
+    /// As soon as there are updates, or after the time for which it holds a watch.
     AfterWatch,
 }
 
 impl AnswerDue {
     fn wait(self) -> Duration {
         match self {
-            Self::AtOnce => Duration::ZERO,
+            Self::Immediate => Duration::ZERO,
             Self::AfterWatch => millis(WATCH_WAIT_MS),
         }
     }
@@ -96,141 +98,143 @@
     pub(crate) fn new(settings: &HostSettings, peers: Peers) -> Self {
         let keepers = settings.hosts.iter().filter(|entry| entry.keeper);
         let keepers = KnownKeepers::of_keepers(keepers.map(|entry| entry.host.clone()));
-        Self::of_known(None, keepers, peers)
+        Self::from_known(None, keepers, peers)
     }
 
-    /// Starts from hosts that may know keepers, or be some.
+    /// Creates a client from bootstrap addresses: hosts that are keepers or may know some.
     pub(crate) fn of_seeds(
-        own: HostId,
+        local_host: HostId,
         seeds: impl IntoIterator<Item = HostId>,
         peers: Peers,
     ) -> Self {
-        let keepers = KnownKeepers::of_seeds(own.clone(), seeds);
-        Self::of_known(Some(own), keepers, peers)
+        let keepers = KnownKeepers::of_seeds(local_host.clone(), seeds);
+        Self::from_known(Some(local_host), keepers, peers)
     }
 
-    fn of_known(own: Option<HostId>, keepers: KnownKeepers, peers: Peers) -> Self {
+    fn from_known(local_host: Option<HostId>, keepers: KnownKeepers, peers: Peers) -> Self {
         Self {
             peers,
-            own,
-            known: Arc::new(Mutex::new(Known { hosts: keepers, ..Known::default() })),
-            doubted: Arc::default(),
-            learned: Arc::default(),
-            found: watch::Sender::new(None),
+            local_host,
+            state: Arc::new(Mutex::new(ClientState { hosts: keepers, ..ClientState::default() })),
+            leader_suspected: Arc::default(),
+            hosts_learned: Arc::default(),
+            found_leader: watch::Sender::new(None),
         }
     }
 
-    /// Takes in whom the settings name now.
+    /// Replaces the bootstrap addresses by those that the settings now name.
     pub(crate) fn set_seeds(&self, seeds: impl IntoIterator<Item = HostId>) {
-        lock(&self.known).hosts.set_seeds(seeds);
-        self.learned.notify_one();
+        lock(&self.state).hosts.set_seeds(seeds);
+        self.hosts_learned.notify_one();
     }
 
-    /// Takes in all keepers, as one of them that hears the leader knows them.
+    /// Replaces the known keepers by the complete list of a keeper that hears the leader.
     pub(crate) fn set_keepers(&self, keepers: impl IntoIterator<Item = HostId>) {
-        lock(&self.known).hosts.set_keepers(keepers);
+        lock(&self.state).hosts.set_keepers(keepers);
     }
 
-    /// Learns of keepers from others, which may be behind: none is forgotten for it.
+    /// Adds keepers that peers know. A peer's list may be outdated, so no keeper is removed.
     pub(crate) fn learn(&self, keepers: impl IntoIterator<Item = HostId>) {
-        if lock(&self.known).hosts.learn_keepers(keepers) {
-            self.learned.notify_one();
+        if lock(&self.state).hosts.learn_keepers(keepers) {
+            self.hosts_learned.notify_one();
         }
     }
 
-    /// Learns of hosts that may know keepers.
+    /// Adds hosts that may know keepers.
     pub(crate) fn learn_contacts(&self, hosts: impl IntoIterator<Item = HostId>) {
-        let mut known = lock(&self.known);
-        hosts.into_iter().for_each(|host| known.hosts.learn_contact(host));
+        let mut state = lock(&self.state);
+        hosts.into_iter().for_each(|host| state.hosts.learn_contact(host));
     }
 
-    /// All keepers that are known.
+    /// All known keepers.
     pub(crate) fn hosts(&self) -> Vec<HostId> {
-        lock(&self.known).hosts.keepers().to_vec()
+        lock(&self.state).hosts.keepers().to_vec()
     }
 
-    /// Hosts that may know keepers, beside those that are known.
+    /// Hosts that may know keepers and are not known to be keepers themselves.
     pub(crate) fn contacts(&self) -> Vec<HostId> {
-        lock(&self.known).hosts.contacts().cloned().collect()
+        lock(&self.state).hosts.contacts().cloned().collect()
     }
 
-    /// The same, as they are named to another host: a few, and only where no keeper is known.
+    /// The contacts to send to another host: a few of them, and only while no keeper is known.
     pub(crate) fn named_contacts(&self) -> Vec<HostId> {
-        lock(&self.known).hosts.named_contacts(&mut rand::rng())
+        lock(&self.state).hosts.named_contacts(&mut rand::rng())
     }
 
-    /// Who led when it was last heard.
+    /// The last known leader.
     pub(crate) fn leader(&self) -> Option<HostId> {
-        lock(&self.known).hosts.leader().cloned()
+        lock(&self.state).hosts.leader().cloned()
     }
 
-    /// The keeper that places while the leader is silent: the one that the leader named. Counted off
-    /// from all keepers that were ever known, it was one that had been replaced, and each host
-    /// chose engines alone until another keeper led.
+    /// The keeper that chooses engines while the leader is unresponsive, as the leader named it. It is
+    /// not derived from the list of known keepers, which may contain replaced ones: with a replaced
+    /// keeper as deputy, each host would choose engines alone until another keeper leads.
     pub(crate) fn deputy(&self) -> Option<HostId> {
-        let known = lock(&self.known);
-        known.deputy.clone().filter(|deputy| Some(deputy) != known.hosts.leader())
+        let state = lock(&self.state);
+        state.deputy.clone().filter(|deputy| Some(deputy) != state.hosts.leader())
     }
 
-    /// Takes in whom the leader names.
+    /// Sets the deputy that the leader named.
     pub(crate) fn set_deputy(&self, deputy: Option<HostId>) {
-        lock(&self.known).deputy = deputy;
+        lock(&self.state).deputy = deputy;
     }
 
-    /// Who led when it was last heard, if that was within this time, in ms.
+    /// The last known leader, if it answered within the last `within_ms`.
     pub(crate) fn leader_heard_within(&self, within_ms: u64) -> Option<HostId> {
-        let known = lock(&self.known);
-        let is_heard = now_ms() <= known.answered_ms + within_ms;
-        known.hosts.leader().filter(|_| is_heard).cloned()
+        let state = lock(&self.state);
+        let is_recent = now_ms() <= state.last_answer_ms + within_ms;
+        state.hosts.leader().filter(|_| is_recent).cloned()
     }
 
-    /// Notes that the leader gave no answer where one was due: [`run_leader_search`](super::leader_search::run_leader_search) looks for
-    /// the next one at once.
+    /// Suspects the leader, as an answer of it is overdue:
+    /// [`run_leader_search`](super::leader_search::run_leader_search) searches for the next one at once.
     pub(crate) fn doubt_leader(&self) {
-        self.doubted.notify_one();
+        self.leader_suspected.notify_one();
     }
 
-    /// The leader that was found last, and those that follow it.
+    /// Subscribes to the found leader and its changes.
     pub(crate) fn subscribe(&self) -> watch::Receiver<Option<HostId>> {
-        self.found.subscribe()
+        self.found_leader.subscribe()
     }
 
-    pub(super) fn note_found(&self, leader: HostId) {
-        let mut known = lock(&self.known);
-        let former = known.hosts.set_leader(leader.clone());
-        let heard_ms = known.answered_ms;
-        drop(known);
+    pub(super) fn record_leader(&self, leader: HostId) {
+        let mut state = lock(&self.state);
+        let former = state.hosts.set_leader(leader.clone());
+        let last_answer_ms = state.last_answer_ms;
+        drop(state);
         if former.as_ref() != Some(&leader) {
             log::info!(target: part::KEEPER,
                 leader = leader.as_str(), former = former.as_ref().map_or("", HostId::as_str),
-                silent_ms = now_ms().saturating_sub(heard_ms);
+                silent_ms = now_ms().saturating_sub(last_answer_ms);
                 "Found the next leader");
         }
-        self.found.send_if_modified(|found| {
+        self.found_leader.send_if_modified(|found| {
             let is_new = found.as_ref() != Some(&leader);
             *found = Some(leader);
             is_new
         });
     }
 
-    /// Has a command applied. A resend of it must be harmless.
+    /// Has a command applied. It may be sent more than once, so it must be idempotent.
     pub(crate) async fn execute(
         &self,
         body: &Body,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Reply, KeeperError> {
         let command = encode(body)?;
         let bytes = self
-            .ask(AnswerDue::AtOnce, patience, |peers, keeper, left| {
+            .call_leader(AnswerDue::Immediate, timeout, |peers, keeper, remaining| {
                 let request = ExecuteRequest { command: command.clone(), hops: 0 };
                 async move {
-                    let call = peers.call(&keeper, left, |mut client| async move {
+                    let call = peers.call(&keeper, remaining, |mut client| async move {
                         client.execute(request).await
                     });
                     Ok(match call.await?.result {
-                        Some(execute_reply::Result::Reply(bytes)) => Asked::Answer(bytes),
-                        Some(execute_reply::Result::NotLeaderHint(hint)) => Asked::NotLeader(hint),
-                        Some(execute_reply::Result::Unknown(_)) | None => Asked::Again,
+                        Some(execute_reply::Result::Reply(bytes)) => CallOutcome::Answer(bytes),
+                        Some(execute_reply::Result::NotLeaderHint(hint)) => {
+                            CallOutcome::NotLeader(hint)
+                        }
+                        Some(execute_reply::Result::Unknown(_)) | None => CallOutcome::Retry,
                     })
                 }
             })
@@ -238,137 +242,148 @@
         Ok(decode(&bytes)?)
     }
 
-    /// Waits for settings after a revision, or for their confirmation; says when
-    /// the keeper that answered was asked.
+    /// Waits for settings after a revision, or for their confirmation. Also returns the time, in ms, at
+    /// which the request was sent to the keeper that answered.
     pub(crate) async fn watch(
         &self,
         host: &HostId,
         revision: u64,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<(Delta, u64), KeeperError> {
-        let (bytes, asked_ms) = self
-            .ask(AnswerDue::AfterWatch, patience, |peers, keeper, left| {
+        let (bytes, requested_ms) = self
+            .call_leader(AnswerDue::AfterWatch, timeout, |peers, keeper, remaining| {
                 let request =
                     WatchRequest { from_host: host.to_string(), applied_revision: revision };
-                let asked_ms = now_ms();
+                let requested_ms = now_ms();
                 async move {
-                    let call = peers.call(&keeper, left, |mut client| async move {
+                    let call = peers.call(&keeper, remaining, |mut client| async move {
                         client.watch(request).await
                     });
                     Ok(match call.await?.result {
-                        Some(watch_reply::Result::Delta(bytes)) => Asked::Answer((bytes, asked_ms)),
-                        Some(watch_reply::Result::NotLeaderHint(hint)) => Asked::NotLeader(hint),
-                        None => Asked::Again,
+                        Some(watch_reply::Result::Delta(bytes)) => {
+                            CallOutcome::Answer((bytes, requested_ms))
+                        }
+                        Some(watch_reply::Result::NotLeaderHint(hint)) => {
+                            CallOutcome::NotLeader(hint)
+                        }
+                        None => CallOutcome::Retry,
                     })
                 }
             })
             .await?;
-        Ok((decode(&bytes)?, asked_ms))
+        Ok((decode(&bytes)?, requested_ms))
     }
 
-    /// The leader's view, as JSON.
-    pub(crate) async fn inspect(&self, patience: Duration) -> Result<String, KeeperError> {
-        self.ask(AnswerDue::AtOnce, patience, |peers, keeper, left| async move {
+    /// The leader's status of the keepers, as JSON.
+    pub(crate) async fn inspect(&self, timeout: Duration) -> Result<String, KeeperError> {
+        self.call_leader(AnswerDue::Immediate, timeout, |peers, keeper, remaining| async move {
             let request = InspectRequest {};
-            let call = peers
-                .call(&keeper, left, |mut client| async move { client.inspect(request).await });
+            let call = peers.call(&keeper, remaining, |mut client| async move {
+                client.inspect(request).await
+            });
             Ok(match call.await?.result {
-                Some(inspect_reply::Result::Json(json)) => Asked::Answer(json),
-                Some(inspect_reply::Result::NotLeaderHint(hint)) => Asked::NotLeader(hint),
-                None => Asked::Again,
+                Some(inspect_reply::Result::Json(json)) => CallOutcome::Answer(json),
+                Some(inspect_reply::Result::NotLeaderHint(hint)) => CallOutcome::NotLeader(hint),
+                None => CallOutcome::Retry,
             })
         })
         .await
     }
 
-    /// Tells the leader that a keeper's host is about to stop; says whether it may.
-    pub(crate) async fn ask_to_stop(
+    /// Announces to the leader that a keeper's host is about to stop. Returns whether it may stop.
+    pub(crate) async fn request_stop(
         &self,
         host: &HostId,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<bool, KeeperError> {
-        self.ask(AnswerDue::AtOnce, patience, |peers, keeper, left| {
+        self.call_leader(AnswerDue::Immediate, timeout, |peers, keeper, remaining| {
             let request = StoppingRequest { from_host: host.to_string() };
             async move {
-                let call = peers.call(&keeper, left, |mut client| async move {
+                let call = peers.call(&keeper, remaining, |mut client| async move {
                     client.stopping(request).await
                 });
                 Ok(match call.await?.result {
-                    Some(stopping_reply::Result::MayStop(may_stop)) => Asked::Answer(may_stop),
-                    Some(stopping_reply::Result::NotLeaderHint(hint)) => Asked::NotLeader(hint),
-                    None => Asked::Again,
+                    Some(stopping_reply::Result::MayStop(may_stop)) => {
+                        CallOutcome::Answer(may_stop)
+                    }
+                    Some(stopping_reply::Result::NotLeaderHint(hint)) => {
+                        CallOutcome::NotLeader(hint)
+                    }
+                    None => CallOutcome::Retry,
                 })
             }
         })
         .await
     }
 
-    /// The connections to the keepers.
+    /// The connections to peers.
     pub(crate) fn peers(&self) -> &Peers {
         &self.peers
     }
 
-    /// Asks one keeper after the other, the last leader first, until one answers.
-    async fn ask<T, F, R>(
+    /// Calls one keeper after the other, the last known leader first, until one answers as the leader.
+    async fn call_leader<T, F, R>(
         &self,
         due: AnswerDue,
-        patience: Duration,
+        timeout: Duration,
         call: F,
     ) -> Result<T, KeeperError>
     where
         F: Fn(Peers, HostId, Duration) -> R,
-        R: Future<Output = Result<Asked<T>, PeerError>>,
+        R: Future<Output = Result<CallOutcome<T>, PeerError>>,
     {
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         let mut found = self.subscribe();
-        let mut next = self.leader().or_else(|| self.after(None));
+        let mut next = self.leader().or_else(|| self.keeper_after(None));
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let Some(keeper) = next.filter(|_| !left.is_zero()) else {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let Some(keeper) = next.filter(|_| !remaining.is_zero()) else {
                 return Err(KeeperError::NoLeader);
             };
-            let asked = tokio::select! {
-                asked = call(self.peers.clone(), keeper.clone(), left.min(CALL_PATIENCE)) => asked,
-                () = self.replaced(&keeper, due, &mut found) => {
+            let outcome = tokio::select! {
+                answer = call(self.peers.clone(), keeper.clone(), remaining.min(CALL_TIMEOUT)) => answer,
+                () = self.wait_for_other_leader(&keeper, due, &mut found) => {
                     next = self.leader();
                     continue;
                 }
             };
-            let hint = match asked {
-                Ok(Asked::Answer(answer)) => {
-                    self.note_answer(keeper);
+            let hint = match outcome {
+                Ok(CallOutcome::Answer(answer)) => {
+                    self.record_answer(keeper);
                     return Ok(answer);
                 }
-                Ok(Asked::NotLeader(hint)) => self.find(&hint),
-                Ok(Asked::Again) => None,
+                Ok(CallOutcome::NotLeader(hint)) => self.resolve_hint(&hint),
+                Ok(CallOutcome::Retry) => None,
                 Err(error) => {
-                    log::debug!(target: part::KEEPER, "A keeper gave no answer: {error}.");
+                    log::debug!(target: part::KEEPER, "A call to a keeper failed: {error}");
                     None
                 }
             };
             next = match hint.filter(|hint| *hint != keeper) {
                 Some(hint) => Some(hint),
                 None => {
-                    clayplank_clock::sleep(RETRY_PAUSE.min(left)).await;
-                    self.after(Some(&keeper))
+                    clayplank_clock::sleep(RETRY_PAUSE.min(remaining)).await;
+                    self.keeper_after(Some(&keeper))
                 }
             };
         }
     }
 
-    /// Waits until another keeper than this one is found to lead; looks for it if this one takes
-    /// long. What was found earlier does not count: it may be the former leader, and a watch held
-    /// by the next one would be given up for it again and again, until the settings lapse.
-    async fn replaced(
+    /// Waits until a keeper other than this one is found to lead; searches for it if the answer of this
+    /// one is overdue. Leaders found before the wait do not count: the last one found may be the former
+    /// leader, and a watch held by its successor would be abandoned for it again and again, until the
+    /// lease of the settings ends.
+    async fn wait_for_other_leader(
         &self,
         keeper: &HostId,
         due: AnswerDue,
         found: &mut watch::Receiver<Option<HostId>>,
     ) {
-        clayplank_clock::sleep(due.wait() + DOUBT_AFTER).await;
+        clayplank_clock::sleep(due.wait() + SUSPECT_AFTER).await;
         self.doubt_leader();
         while found.changed().await.is_ok() {
-            let is_other = found.borrow_and_update().as_ref().is_some_and(|one| one != keeper);
+            let is_other =
+                found.borrow_and_update().as_ref().is_some_and(|leader| leader != keeper);
             if is_other {
                 return;
             }
@@ -376,14 +391,14 @@
         std::future::pending::<()>().await;
     }
 
-    /// Notes that a keeper answered as the leader.
-    pub(crate) fn note_answer(&self, keeper: HostId) {
-        self.note_found(keeper);
-        lock(&self.known).answered_ms = now_ms();
+    /// Records that a keeper answered as the leader.
+    pub(crate) fn record_answer(&self, keeper: HostId) {
+        self.record_leader(keeper);
+        lock(&self.state).last_answer_ms = now_ms();
     }
 
-    /// The host that a hint names; a keeper that was not known is learned.
-    fn find(&self, hint: &str) -> Option<HostId> {
+    /// The host that a hint names, which is added to the known keepers; `None` if the hint is empty.
+    fn resolve_hint(&self, hint: &str) -> Option<HostId> {
         if hint.is_empty() {
             return None;
         }
@@ -392,15 +407,16 @@
         Some(host)
     }
 
-    fn after(&self, host: Option<&HostId>) -> Option<HostId> {
-        let known = lock(&self.known);
-        let keepers = known.hosts.keepers();
-        let position = keepers.iter().position(|one| Some(one) == host);
+    /// The known keeper after `host` in the order of the list; the first one if `host` is not in it.
+    fn keeper_after(&self, host: Option<&HostId>) -> Option<HostId> {
+        let state = lock(&self.state);
+        let keepers = state.hosts.keepers();
+        let position = keepers.iter().position(|keeper| Some(keeper) == host);
         let next = position.map_or(0, |position| position + 1) % keepers.len().max(1);
         keepers.get(next).cloned()
     }
 
-    /// Time in which a change of leader is over, for short exchanges.
+    /// Default time-out of short requests: a change of leader is over within this time.
     pub(crate) fn usual_patience(election_ms: u64) -> Duration {
         millis(election_ms * 8)
     }
--- a/clayplankd/src/keepers/keeper_join.rs
+++ b/clayplankd/src/keepers/keeper_join.rs
@@ -1,4 +1,4 @@
-//! Tasks beside the keeper: ticks, sending, and joining the others.
+//! Background tasks of a keeper: ticks, sending messages to peers, and joining the other keepers.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -14,114 +14,120 @@
 use crate::keepers::keeper::Keeper;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::keepers::keeper_log::WaitLog;
-use crate::keepers::keeper_messages::{Begin, Stand, Standing, Tick};
+use crate::keepers::keeper_messages::{GetJoinStatus, JoinStatus, StartLog, Tick};
 use crate::process::clock::millis;
 use crate::process::logging::part;
 use crate::process::peers::Peers;
 
-/// Between two ticks of the replica, in ms, drawn anew each time: keepers that started
-/// at the same moment would else ask for elections at the same moment, and split the votes.
-const TICK_MS: std::ops::RangeInclusive<u64> = 8..=28;
+/// Range of the interval between two ticks of the replica, in ms. Each interval is random: with a fixed
+/// one, keepers that started at the same time would start elections at the same time and split the
+/// votes.
+const TICK_INTERVAL_MS: std::ops::RangeInclusive<u64> = 8..=28;
 
-/// Between two introductions of a keeper that does not vote yet.
-const INTRODUCE_EVERY: Duration = Duration::from_millis(300);
+/// Interval between two introductions of a keeper that is not a voter yet.
+const INTRODUCE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The same of one that votes, to hosts that are no keepers: they name it to whoever is told of
-/// them alone. A host that has just started knows of no keeper until then.
-const ANNOUNCE_EVERY: Duration = Duration::from_secs(1);
+/// Minimum interval between two introductions of a voter to the bootstrap addresses that are not
+/// keepers. These hosts name it to hosts that only know them; without the introduction, a host that
+/// has just started knows no keeper.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for another keeper to answer an introduction.
-const INTRODUCE_PATIENCE: Duration = Duration::from_millis(500);
+/// Time-out of an introduction.
+const INTRODUCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A message that is not delivered in this time is dropped: the log sends anew.
-const STEP_PATIENCE: Duration = Duration::from_secs(2);
+/// Time-out of a call that delivers messages to a peer. The messages are then dropped; replication
+/// sends them again.
+const STEP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Messages that wait for one peer; more are dropped.
-const PEER_QUEUE: usize = 256;
+/// Maximum number of messages queued for one peer; further ones are dropped.
+const PEER_QUEUE_MESSAGES: usize = 256;
 
-/// Messages that go to a peer in one call.
+/// Maximum number of messages sent to a peer in one call.
 const MAX_STEP_MESSAGES: usize = 64;
 
-/// Lets time pass for the replica.
+/// Sends ticks to the keeper until it terminates.
 pub(crate) async fn run_ticks(keeper: Address<Keeper>) {
     loop {
-        clayplank_clock::sleep(millis(rand::random_range(TICK_MS))).await;
+        clayplank_clock::sleep(millis(rand::random_range(TICK_INTERVAL_MS))).await;
         if keeper.send(Tick).await.is_err() {
             return;
         }
     }
 }
 
-/// Hands each message to the task of its peer; a peer that is stuck holds up nobody else.
+/// Queues each message for the task of its peer, so that a stalled peer does not delay the others.
 pub(crate) async fn run_outbox(mut outbox: mpsc::UnboundedReceiver<Envelope>, peers: Peers) {
     let mut queues: HashMap<String, mpsc::Sender<Envelope>> = HashMap::new();
     while let Some(envelope) = outbox.recv().await {
         let host = envelope.to.host.clone();
         let queue = queues.entry(host).or_insert_with_key(|host| {
-            let (sender, receiver) = mpsc::channel(PEER_QUEUE);
-            tokio::spawn(run_peer(HostId::new(host.clone()), receiver, peers.clone()));
+            let (sender, receiver) = mpsc::channel(PEER_QUEUE_MESSAGES);
+            tokio::spawn(send_to_peer(HostId::new(host.clone()), receiver, peers.clone()));
             sender
         });
         queue.try_send(envelope).ok();
     }
 }
 
-async fn run_peer(host: HostId, mut queue: mpsc::Receiver<Envelope>, peers: Peers) {
+async fn send_to_peer(host: HostId, mut queue: mpsc::Receiver<Envelope>, peers: Peers) {
     let mut batch = Vec::new();
     while queue.recv_many(&mut batch, MAX_STEP_MESSAGES).await > 0 {
         let messages = batch.drain(..).filter_map(|envelope| encode(&envelope).ok()).collect();
         let request = StepRequest { to_host: host.to_string(), messages };
         let sent = peers
-            .call(&host, STEP_PATIENCE, |mut client| async move { client.step(request).await })
+            .call(&host, STEP_TIMEOUT, |mut client| async move { client.step(request).await })
             .await;
         if let Err(error) = sent {
-            log::debug!(target: part::KEEPER, "Messages were dropped: {error}.");
+            log::debug!(target: part::KEEPER,
+                "Dropped replication messages to a peer, as the call failed: {error}");
         }
     }
 }
 
-/// How a keeper finds the others.
+/// The sources of the other keepers' addresses.
 #[derive(Clone, Debug)]
 pub(crate) struct Joining {
-    /// Those that it was told of when it started, without itself.
+    /// Bootstrap addresses, without this host.
     pub(crate) seeds: Vec<HostId>,
-    /// Where more keepers are learned, and found.
+    /// The client that knows further keepers and contacts; `None` if the settings name all keepers.
     pub(crate) keepers: Option<KeeperClient>,
 }
 
 impl Joining {
-    fn others(&self, own: &ReplicaId) -> Vec<HostId> {
-        let mut others = self.seeds.clone();
+    /// All hosts to introduce this keeper to until it is a voter.
+    fn other_hosts(&self, local: &ReplicaId) -> Vec<HostId> {
+        let mut other_hosts = self.seeds.clone();
         if let Some(keepers) = &self.keepers {
-            others.extend(keepers.hosts());
-            others.extend(keepers.contacts());
+            other_hosts.extend(keepers.hosts());
+            other_hosts.extend(keepers.contacts());
         }
-        others.retain(|host| host.as_str() != own.host);
-        others.sort();
-        others.dedup();
-        others
+        other_hosts.retain(|host| host.as_str() != local.host);
+        other_hosts.sort();
+        other_hosts.dedup();
+        other_hosts
     }
 
-    /// Hosts that this keeper was told of when it started, and that are no keepers as far as it
-    /// knows.
-    fn non_keepers(&self, stand: &Stand) -> Vec<HostId> {
-        let is_seeded = self.keepers.is_some();
-        let seeds = self.seeds.iter().filter(|host| is_seeded && !stand.members.contains(host));
+    /// Bootstrap addresses that are not keepers, as far as this keeper knows; none if the settings name
+    /// all keepers.
+    fn non_keepers(&self, status: &JoinStatus) -> Vec<HostId> {
+        let has_client = self.keepers.is_some();
+        let seeds = self.seeds.iter().filter(|host| has_client && !status.members.contains(host));
         seeds.cloned().collect()
     }
 
-    fn learn(&self, stand: &Stand, told: Told) {
+    /// Adds the keepers and contacts learned from an introduction to the client.
+    fn add_introduced(&self, status: &JoinStatus, introductions: Introductions) {
         let Some(keepers) = &self.keepers else {
             return;
         };
-        keepers.learn_contacts(told.contacts);
-        if stand.votes {
-            keepers.set_keepers(stand.members.iter().cloned());
+        keepers.learn_contacts(introductions.contacts);
+        if status.is_active_voter {
+            keepers.set_keepers(status.members.iter().cloned());
             return;
         }
-        keepers.learn(stand.members.iter().cloned());
-        keepers.learn(told.keepers);
-        for answer in told.answers.values() {
+        keepers.learn(status.members.iter().cloned());
+        keepers.learn(introductions.keepers);
+        for answer in introductions.answers.values() {
             if let Introduction::Member { members, .. } = answer {
                 keepers.learn(members.members().map(|id| HostId::new(id.host.clone())));
             }
@@ -129,93 +135,98 @@
     }
 }
 
-/// Introduces this keeper to the others until it votes, and again when it hears no leader; then
-/// to the hosts that it was told of and that are no keepers.
+/// Introduces this keeper to the other hosts until it is a voter that hears a leader. From then on it
+/// introduces it only to the bootstrap addresses that are not keepers.
 pub(crate) async fn run_join(keeper: Address<Keeper>, joining: Joining, peers: Peers) {
-    let mut waits = WaitLog::default();
-    let mut announced = Instant::now();
+    let mut wait_log = WaitLog::default();
+    let mut last_announced = Instant::now();
     loop {
-        let Ok(Some(stand)) = keeper.send(Standing).await else {
+        let Ok(Some(status)) = keeper.send(GetJoinStatus).await else {
             return;
         };
-        let others = match stand.votes {
-            true if announced.elapsed() < ANNOUNCE_EVERY => Vec::new(),
+        let other_hosts = match status.is_active_voter {
+            true if last_announced.elapsed() < ANNOUNCE_INTERVAL => Vec::new(),
             true => {
-                announced = Instant::now();
-                joining.non_keepers(&stand)
+                last_announced = Instant::now();
+                joining.non_keepers(&status)
             }
-            false => joining.others(&stand.id),
+            false => joining.other_hosts(&status.id),
         };
-        let told = introduce(&stand.id, &others, &peers).await;
-        if !stand.has_log {
-            begin_if_planned(&keeper, &stand.as_blank(), &joining, &told).await;
+        let introductions = introduce(&status.id, &other_hosts, &peers).await;
+        if !status.has_log {
+            start_log_if_planned(&keeper, &status.to_blank_keeper(), &joining, &introductions)
+                .await;
         }
-        waits.note(&stand, &told.answers);
-        joining.learn(&stand, told);
-        clayplank_clock::sleep(INTRODUCE_EVERY).await;
+        wait_log.record(&status, &introductions.answers);
+        joining.add_introduced(&status, introductions);
+        clayplank_clock::sleep(INTRODUCE_INTERVAL).await;
     }
 }
 
-/// Introduces this keeper to all others at once: one that is cut off holds up nobody.
-async fn introduce(own: &ReplicaId, others: &[HostId], peers: &Peers) -> Told {
-    let calls = others.iter().map(|other| async move {
-        let request = IntroduceRequest { replica: encode(own).unwrap_or_default() };
+/// Introduces this keeper to all given hosts concurrently, so that an unreachable one delays no other.
+async fn introduce(local: &ReplicaId, other_hosts: &[HostId], peers: &Peers) -> Introductions {
+    let calls = other_hosts.iter().map(|host| async move {
+        let request = IntroduceRequest { replica: encode(local).unwrap_or_default() };
         let reply =
             peers
-                .call(other, INTRODUCE_PATIENCE, |mut client| async move {
+                .call(host, INTRODUCE_TIMEOUT, |mut client| async move {
                     client.introduce(request).await
                 })
                 .await
                 .ok()?;
-        Some((other.to_string(), reply))
+        Some((host.to_string(), reply))
     });
-    let mut told = Told::default();
-    for (other, reply) in futures_util::future::join_all(calls).await.into_iter().flatten() {
-        told.keepers.extend(reply.keepers.into_iter().map(HostId::new));
-        told.contacts.extend(reply.contacts.into_iter().map(HostId::new));
+    let mut introductions = Introductions::default();
+    for (host, reply) in futures_util::future::join_all(calls).await.into_iter().flatten() {
+        introductions.keepers.extend(reply.keepers.into_iter().map(HostId::new));
+        introductions.contacts.extend(reply.contacts.into_iter().map(HostId::new));
         match decode::<Introduction>(&reply.introduction) {
             Ok(answer) => {
-                told.answers.insert(other, answer);
+                introductions.answers.insert(host, answer);
             }
             Err(_) if reply.introduction.is_empty() => {
-                told.no_keepers.insert(other);
+                introductions.non_keepers.insert(host);
             }
             Err(error) => {
-                log::warn!(target: part::KEEPER, host = other, cause:% = error; "An introduction cannot be read");
+                log::warn!(target: part::KEEPER, host = host, cause:% = error;
+                    "Could not decode the answer to an introduction");
             }
         }
     }
-    told
+    introductions
 }
 
-/// What the others told when this keeper introduced itself.
+/// Answers of the other hosts to an introduction of this keeper.
 #[derive(Debug, Default)]
-struct Told {
-    /// Of keepers, by their hosts.
+struct Introductions {
+    /// Answers of keepers, by host.
     answers: BTreeMap<String, Introduction>,
-    /// Hosts that answered that they are no keepers: a log does not wait for them.
-    no_keepers: BTreeSet<String>,
-    /// Keepers that they know.
+    /// Hosts that answered that they are not keepers: creating the log does not wait for them.
+    non_keepers: BTreeSet<String>,
+    /// Keepers that the hosts know.
     keepers: Vec<HostId>,
     /// Hosts that may know keepers.
     contacts: Vec<HostId>,
 }
 
-async fn begin_if_planned(
+/// Creates or joins the log if the answers allow it.
+async fn start_log_if_planned(
     keeper: &Address<Keeper>,
-    own: &BlankKeeper,
+    local: &BlankKeeper,
     joining: &Joining,
-    told: &Told,
+    introductions: &Introductions,
 ) {
     let seeds = joining.seeds.iter().map(ToString::to_string);
-    let names: Vec<_> = seeds.filter(|seed| !told.no_keepers.contains(seed)).collect();
-    let begin = match plan_join(own, &names, &told.answers) {
-        Join::Begin(configuration) => Begin(Some(configuration)),
-        Join::Learn => Begin(None),
+    let bootstrap_names: Vec<_> =
+        seeds.filter(|seed| !introductions.non_keepers.contains(seed)).collect();
+    let start = match plan_join(local, &bootstrap_names, &introductions.answers) {
+        Join::Begin(configuration) => StartLog(Some(configuration)),
+        Join::Learn => StartLog(None),
         Join::Wait => {
-            log::debug!(target: part::KEEPER, "Waits for the other keepers.");
+            log::debug!(target: part::KEEPER,
+                "Does not create the log yet: waits for answers of the other keepers");
             return;
         }
     };
-    keeper.send(begin).await.ok();
+    keeper.send(start).await.ok();
 }
--- a/clayplankd/src/keepers/keeper_log.rs
+++ b/clayplankd/src/keepers/keeper_log.rs
@@ -1,4 +1,4 @@
-//! What a keeper's log tells of its role, the members, elections that nobody wins, and long waits.
+//! Log lines of a keeper on its role, the membership, undecided elections, and long waits to join.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,68 +7,70 @@
 use clayplank_clock::Instant;
 use clayplank_types::HostId;
 
-use crate::keepers::keeper_messages::Stand;
+use crate::keepers::keeper_messages::JoinStatus;
 use crate::process::logging::part;
 
-/// Between two lines on an election that nobody wins, in ms: a keeper asks for several a second.
-const ELECTION_LINE_EVERY_MS: u64 = 2_000;
+/// Interval between two log lines on an undecided election, in ms: a keeper may start several
+/// elections per second.
+const ELECTION_LOG_INTERVAL_MS: u64 = 2_000;
 
-/// What the log was told last, so that each line tells something new.
+/// The values logged last, so that a line is written only when one of them changes.
 #[derive(Debug, Default)]
 pub(crate) struct KeeperLog {
-    role: Option<ToldRole>,
-    members: Option<ToldMembers>,
-    election_told_ms: Option<u64>,
+    role: Option<LoggedRole>,
+    members: Option<LoggedMembers>,
+    /// Start of the running election, or the time of the last line on it, in ms.
+    election_logged_ms: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct ToldRole {
+struct LoggedRole {
     name: &'static str,
     term: u64,
     leader: Option<HostId>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct ToldMembers {
+struct LoggedMembers {
     configuration: Configuration,
     is_committed: bool,
 }
 
 impl KeeperLog {
-    /// Tells what has changed since the last call; a keeper without a log has no replica.
-    pub(crate) fn tell(&mut self, replica: Option<&Replica>, now_ms: u64) {
-        self.tell_role(replica);
+    /// Logs what has changed since the last call; a keeper without a replicated log has no replica.
+    pub(crate) fn log_changes(&mut self, replica: Option<&Replica>, now_ms: u64) {
+        self.log_role(replica);
         if let Some(replica) = replica {
-            self.tell_members(replica);
-            self.tell_election(replica, now_ms);
+            self.log_members(replica);
+            self.log_election(replica, now_ms);
         }
     }
 
-    fn tell_role(&mut self, replica: Option<&Replica>) {
-        let told = ToldRole {
+    fn log_role(&mut self, replica: Option<&Replica>) {
+        let current = LoggedRole {
             name: replica.map_or("blank", Replica::role_name),
             term: replica.map_or(0, Replica::term),
             leader: replica
                 .and_then(Replica::leader)
                 .map(|leader| HostId::new(leader.host.clone())),
         };
-        if self.role.as_ref() == Some(&told) {
+        if self.role.as_ref() == Some(&current) {
             return;
         }
         log::info!(target: part::KEEPER,
-            role = told.name, term = told.term,
+            role = current.name, term = current.term,
             last_index = replica.map_or(0, Replica::last_index),
-            leader = told.leader.as_ref().map_or("", HostId::as_str);
-            "A keeper's role changed");
-        self.role = Some(told);
+            leader = current.leader.as_ref().map_or("", HostId::as_str);
+            "The role, term or leader of this keeper changed");
+        self.role = Some(current);
     }
 
-    fn tell_members(&mut self, replica: &Replica) {
+    fn log_members(&mut self, replica: &Replica) {
         let is_committed = replica.is_configuration_committed();
-        let is_told = self.members.as_ref().is_some_and(|told| {
-            told.is_committed == is_committed && told.configuration == *replica.configuration()
+        let is_logged = self.members.as_ref().is_some_and(|logged| {
+            logged.is_committed == is_committed && logged.configuration == *replica.configuration()
         });
-        if is_told {
+        if is_logged {
             return;
         }
         let configuration = replica.configuration();
@@ -78,20 +80,20 @@
             quorum = configuration.quorum(), is_committed = is_committed,
             last_index = replica.last_index();
             "The keepers' members changed");
-        self.members = Some(ToldMembers { configuration: configuration.clone(), is_committed });
+        self.members = Some(LoggedMembers { configuration: configuration.clone(), is_committed });
     }
 
-    fn tell_election(&mut self, replica: &Replica, now_ms: u64) {
+    fn log_election(&mut self, replica: &Replica, now_ms: u64) {
         let Some(granted) = replica.granted_votes() else {
-            self.election_told_ms = None;
+            self.election_logged_ms = None;
             return;
         };
-        // Most elections are won in a few milliseconds: only one that is not is told.
-        let began_ms = *self.election_told_ms.get_or_insert(now_ms);
-        if now_ms < began_ms + ELECTION_LINE_EVERY_MS {
+        // Most elections are won within a few milliseconds: only longer ones are logged.
+        let logged_ms = *self.election_logged_ms.get_or_insert(now_ms);
+        if now_ms < logged_ms + ELECTION_LOG_INTERVAL_MS {
             return;
         }
-        self.election_told_ms = Some(now_ms);
+        self.election_logged_ms = Some(now_ms);
         log::warn!(target: part::KEEPER,
             granted = names(granted.iter()), quorum = replica.configuration().quorum(),
             voters = names(replica.configuration().voters.iter()),
@@ -104,36 +106,39 @@
     ids.map(ToString::to_string).collect::<Vec<_>>().join(" ")
 }
 
-/// Between two lines of a keeper that still waits to vote: most vote within a second or two.
-const WAIT_LINE_EVERY: Duration = Duration::from_secs(2);
+/// Interval between two log lines of a keeper that is not yet a voter: most become voters within
+/// one to two seconds.
+const WAIT_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Tells, now and then, that a keeper waits to vote, and what the others answered to it.
+/// Logs at intervals that a keeper is waiting to become a voter, and which peers answered it.
 #[derive(Debug, Default)]
 pub(crate) struct WaitLog {
-    began: Option<Instant>,
-    told: Option<Instant>,
+    /// Start of the wait.
+    started: Option<Instant>,
+    /// Time of the last line, or the start of the wait before the first one.
+    logged: Option<Instant>,
 }
 
 impl WaitLog {
-    pub(crate) fn note(&mut self, stand: &Stand, answers: &BTreeMap<String, Introduction>) {
+    pub(crate) fn record(&mut self, status: &JoinStatus, answers: &BTreeMap<String, Introduction>) {
         let now = Instant::now();
-        if stand.votes {
+        if status.is_active_voter {
             *self = Self::default();
             return;
         }
-        let began = *self.began.get_or_insert(now);
-        let told = *self.told.get_or_insert(began);
-        if now < told + WAIT_LINE_EVERY {
+        let started = *self.started.get_or_insert(now);
+        let logged = *self.logged.get_or_insert(started);
+        if now < logged + WAIT_LOG_INTERVAL {
             return;
         }
-        self.told = Some(now);
+        self.logged = Some(now);
         let answered = |is_blank: bool| {
             let hosts = answers.iter().filter(|(_, answer)| answer.is_blank() == is_blank);
             hosts.map(|(host, _)| host.as_str()).collect::<Vec<_>>().join(" ")
         };
         log::warn!(target: part::KEEPER,
-            waited_ms = (now - began).as_millis() as u64, has_log = stand.has_log,
+            waited_ms = (now - started).as_millis() as u64, has_log = status.has_log,
             members = answered(false), blank = answered(true);
-            "A keeper waits to vote");
+            "This keeper is not a voter yet");
     }
 }
--- a/clayplankd/src/keepers/keeper_messages.rs
+++ b/clayplankd/src/keepers/keeper_messages.rs
@@ -1,4 +1,4 @@
-//! What a keeper is asked, and what it replies.
+//! Messages that the keeper actor handles, and their replies.
 
 use std::collections::BTreeMap;
 
@@ -11,34 +11,35 @@
 use tokio::sync::oneshot;
 use xtra::{Context, Handler};
 
-use crate::keepers::keeper::{Keeper, PendingCommand, PendingLeader, PendingWatch};
+use crate::keepers::keeper::{Keeper, PendingCommand, PendingLeaderQuery, PendingWatch};
 use crate::process::clock::{now_ms, wall_ms};
 use crate::process::logging::part;
 
-/// A watch without news is confirmed after this time, in ms.
+/// Time after which a watch without updates is answered with a confirmation, in ms.
 pub(crate) const WATCH_WAIT_MS: u64 = 1_000;
 
-/// What became of a command.
+/// Outcome of a command.
 #[derive(Clone, Debug)]
 pub(crate) enum Executed {
-    /// It was applied.
+    /// The command was applied and replicated.
     Reply(Reply),
-    /// It was not and will not be applied; who may lead.
+    /// The command was not and will not be applied; holds the possible leader.
     NotLeader(Option<HostId>),
-    /// It may or may not be applied later.
+    /// The command may or may not be applied later.
     Unknown,
 }
 
-/// What a watch brought.
+/// Outcome of a watch.
 #[derive(Clone, Debug)]
 pub(crate) enum Watched {
-    /// What changed; all that was committed when the watch was asked for is in it.
+    /// The changes after the watched revision; they include all that was committed when the watch was
+    /// requested.
     Delta(Delta),
-    /// Who may lead.
+    /// This keeper is not the leader; holds the possible leader.
     NotLeader(Option<HostId>),
 }
 
-/// What operators see of the keepers.
+/// Status of the keepers, as operators receive it in JSON.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct KeeperStatus {
     pub(crate) leader: String,
@@ -46,14 +47,15 @@
     pub(crate) commit_index: u64,
     pub(crate) voters: Vec<String>,
     pub(crate) learners: Vec<String>,
-    /// While this is false, or there are learners, the loss of one more disk may stop the keepers.
+    /// Whether the newest membership is committed. While it is not, or while there are learners, the
+    /// loss of one more disk may leave the keepers without a quorum.
     pub(crate) members_committed: bool,
     pub(crate) counts: Counts,
-    /// Revision in force on each host that watches.
+    /// Revision in force on each host that watches the leader.
     pub(crate) in_force: BTreeMap<HostId, u64>,
 }
 
-/// Lets time pass.
+/// Advances the clock of the replica: elections, heartbeats and membership maintenance.
 pub(crate) struct Tick;
 
 impl Handler<Tick> for Keeper {
@@ -63,18 +65,19 @@
         if let Some(replica) = &mut self.replica {
             replica.tick(now_ms());
             if let Some(change) = replica.keep_members(now_ms()) {
-                log_change(&change, "the members need it");
+                log_member_change(&change, "membership maintenance");
             }
         }
         self.flush(context).await;
     }
 }
 
-fn log_change(change: &Change, cause: &str) {
-    log::info!(target: part::KEEPER, change:% = change, cause = cause; "Changes the keepers' members");
+fn log_member_change(change: &Change, cause: &str) {
+    log::info!(target: part::KEEPER, change:% = change, cause = cause;
+        "Proposed a membership change of the keepers");
 }
 
-/// Messages of other replicas.
+/// Messages from other replicas.
 pub(crate) struct Step(pub(crate) Vec<Envelope>);
 
 impl Handler<Step> for Keeper {
@@ -88,7 +91,7 @@
     }
 }
 
-/// A command for the state; the reply comes once it is applied.
+/// A command for the state machine. The reply comes once it is applied and acknowledged.
 pub(crate) struct Execute(pub(crate) Body);
 
 impl Handler<Execute> for Keeper {
@@ -119,11 +122,11 @@
     }
 }
 
-/// A host asks for settings that it does not have yet.
+/// Requests the settings after the revision that a host has applied.
 pub(crate) struct Watch {
     pub(crate) host: HostId,
     pub(crate) applied_revision: u64,
-    /// How long to wait for news.
+    /// Longest wait for updates, in ms.
     pub(crate) wait_ms: u64,
 }
 
@@ -134,13 +137,13 @@
         let (reply, receiver) = oneshot::channel();
         let Watch { host, applied_revision, wait_ms } = watch;
         if self.replica.as_ref().is_some_and(Replica::is_leader) {
-            // A host without settings does not wait for news.
+            // A host without settings is answered at once.
             let wait_ms = if applied_revision == 0 { 0 } else { wait_ms };
             self.in_force.insert(host.clone(), applied_revision);
             self.watches.push(PendingWatch {
                 host,
                 applied_revision,
-                due_ms: now_ms() + wait_ms,
+                deadline_ms: now_ms() + wait_ms,
                 reply,
             });
         } else {
@@ -151,18 +154,19 @@
     }
 }
 
-/// What changed after a revision, as far as it is applied here, confirmed or not.
-pub(crate) struct DeltaAfter(pub(crate) u64);
+/// Requests the changes after a revision from the state applied here, whether confirmed by the leader
+/// or not.
+pub(crate) struct GetDelta(pub(crate) u64);
 
-impl Handler<DeltaAfter> for Keeper {
+impl Handler<GetDelta> for Keeper {
     type Return = Delta;
 
-    async fn handle(&mut self, after: DeltaAfter, _: &mut Context<Self>) -> Self::Return {
-        self.machine.delta_after(after.0)
+    async fn handle(&mut self, request: GetDelta, _: &mut Context<Self>) -> Self::Return {
+        self.machine.delta_after(request.0)
     }
 }
 
-/// Another keeper tells of itself.
+/// Introduction of another keeper.
 pub(crate) struct Introduce(pub(crate) ReplicaId);
 
 impl Handler<Introduce> for Keeper {
@@ -176,22 +180,22 @@
         };
         let members = replica.configuration().clone();
         if let Some(change) = replica.admit(&introduce.0) {
-            log_change(&change, "a keeper made itself known");
+            log_member_change(&change, "a keeper introduced itself");
             self.flush(context).await;
         }
         Some(Introduction::Member { genesis: identity.genesis.unwrap_or_default(), members })
     }
 }
 
-/// A keeper's host is about to stop.
+/// Announces that the host of a keeper is about to stop.
 pub(crate) struct Stopping(pub(crate) HostId);
 
-/// Whether a host may stop.
+/// Answer to a host that is about to stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum MayStop {
-    /// Nothing rests on its vote any more, or nobody can take its place; or not yet.
+    /// Whether the host may stop: its vote is no longer needed, or no other keeper can replace it.
     Known(bool),
-    /// Another keeper decides; who may lead.
+    /// Another keeper decides; holds the possible leader.
     NotLeader(Option<HostId>),
 }
 
@@ -205,7 +209,7 @@
         };
         replica.note_leaving(now_ms(), host);
         if let Some(change) = replica.keep_members(now_ms()) {
-            log_change(&change, "a keeper stops");
+            log_member_change(&change, "a keeper is stopping");
             self.flush(context).await;
         }
         match &self.replica {
@@ -216,17 +220,18 @@
     }
 }
 
-/// Starts the log, or starts to receive it.
-pub(crate) struct Begin(pub(crate) Option<Configuration>);
+/// Creates the log with the given first membership, or with `None` prepares to receive it from the
+/// leader.
+pub(crate) struct StartLog(pub(crate) Option<Configuration>);
 
-impl Handler<Begin> for Keeper {
+impl Handler<StartLog> for Keeper {
     type Return = ();
 
-    async fn handle(&mut self, begin: Begin, _: &mut Context<Self>) {
+    async fn handle(&mut self, start: StartLog, _: &mut Context<Self>) {
         if self.replica.is_some() {
             return;
         }
-        let (state, genesis) = match begin.0 {
+        let (state, genesis) = match start.0 {
             Some(genesis) => (StoredState::genesis(genesis.clone(), Vec::new()), genesis),
             None => (StoredState::blank(), Configuration::default()),
         };
@@ -236,59 +241,66 @@
         match store.begin(&state, genesis) {
             Ok(()) => {
                 let id = store.identity().id.clone();
-                log::info!(target: part::KEEPER, "Keeps the log as {id}.");
-                self.load(&state);
+                log::info!(target: part::KEEPER, "Started the local replica as {id}.");
+                self.load_state(&state);
                 self.replica = Some(Replica::new(id, state, self.options, now_ms()));
             }
-            // Whoever begins or joins tries again.
+            // The join task sends this message again.
             Err(error) if error.is_full() => {
-                log::warn!(target: part::KEEPER, cause:% = error; "The log was not begun");
+                log::warn!(target: part::KEEPER, cause:% = error;
+                    "The disk is too full to create the log");
             }
-            Err(error) => self.fail(error),
+            Err(error) => self.stop_on_disk_failure(error),
         }
     }
 }
 
-/// Whether the keeper has a log, and votes.
-pub(crate) struct Standing;
+/// Requests the join status of this keeper.
+pub(crate) struct GetJoinStatus;
 
-/// How far a keeper is in joining.
+/// Progress of a keeper in joining the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Stand {
+pub(crate) struct JoinStatus {
     pub(crate) id: ReplicaId,
     pub(crate) has_log: bool,
-    /// Whether it may begin a log.
+    /// Whether it may create the log.
     pub(crate) may_begin: bool,
-    /// Whether it votes, and hears a leader: one that was taken out hears none.
-    pub(crate) votes: bool,
-    /// All keepers that it knows from the log.
+    /// Whether it is a voter and hears a leader. A keeper that was removed hears none.
+    pub(crate) is_active_voter: bool,
+    /// All keepers in the newest membership of its log.
     pub(crate) members: Vec<HostId>,
 }
 
-impl Stand {
-    pub(crate) fn as_blank(&self) -> BlankKeeper {
+impl JoinStatus {
+    pub(crate) fn to_blank_keeper(&self) -> BlankKeeper {
         BlankKeeper { id: self.id.clone(), may_begin: self.may_begin }
     }
 }
 
-impl Handler<Standing> for Keeper {
-    type Return = Option<Stand>;
+impl Handler<GetJoinStatus> for Keeper {
+    type Return = Option<JoinStatus>;
 
-    async fn handle(&mut self, _: Standing, _: &mut Context<Self>) -> Self::Return {
+    async fn handle(&mut self, _: GetJoinStatus, _: &mut Context<Self>) -> Self::Return {
         let id = self.store.as_ref()?.identity().id.clone();
         let replica = self.replica.as_ref();
-        let votes = replica.is_some_and(|replica| {
-            let is_heard = replica.is_leader() || replica.hears_leader(now_ms());
-            is_heard && replica.configuration().voters.contains(&id)
+        let is_active_voter = replica.is_some_and(|replica| {
+            let hears_leader = replica.is_leader() || replica.hears_leader(now_ms());
+            hears_leader && replica.configuration().voters.contains(&id)
         });
         let members = replica.map_or_else(Vec::new, |replica| {
             replica.configuration().members().map(|id| HostId::new(id.host.clone())).collect()
         });
-        Some(Stand { id, has_log: replica.is_some(), may_begin: self.may_begin, votes, members })
+        Some(JoinStatus {
+            id,
+            has_log: replica.is_some(),
+            may_begin: self.may_begin,
+            is_active_voter,
+            members,
+        })
     }
 }
 
-/// Who leads, as far as this keeper knows; itself, perhaps.
+/// Requests the leader that this keeper knows, which may be itself.
 pub(crate) struct WhoLeads;
 
 impl Handler<WhoLeads> for Keeper {
@@ -299,13 +311,15 @@
     }
 }
 
-/// Who places prompts: the leader, and who does so while it is silent, if this keeper leads.
+/// Requests the keepers that choose engines for prompts: the leader, and its deputy. Only the leader
+/// knows the deputy.
 pub(crate) struct WhoPlaces;
 
-/// The keepers that place prompts.
+/// The keepers that choose engines for prompts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Placing {
     pub(crate) leader: HostId,
+    /// The keeper that takes over while the leader is unresponsive.
     pub(crate) deputy: Option<HostId>,
 }
 
@@ -319,9 +333,9 @@
     }
 }
 
-/// Waits until a leader speaks.
+/// Waits until this keeper hears from a leader.
 pub(crate) struct FindLeader {
-    /// How long to wait for it.
+    /// Longest wait for a leader, in ms.
     pub(crate) wait_ms: u64,
 }
 
@@ -330,15 +344,15 @@
 
     async fn handle(&mut self, find: FindLeader, context: &mut Context<Self>) -> Self::Return {
         let (reply, receiver) = oneshot::channel();
-        let asked_ms = now_ms();
-        let due_ms = asked_ms + find.wait_ms;
-        self.leader_watches.push(PendingLeader { asked_ms, due_ms, reply });
+        let requested_ms = now_ms();
+        let deadline_ms = requested_ms + find.wait_ms;
+        self.leader_queries.push(PendingLeaderQuery { requested_ms, deadline_ms, reply });
         self.flush(context).await;
         receiver
     }
 }
 
-/// What operators see; `Err` names who may lead.
+/// Requests the status for operators; `Err` holds the possible leader.
 pub(crate) struct Inspect;
 
 impl Handler<Inspect> for Keeper {
--- a/clayplankd/src/keepers/keeper_stop.rs
+++ b/clayplankd/src/keepers/keeper_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of a keeper: its vote is given up first, if another one votes in its place.
+//! Planned stop of a keeper: the leader first removes its vote, if another keeper can vote instead.
 
 use std::time::Duration;
 
@@ -8,32 +8,35 @@
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::logging::part;
 
-/// How long a keeper that stops waits to be taken out: an election, and the change of two
-/// members, a few times over. It stops without it then; the leader notices its silence.
-const STOP_PATIENCE: Duration = Duration::from_secs(2);
+/// Longest wait of a stopping keeper for its removal from the voters: several times the duration of
+/// an election and two membership changes. After it the keeper stops anyway, and the leader removes
+/// it once it no longer responds.
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Between two questions: a change of members is committed within a few milliseconds.
-const ASK_EVERY: Duration = Duration::from_millis(20);
+/// Interval between two requests to the leader: a membership change is committed within a few
+/// milliseconds.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until this keeper's vote is not needed.
+/// Waits until the keepers no longer need this keeper's vote.
 ///
-/// A voter that just ends is missed for a second and a half before it is taken out: with a sixth
-/// one in its place, four of six would have to decide meanwhile, and two disks lost right then
-/// would leave three.
-pub(crate) async fn give_up_vote(keepers: &KeeperClient, own: &HostId) {
-    let began = Instant::now();
+/// A voter that terminates unannounced stays a voter for another 1.5 s. If a sixth voter is added in
+/// its place during that time, the quorum is four of six; losing two disks then would leave
+/// three voters, one fewer than the quorum.
+pub(crate) async fn give_up_vote(keepers: &KeeperClient, local: &HostId) {
+    let started = Instant::now();
     let outcome = loop {
-        let left = STOP_PATIENCE.saturating_sub(began.elapsed());
-        match keepers.ask_to_stop(own, left).await {
+        let remaining = STOP_TIMEOUT.saturating_sub(started.elapsed());
+        match keepers.request_stop(local, remaining).await {
             Ok(true) => break "may stop",
-            Ok(false) => clayplank_clock::sleep(ASK_EVERY.min(left)).await,
+            Ok(false) => clayplank_clock::sleep(REQUEST_INTERVAL.min(remaining)).await,
             Err(error) => {
-                log::warn!(target: part::KEEPER, cause:% = error; "Stops without being taken out");
+                log::warn!(target: part::KEEPER, cause:% = error;
+                    "Could not reach the leader to release this keeper's vote; stops as a voter");
                 break "not answered";
             }
         }
     };
     log::info!(target: part::KEEPER,
-        outcome = outcome, waited_ms = began.elapsed().as_millis() as u64;
-        "Gave up its vote");
+        outcome = outcome, waited_ms = started.elapsed().as_millis() as u64;
+        "Stopped waiting for this keeper's vote to be released");
 }
--- a/clayplankd/src/keepers/leader_search.rs
+++ b/clayplankd/src/keepers/leader_search.rs
@@ -1,4 +1,4 @@
-//! Finds the leading keeper: by the keepers that are known, and by hosts that may know some.
+//! Search for the leading keeper, by querying the known keepers and hosts that may know some.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -13,45 +13,45 @@
 use crate::process::lock::lock;
 use crate::process::logging::part;
 
-/// How long a keeper that is asked who leads waits for a leader to speak: elections are over
-/// within about half a second. One that is asked in time names the next leader with that one's
-/// first heartbeat, so that nobody asks again and again meanwhile.
+/// Time for which a queried keeper waits to hear from a leader before it answers: elections are over
+/// within about half a second. A keeper queried during an election answers at the first heartbeat of
+/// the new leader, so that clients need not poll.
 const LEADER_WAIT: Duration = Duration::from_millis(600);
 
-/// A keeper that has not named a leader after this time may be cut off: another is asked as well.
-/// Most elections are over by then, so that each host asks one or two keepers.
-const NEXT_KEEPER_AFTER: Duration = Duration::from_millis(250);
+/// Time after which the next keeper is queried in addition: the previous one may be partitioned off.
+/// Most elections are over by then, so that each host queries one or two keepers.
+const NEXT_KEEPER_DELAY: Duration = Duration::from_millis(250);
 
-/// Pause after a search that found no leader, drawn up to this time, in ms; after each further one twice
-/// as long.
+/// Maximum random pause after the first search that found no leader, in ms. It doubles with each
+/// further search that finds none.
 const SEARCH_PAUSE_MS: u64 = 100;
 
-/// The longest such pause: all of a region may have lost power, and no host is served before it
-/// has found a keeper.
+/// Upper limit of that maximum, in ms. It is short because a complete region may restart after a
+/// power failure, and no host serves requests before it has found a keeper.
 const MAX_SEARCH_PAUSE_MS: u64 = 1_000;
 
-/// Between two lines of a search that goes on, in ms: most end within a second.
-const SEARCH_LINE_EVERY_MS: u64 = 3_000;
+/// Interval between two log lines on an ongoing search, in ms: most searches end within a second.
+const SEARCH_LOG_INTERVAL_MS: u64 = 3_000;
 
 impl KeeperClient {
-    /// Asks one host after the other who leads, until one of them hears a leader; `None` if none
-    /// does for a while.
+    /// Queries one host after the other, without waiting for earlier ones to answer, until one names a
+    /// leader; `None` if none does in time.
     async fn find_leader(&self) -> Option<HostId> {
-        let mut asked = HashSet::new();
-        let mut questions = JoinSet::new();
-        while let Some(host) = self.next_to_ask(&asked) {
-            asked.insert(host.clone());
+        let mut queried = HashSet::new();
+        let mut queries = JoinSet::new();
+        while let Some(host) = self.next_to_query(&queried) {
+            queried.insert(host.clone());
             let client = self.clone();
-            questions.spawn(async move { client.ask_for_leader(&host).await });
-            let answered = next_answer(NEXT_KEEPER_AFTER, &mut questions).await;
+            queries.spawn(async move { client.query_leader(&host).await });
+            let answered = next_answer(NEXT_KEEPER_DELAY, &mut queries).await;
             if let Some(Some(leader)) = answered {
                 return Some(leader);
             }
         }
         let deadline = Instant::now() + LEADER_WAIT;
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            match next_answer(left, &mut questions).await {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match next_answer(remaining, &mut queries).await {
                 Some(Some(leader)) => return Some(leader),
                 Some(None) => {}
                 None => return None,
@@ -59,17 +59,19 @@
         }
     }
 
-    fn next_to_ask(&self, asked: &HashSet<HostId>) -> Option<HostId> {
-        lock(&self.known).hosts.next_to_ask(asked, &mut rand::rng())
+    /// The next host to query, except those in `queried`.
+    fn next_to_query(&self, queried: &HashSet<HostId>) -> Option<HostId> {
+        lock(&self.state).hosts.next_to_ask(queried, &mut rand::rng())
     }
 
-    /// Asks a host for the leader that it hears next, and for the keepers that it knows.
-    pub(crate) async fn ask_for_leader(&self, keeper: &HostId) -> Option<HostId> {
-        let request = self.find_request(LEADER_WAIT);
-        let patience = LEADER_WAIT + NEXT_KEEPER_AFTER;
+    /// Queries a host for the next leader that it hears from, and adds the keepers and contacts that it
+    /// knows.
+    pub(crate) async fn query_leader(&self, keeper: &HostId) -> Option<HostId> {
+        let request = self.find_leader_request(LEADER_WAIT);
+        let timeout = LEADER_WAIT + NEXT_KEEPER_DELAY;
         let answer = self
             .peers
-            .call(keeper, patience, |mut client| async move { client.find_leader(request).await })
+            .call(keeper, timeout, |mut client| async move { client.find_leader(request).await })
             .await;
         match answer {
             Ok(reply) => {
@@ -78,93 +80,95 @@
                 Some(reply.leader_host).filter(|host| !host.is_empty()).map(HostId::new)
             }
             Err(error) => {
-                log::debug!(target: part::KEEPER, "A keeper does not say who leads: {error}.");
+                log::debug!(target: part::KEEPER, "A query for the leader failed: {error}");
                 None
             }
         }
     }
 
-    fn find_request(&self, wait: Duration) -> FindLeaderRequest {
+    fn find_leader_request(&self, wait: Duration) -> FindLeaderRequest {
         FindLeaderRequest {
             wait_ms: wait.as_millis() as u64,
-            from_host: self.own.as_ref().map(ToString::to_string).unwrap_or_default(),
+            from_host: self.local_host.as_ref().map(ToString::to_string).unwrap_or_default(),
             keepers: self.hosts().iter().map(ToString::to_string).collect(),
         }
     }
 
-    /// Makes the keepers known to the hosts that this one was told of: others may be told of the same.
-    async fn tell_seeds(self) {
-        let request = self.find_request(Duration::ZERO);
-        let seeds = lock(&self.known).hosts.seeds().to_vec();
-        let calls = seeds.iter().map(|seed| {
+    /// Sends the known keepers to the bootstrap addresses: other hosts may start from the same ones.
+    async fn notify_bootstrap_hosts(self) {
+        let request = self.find_leader_request(Duration::ZERO);
+        let bootstrap_hosts = lock(&self.state).hosts.seeds().to_vec();
+        let calls = bootstrap_hosts.iter().map(|host| {
             let request = request.clone();
-            self.peers.call(seed, LEADER_WAIT, |mut client| async move {
+            self.peers.call(host, LEADER_WAIT, |mut client| async move {
                 client.find_leader(request).await
             })
         });
-        for told in futures_util::future::join_all(calls).await {
-            if let Err(error) = told {
-                log::debug!(target: part::KEEPER, "The keepers were not made known: {error}.");
+        for sent in futures_util::future::join_all(calls).await {
+            if let Err(error) = sent {
+                log::debug!(target: part::KEEPER,
+                    "Could not send the known keepers to a bootstrap address: {error}");
             }
         }
     }
 }
 
-/// What the next of the hosts answered that were asked; `None` if no answer came in time, or none is due.
+/// The next answer of a queried host; `None` if none came within the time-out, or no query is running.
 async fn next_answer(
-    patience: Duration,
-    questions: &mut JoinSet<Option<HostId>>,
+    timeout: Duration,
+    queries: &mut JoinSet<Option<HostId>>,
 ) -> Option<Option<HostId>> {
-    let answered = clayplank_clock::timeout(patience, questions.join_next()).await.ok()??;
-    // A question that panicked found nobody.
+    let answered = clayplank_clock::timeout(timeout, queries.join_next()).await.ok()??;
+    // A query whose task panicked counts as one that found no leader.
     Some(answered.ok().flatten())
 }
 
-/// Tells, now and then, that a search goes on.
+/// Logs at intervals that a search has found no leader yet.
 struct SearchLog {
-    began_ms: u64,
-    told_ms: u64,
+    started_ms: u64,
+    /// Time of the last line, or the start of the search before the first one, in ms.
+    logged_ms: u64,
 }
 
 impl SearchLog {
-    fn begin(now_ms: u64) -> Self {
-        Self { began_ms: now_ms, told_ms: now_ms }
+    fn start(now_ms: u64) -> Self {
+        Self { started_ms: now_ms, logged_ms: now_ms }
     }
 
-    fn note_failed(&mut self, keepers: &KeeperClient) {
+    fn log_failure(&mut self, keepers: &KeeperClient) {
         let now_ms = now_ms();
-        if now_ms < self.told_ms + SEARCH_LINE_EVERY_MS {
+        if now_ms < self.logged_ms + SEARCH_LOG_INTERVAL_MS {
             return;
         }
-        self.told_ms = now_ms;
+        self.logged_ms = now_ms;
         log::warn!(target: part::KEEPER,
-            waited_ms = now_ms - self.began_ms,
+            waited_ms = now_ms - self.started_ms,
             keepers = keepers.hosts().len(), contacts = keepers.contacts().len();
-            "No leader is found");
+            "The search for the leader has found none yet");
     }
 }
 
-/// Looks for the leader whenever it is doubted.
+/// Searches for the leader whenever it is suspected to have failed.
 pub(crate) async fn run_leader_search(keepers: KeeperClient) {
     loop {
-        keepers.doubted.notified().await;
+        keepers.leader_suspected.notified().await;
         let is_first = keepers.leader().is_none();
         let mut pause_ms = SEARCH_PAUSE_MS;
-        let mut log = SearchLog::begin(now_ms());
+        let mut log = SearchLog::start(now_ms());
         let leader = loop {
             if let Some(leader) = keepers.find_leader().await {
                 break leader;
             }
-            log.note_failed(&keepers);
+            log.log_failure(&keepers);
             let pause = clayplank_clock::sleep(millis(rand::random_range(0..=pause_ms)));
             tokio::select! {
                 () = pause => pause_ms = (2 * pause_ms).min(MAX_SEARCH_PAUSE_MS),
-                () = keepers.learned.notified() => {}
+                () = keepers.hosts_learned.notified() => {}
             }
         };
-        keepers.note_found(leader);
+        keepers.record_leader(leader);
         if is_first {
-            tokio::spawn(keepers.clone().tell_seeds());
+            tokio::spawn(keepers.clone().notify_bootstrap_hosts());
         }
     }
 }
