--- a/clayplankd/src/follow/exchange.rs
+++ b/clayplankd/src/follow/exchange.rs
@@ -44,7 +44,8 @@
 
 impl Following {
     /// Sends requests to one keeper after the other until one answers with confirmed state, or all have
-    /// failed. The next request starts when one fails, or as a hedge when none has answered in time.
+    /// failed. The next request starts when one fails, or as a hedge when none has answered in time. After
+    /// [`MAX_HEDGES`] hedges, only the running requests are awaited.
     pub(crate) async fn exchange(
         &self,
         ranked_keepers: &[HostId],
--- a/clayplankd/src/follow/following.rs
+++ b/clayplankd/src/follow/following.rs
@@ -130,7 +130,7 @@
 }
 
 impl Following {
-    /// Time-outs of the requests to keepers, derived from the bound on changes.
+    /// Time-outs of requests to keepers, derived from the time within which a change must be in force.
     pub(crate) fn times(&self) -> FollowTimes {
         FollowTimes::of_bound(self.apply_ms.load(Ordering::SeqCst))
     }
@@ -287,7 +287,7 @@
             match self.directory.learn_limit(&observed) {
                 Noted::Changed => self.link.set_named_limit(&observed),
                 Noted::Unchanged => {}
-                Noted::Outdated(local) => self.link.tell_limit(local),
+                Noted::Outdated(local_limit) => self.link.tell_limit(local_limit),
             }
         }
         position.limits_cursor = changes.cursor;
--- a/clayplankd/src/keepers/first_start.rs
+++ b/clayplankd/src/keepers/first_start.rs
@@ -2,8 +2,8 @@
 //!
 //! Only the first process started on a host is given that information. A process that terminates
 //! before the replicated log is created must still know it after a restart: without the note it
-//! would be taken for a keeper that lost its disk, and if that holds for a majority, no keeper may
-//! create the log. The note is deliberately lost together with the disk.
+//! would be taken for a keeper that lost its disk, and unless a majority of the keepers still know it,
+//! none may create the log. The note is deliberately lost together with the disk.
 
 use clayplank_agreement::{Notes, StoreError};
 
--- a/clayplankd/src/keepers/keeper.rs
+++ b/clayplankd/src/keepers/keeper.rs
@@ -84,7 +84,7 @@
     pub(crate) store: Option<Store>,
     pub(crate) options: Options,
     /// Whether this disk was present when the complete system started for the first time: only then
-    /// may this keeper create the log.
+    /// does this keeper count towards the majority that may create the log.
     pub(crate) may_begin: bool,
     /// `None` until the log is created here or received from a peer, and after a disk failure.
     pub(crate) replica: Option<Replica>,
@@ -179,7 +179,8 @@
         keeper
     }
 
-    /// Sets whether this keeper may create the log, or may be a member of a log that a peer creates.
+    /// Sets whether this keeper may create the log, or count towards the majority that a peer needs to
+    /// create it.
     pub(crate) fn with_may_begin(mut self, may_begin: bool) -> Self {
         self.may_begin = may_begin;
         self
@@ -384,8 +385,9 @@
         };
     }
 
-    /// Whether a plan must be refused for lack of voters: disks that are lost at the same time must
-    /// not form a quorum. Holds only during the grace period after an election.
+    /// Whether plans must be refused because there are too few voters: otherwise disks that are lost at
+    /// the same time could form a quorum. Once the grace period after an election has passed, plans are
+    /// accepted with fewer voters.
     pub(crate) fn lacks_voters(&self) -> bool {
         let Some(replica) = &self.replica else {
             return true;
--- a/clayplankd/src/keepers/keeper_join.rs
+++ b/clayplankd/src/keepers/keeper_join.rs
@@ -94,7 +94,7 @@
 }
 
 impl Joining {
-    /// All hosts to introduce this keeper to until it is a voter.
+    /// All hosts to which this keeper is introduced while it is not an active voter.
     fn other_hosts(&self, local: &ReplicaId) -> Vec<HostId> {
         let mut other_hosts = self.seeds.clone();
         if let Some(keepers) = &self.keepers {
@@ -111,8 +111,9 @@
     /// all keepers.
     fn non_keepers(&self, status: &JoinStatus) -> Vec<HostId> {
         let has_client = self.keepers.is_some();
-        let seeds = self.seeds.iter().filter(|host| has_client && !status.members.contains(host));
-        seeds.cloned().collect()
+        let non_keepers =
+            self.seeds.iter().filter(|host| has_client && !status.members.contains(host));
+        non_keepers.cloned().collect()
     }
 
     /// Adds the keepers and contacts learned from an introduction to the client.
@@ -135,7 +136,7 @@
     }
 }
 
-/// Introduces this keeper to the other hosts until it is a voter that hears a leader. From then on it
+/// Introduces this keeper to the other hosts while it is not a voter or hears no leader. Otherwise
 /// introduces it only to the bootstrap addresses that are not keepers.
 pub(crate) async fn run_join(keeper: Address<Keeper>, joining: Joining, peers: Peers) {
     let mut wait_log = WaitLog::default();
@@ -216,9 +217,9 @@
     joining: &Joining,
     introductions: &Introductions,
 ) {
-    let seeds = joining.seeds.iter().map(ToString::to_string);
+    let bootstrap_hosts = joining.seeds.iter().map(ToString::to_string);
     let bootstrap_names: Vec<_> =
-        seeds.filter(|seed| !introductions.non_keepers.contains(seed)).collect();
+        bootstrap_hosts.filter(|host| !introductions.non_keepers.contains(host)).collect();
     let start = match plan_join(local, &bootstrap_names, &introductions.answers) {
         Join::Begin(configuration) => StartLog(Some(configuration)),
         Join::Learn => StartLog(None),
--- a/clayplankd/src/keepers/keeper_log.rs
+++ b/clayplankd/src/keepers/keeper_log.rs
@@ -75,8 +75,8 @@
         }
         let configuration = replica.configuration();
         log::info!(target: part::KEEPER,
-            voters = names(configuration.voters.iter()),
-            learners = names(configuration.learners.iter()),
+            voters = join_ids(configuration.voters.iter()),
+            learners = join_ids(configuration.learners.iter()),
             quorum = configuration.quorum(), is_committed = is_committed,
             last_index = replica.last_index();
             "The keepers' members changed");
@@ -95,22 +95,23 @@
         }
         self.election_logged_ms = Some(now_ms);
         log::warn!(target: part::KEEPER,
-            granted = names(granted.iter()), quorum = replica.configuration().quorum(),
-            voters = names(replica.configuration().voters.iter()),
+            granted = join_ids(granted.iter()), quorum = replica.configuration().quorum(),
+            voters = join_ids(replica.configuration().voters.iter()),
             term = replica.term(), last_index = replica.last_index();
             "No leader is elected");
     }
 }
 
-fn names<'a>(ids: impl Iterator<Item = &'a ReplicaId>) -> String {
+fn join_ids<'a>(ids: impl Iterator<Item = &'a ReplicaId>) -> String {
     ids.map(ToString::to_string).collect::<Vec<_>>().join(" ")
 }
 
-/// Interval between two log lines of a keeper that is not yet a voter: most become voters within
+/// Interval between two log lines of a keeper that is not yet an active voter: most become one within
 /// one to two seconds.
 const WAIT_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Logs at intervals that a keeper is waiting to become a voter, and which peers answered it.
+/// Logs at intervals that a keeper is not yet an active voter, that is, one that hears a leader, and which
+/// peers answered its introductions.
 #[derive(Debug, Default)]
 pub(crate) struct WaitLog {
     /// Start of the wait.
@@ -139,6 +140,6 @@
         log::warn!(target: part::KEEPER,
             waited_ms = (now - started).as_millis() as u64, has_log = status.has_log,
             members = answered(false), blank = answered(true);
-            "This keeper is not a voter yet");
+            "This keeper is not yet a voter that hears a leader");
     }
 }
--- a/clayplankd/src/keepers/keeper_messages.rs
+++ b/clayplankd/src/keepers/keeper_messages.rs
@@ -220,8 +220,8 @@
     }
 }
 
-/// Creates the log with the given first membership, or with `None` prepares to receive it from the
-/// leader.
+/// Starts the replica of a keeper without a log: with the given first members of the log, or with `None`
+/// as a learner that receives the log from the leader.
 pub(crate) struct StartLog(pub(crate) Option<Configuration>);
 
 impl Handler<StartLog> for Keeper {
@@ -258,12 +258,12 @@
 /// Requests the join status of this keeper.
 pub(crate) struct GetJoinStatus;
 
-/// Progress of a keeper in joining the others.
+/// Progress of a keeper in becoming an active voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct JoinStatus {
     pub(crate) id: ReplicaId,
     pub(crate) has_log: bool,
-    /// Whether it may create the log.
+    /// Whether it may create the log, or count towards the majority that a peer needs to create it.
     pub(crate) may_begin: bool,
     /// Whether it is a voter and hears a leader. A keeper that was removed hears none.
     pub(crate) is_active_voter: bool,
