--- a/clayplankd/src/doors.rs
+++ b/clayplankd/src/doors.rs
@@ -1,17 +1,17 @@
-//! Doors: what callers, operators and upstreams ask of this host.
+//! HTTP endpoints of this host for callers, operators and upstreams.
 
-pub(crate) mod accounts;
+pub(crate) mod account_limits;
+pub(crate) mod body_abort;
 pub(crate) mod callers;
 pub(crate) mod claims;
 pub(crate) mod completions;
 pub(crate) mod contract;
-pub(crate) mod control_door;
+pub(crate) mod control_endpoint;
 pub(crate) mod cordons;
-pub(crate) mod cut_off;
 pub(crate) mod dispatch;
 pub(crate) mod native;
 pub(crate) mod operators;
+pub(crate) mod quarantine;
 pub(crate) mod replies;
 pub(crate) mod serve;
 pub(crate) mod services;
-pub(crate) mod suspects;
--- a/clayplankd/src/doors/callers.rs
+++ b/clayplankd/src/doors/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' door: who calls, what for, and within which limits.
+//! The callers' endpoint: authenticates callers, applies limits, and routes their requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,42 +11,43 @@
 use http::{HeaderMap, Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
 
-use crate::doors::accounts::AccountPass;
+use crate::doors::account_limits::AccountPermit;
 use crate::doors::completions::{Call, CallBody, Style, run_completion};
-use crate::doors::dispatch::Work;
+use crate::doors::dispatch::PromptJob;
+use crate::doors::quarantine::Identity;
 use crate::doors::replies::{Body, Problem, json, text};
 use crate::doors::serve::{bearer_key, read_body};
 use crate::doors::services::{ServiceCall, is_service_path, run_call};
-use crate::doors::suspects::Identity;
 use crate::process::clock::millis;
 use crate::process::host::{Host, InProgressGuard};
 
-/// Names the template of a request.
+/// Header with the name of the request's template.
 const TEMPLATE_HEADER: &str = "x-clayplank-template";
 
-/// Shortens the deadline of a request, in milliseconds.
+/// Header that shortens the request's deadline, in ms from its arrival.
 const DEADLINE_HEADER: &str = "x-clayplank-deadline-ms";
 
-/// Names a request that must not run twice.
+/// Header with the idempotency key of a request that must run at most once.
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
-/// A host whose settings are not confirmed, or that is full or leaving, may be asked again after this time.
+/// Retry delay of requests rejected because the host's settings are not confirmed, or the host is
+/// full or leaving.
 const HOST_RETRY_MS: u64 = 500;
 
-/// Who calls, and under which settings.
+/// An admitted caller, with its settings and permits.
 #[derive(Debug)]
 struct Caller {
     account: AccountId,
     share: u64,
     view: Arc<SettingsView>,
-    pass: AccountPass,
+    permit: AccountPermit,
     guard: InProgressGuard,
     arrived: Instant,
 }
 
-/// Answers one request of a caller.
+/// Answers a request of a caller.
 pub(crate) async fn answer(host: Arc<Host>, request: Request<Incoming>) -> Response<Body> {
     let arrived = Instant::now();
     if request.method() == Method::GET && request.uri().path() == "/health" {
@@ -71,7 +72,7 @@
     view.find_account(bearer_key(request)?).map(|(id, _)| id)
 }
 
-/// Fails while this host should get no requests.
+/// Answers the health check; it fails while this host should get no requests.
 pub(crate) fn health(host: &Host) -> Response<Body> {
     match (host.progress.is_leaving(), host.current.is_confirmed()) {
         (true, _) => text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n".to_owned()),
@@ -87,7 +88,7 @@
     request: Request<Incoming>,
     arrived: Instant,
 ) -> Result<Response<Body>, Problem> {
-    let caller = let_in(host, &request, arrived)?;
+    let caller = admit(host, &request, arrived)?;
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::POST, "/v1/completions") => complete(host, caller, request, Style::Text).await,
@@ -100,33 +101,33 @@
     }
 }
 
-/// Checks the host, the key and the limits, in this order.
-fn let_in(
+/// Admits a request: checks the state of the host, the key and the limits, in this order.
+fn admit(
     host: &Arc<Host>,
     request: &Request<Incoming>,
     arrived: Instant,
 ) -> Result<Caller, Problem> {
-    let refuse = |reason| Err(Problem::Refused(Refusal::new(reason, HOST_RETRY_MS)));
+    let reject = |reason| Err(Problem::Refused(Refusal::new(reason, HOST_RETRY_MS)));
     if host.progress.is_closed() {
-        return refuse(RefusalReason::Leaving);
+        return reject(RefusalReason::Leaving);
     }
     let Some(view) = host.current.confirmed() else {
-        return refuse(RefusalReason::SettingsStale);
+        return reject(RefusalReason::SettingsStale);
     };
     let key = bearer_key(request).ok_or(Problem::Unauthorized)?;
     let (id, account) = view.find_account(key).ok_or(Problem::Unauthorized)?;
     if host.progress.count() >= host.settings.doors.max_in_progress {
-        return refuse(RefusalReason::QueueFull);
+        return reject(RefusalReason::QueueFull);
     }
-    let pass = host.account_doors.enter(&id, account)?;
+    let permit = host.account_limits.admit(&id, account)?;
     let guard = InProgressGuard::new(host);
     let (account, share) = (id, account.share);
-    Ok(Caller { account, share, view, pass, guard, arrived })
+    Ok(Caller { account, share, view, permit, guard, arrived })
 }
 
 impl Caller {
-    /// What holds for the request, and until when it has to end.
-    fn plan(&self, headers: &HeaderMap) -> Result<(Effective, Instant), Problem> {
+    /// The effective settings of the request, and its deadline.
+    fn settings_and_deadline(&self, headers: &HeaderMap) -> Result<(Effective, Instant), Problem> {
         let template = header(headers, TEMPLATE_HEADER)?;
         let effective = self.view.effective(&self.account, template);
         let effective = effective.ok_or_else(|| {
@@ -137,7 +138,7 @@
         })?;
         let deadline_ms = match header(headers, DEADLINE_HEADER)? {
             None => effective.deadline_ms,
-            Some(value) => read_deadline(value)?.min(effective.deadline_ms),
+            Some(value) => parse_deadline(value)?.min(effective.deadline_ms),
         };
         Ok((effective, self.arrived + millis(deadline_ms)))
     }
@@ -148,14 +149,14 @@
     value.map_err(|_| Problem::Malformed(format!("{name}: must be visible ASCII text")))
 }
 
-fn read_deadline(value: &str) -> Result<u64, Problem> {
+fn parse_deadline(value: &str) -> Result<u64, Problem> {
     let deadline_ms = value.parse().ok().filter(|&deadline_ms: &u64| deadline_ms > 0);
     deadline_ms.ok_or_else(|| {
         Problem::Malformed(format!("{DEADLINE_HEADER}: must be a number of milliseconds"))
     })
 }
 
-fn read_idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Problem> {
+fn parse_idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Problem> {
     match header(headers, IDEMPOTENCY_HEADER)? {
         Some(key) if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES => {
             Err(Problem::Malformed(format!(
@@ -166,7 +167,7 @@
     }
 }
 
-fn read_patience(host: &Host) -> Duration {
+fn read_timeout(host: &Host) -> Duration {
     millis(host.settings.doors.read_timeout_ms)
 }
 
@@ -177,13 +178,13 @@
     style: Style,
 ) -> Result<Response<Body>, Problem> {
     let (head, body) = request.into_parts();
-    let (effective, deadline) = caller.plan(&head.headers)?;
-    let idempotency_key = read_idempotency_key(&head.headers)?;
-    let body = read_body(body, host.settings.doors.max_body_bytes, read_patience(host)).await?;
+    let (effective, deadline) = caller.settings_and_deadline(&head.headers)?;
+    let idempotency_key = parse_idempotency_key(&head.headers)?;
+    let body = read_body(body, host.settings.doors.max_body_bytes, read_timeout(host)).await?;
     let call_body = CallBody::parse(&body)?;
     let identity = identity(&caller, style.path(), &body);
     let prompt = call_body.to_prompt(style)?;
-    // What account and template say goes before what the request says.
+    // A model set by the account or template takes precedence over the request's.
     let model = effective.model.clone().or_else(|| call_body.model.clone());
     let model = model.ok_or_else(|| Problem::Malformed("/model: must name a model".to_owned()))?;
     if host.pools.of_model(&model).is_empty() {
@@ -191,7 +192,7 @@
     }
     let prompt_tokens = host.settings.bytes_per_token.tokens(prompt.len());
     let bands = &host.settings.length_bands;
-    let work = Work {
+    let job = PromptJob {
         account: caller.account,
         share: caller.share,
         max_tokens: call_body.max_tokens.unwrap_or(u64::MAX).clamp(1, effective.max_output_tokens),
@@ -204,11 +205,11 @@
         prompt,
         identity,
     };
-    let call = Call { work, style, is_streamed: call_body.stream, idempotency_key, body };
-    run_completion(host, call, caller.pass, caller.guard).await
+    let call = Call { job, style, is_streamed: call_body.stream, idempotency_key, body };
+    run_completion(host, call, caller.permit, caller.guard).await
 }
 
-/// What a request is known by when its caller sends it again.
+/// The identity by which a repeat of the request is recognized.
 fn identity(caller: &Caller, path: &str, body: &[u8]) -> Identity {
     let caller = caller.account.to_string();
     let fingerprint =
@@ -231,10 +232,10 @@
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Problem> {
     let (head, body) = request.into_parts();
-    let (effective, deadline) = caller.plan(&head.headers)?;
+    let (effective, deadline) = caller.settings_and_deadline(&head.headers)?;
     let names_template = head.headers.contains_key(TEMPLATE_HEADER);
-    let idempotency_key = read_idempotency_key(&head.headers)?;
-    let body = read_body(body, host.settings.doors.max_body_bytes, read_patience(host)).await?;
+    let idempotency_key = parse_idempotency_key(&head.headers)?;
+    let body = read_body(body, host.settings.doors.max_body_bytes, read_timeout(host)).await?;
     let path = head.uri.path_and_query().map_or_else(|| "/".to_owned(), ToString::to_string);
     let call = ServiceCall {
         identity: identity(&caller, &path, &body),
@@ -246,11 +247,11 @@
         idempotency_key,
         deadline,
     };
-    // On a task of its own: if the caller leaves, the claim is settled all the same.
-    let (host, pass, guard) = (Arc::clone(host), caller.pass, caller.guard);
+    // Runs in a separate task, so that the claim is settled even if the caller disconnects.
+    let (host, permit, guard) = (Arc::clone(host), caller.permit, caller.guard);
     let task = tokio::spawn(async move {
         let _guard = guard;
-        run_call(&host, &call, &pass).await
+        run_call(&host, &call, &permit).await
     });
     task.await.unwrap_or_else(|_| Err(Problem::Unknown("the request failed inside".to_owned())))
 }
--- a/clayplankd/src/doors/completions.rs
+++ b/clayplankd/src/doors/completions.rs
@@ -1,4 +1,4 @@
-//! The completions interface, streamed and whole.
+//! The completions API, with streamed or buffered answers.
 
 use std::sync::Arc;
 
@@ -14,20 +14,20 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-use crate::doors::accounts::AccountPass;
+use crate::doors::account_limits::AccountPermit;
+use crate::doors::body_abort::FlushBeforeAbort;
 use crate::doors::claims::{Claimed, HeldClaim, claim, release, settle};
-use crate::doors::cut_off::FlushBeforeCutOff;
-use crate::doors::dispatch::{Sink, Work, run_work};
-use crate::doors::replies::{CutOff, Problem, full, json, set_outcome};
+use crate::doors::dispatch::{PromptJob, Sink, run_job};
+use crate::doors::replies::{BodyAborted, Problem, full, json, set_outcome};
 use crate::doors::services::{fingerprint, repeat_response};
 use crate::process::host::{Host, InProgressGuard};
 
-/// Chunks that wait for a slow caller before the engine's stream is held up.
+/// Number of chunks buffered for a slow caller before backpressure stops reading from the engine.
 const STREAM_CHUNKS: usize = 64;
 
 const DONE: &str = "data: [DONE]\n\n";
 
-/// Which of the two interfaces was called.
+/// The called variant of the API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Style {
     /// `/v1/completions`.
@@ -53,7 +53,7 @@
     }
 }
 
-/// The body of a call. Fields that are not listed are ignored, as model servers do.
+/// The body of a call. Unknown fields are ignored, as model servers do.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct CallBody {
     pub(crate) model: Option<String>,
@@ -71,13 +71,13 @@
 }
 
 impl CallBody {
-    /// Reads a body, or names what is wrong in it.
+    /// Parses a body, or reports the fault in it.
     pub(crate) fn parse(bytes: &[u8]) -> Result<Self, Problem> {
         serde_json::from_slice(bytes)
             .map_err(|error| Problem::Malformed(format!("the body is not a call: {error}")))
     }
 
-    /// The prompt of the call.
+    /// Builds the prompt; chat messages are joined, one per line.
     pub(crate) fn to_prompt(&self, style: Style) -> Result<String, Problem> {
         let prompt = match style {
             Style::Text => self.prompt.clone().ok_or("/prompt: must be a string"),
@@ -101,43 +101,46 @@
     lines.join("\n")
 }
 
-/// A call that was let in.
+/// An admitted call.
 #[derive(Debug)]
 pub(crate) struct Call {
-    pub(crate) work: Work,
+    pub(crate) job: PromptJob,
     pub(crate) style: Style,
     pub(crate) is_streamed: bool,
     pub(crate) idempotency_key: Option<String>,
     pub(crate) body: Bytes,
 }
 
-type Answered = Response<crate::doors::replies::Body>;
+type AnswerResponse = Response<crate::doors::replies::Body>;
 
-/// Runs a call; the answer starts with the first token, so that its status is true.
+/// Runs a call. The response starts only with the first token, so that its status code can still
+/// report an earlier failure.
 pub(crate) async fn run_completion(
     host: &Arc<Host>,
     call: Call,
-    pass: AccountPass,
+    permit: AccountPermit,
     guard: InProgressGuard,
-) -> Result<Answered, Problem> {
-    let held = match &call.idempotency_key {
-        Some(key) if !call.work.effective.repeatable => {
-            match claim(host, &call.work.account, key, call_fingerprint(&call), call.work.deadline)
+) -> Result<AnswerResponse, Problem> {
+    let held_claim = match &call.idempotency_key {
+        Some(key) if !call.job.effective.repeatable => {
+            match claim(host, &call.job.account, key, call_fingerprint(&call), call.job.deadline)
                 .await?
             {
-                Claimed::Run(held) => Some(held),
+                Claimed::Run(held_claim) => Some(held_claim),
                 Claimed::Repeated(answer) => return Ok(repeat_response(answer)),
             }
         }
         Some(_) | None => None,
     };
     if call.is_streamed {
-        stream_answer(host, call, pass, guard, held).await
+        stream_answer(host, call, permit, guard, held_claim).await
     } else {
-        // On a task of its own: if the caller leaves, the grant is ended all the same.
+        // Runs in a separate task, so that the grant is ended even if the caller disconnects.
         let host = Arc::clone(host);
         let task =
-            tokio::spawn(async move { whole_answer(&host, &call, &pass, guard, held).await });
+            tokio::spawn(
+                async move { buffered_answer(&host, &call, &permit, guard, held_claim).await },
+            );
         task.await.unwrap_or_else(|_| Err(Problem::Failed("the request failed inside".to_owned())))
     }
 }
@@ -151,28 +154,33 @@
     })
 }
 
-async fn whole_answer(
+async fn buffered_answer(
     host: &Host,
     call: &Call,
-    pass: &AccountPass,
+    permit: &AccountPermit,
     _guard: InProgressGuard,
-    held: Option<HeldClaim>,
-) -> Result<Answered, Problem> {
-    let mut sink = Sink::Whole(String::new());
-    let result = run_work(host, &call.work, pass, &mut sink).await;
-    let Sink::Whole(text) = sink else {
+    held_claim: Option<HeldClaim>,
+) -> Result<AnswerResponse, Problem> {
+    let mut sink = Sink::Buffered(String::new());
+    let result = run_job(host, &call.job, permit, &mut sink).await;
+    let Sink::Buffered(text) = sink else {
         return Err(Problem::Failed("the answer went elsewhere".to_owned()));
     };
-    let result = result.map(|finish| whole_body(call, &text, &finish));
-    end_claim(host, held, result.as_ref().map(|body| Some(body.to_string()))).await;
+    let result = result.map(|finish| completion_body(call, &text, &finish));
+    end_claim(host, held_claim, result.as_ref().map(|body| Some(body.to_string()))).await;
     let mut response = json(StatusCode::OK, &result?);
     set_outcome(&mut response, Outcome::Answered);
     Ok(response)
 }
 
-/// Settles or releases, as the request ended. A streamed answer is not kept.
-async fn end_claim(host: &Host, held: Option<HeldClaim>, result: Result<Option<String>, &Problem>) {
-    let Some(held) = held else {
+/// Settles or releases the claim, depending on the outcome of the request. The body of a streamed
+/// answer is not stored.
+async fn end_claim(
+    host: &Host,
+    held_claim: Option<HeldClaim>,
+    result: Result<Option<String>, &Problem>,
+) {
+    let Some(held_claim) = held_claim else {
         return;
     };
     match result {
@@ -180,30 +188,30 @@
             let content_type = Some("application/json".to_owned());
             settle(
                 host,
-                held,
+                held_claim,
                 Some(Answer { status: 200, content_type, body: body.map(String::into_bytes) }),
             )
             .await;
         }
-        Err(problem) if problem.outcome() == Outcome::NotRun => release(host, held),
-        Err(_) => settle(host, held, None).await,
+        Err(problem) if problem.outcome() == Outcome::NotRun => release(host, held_claim),
+        Err(_) => settle(host, held_claim, None).await,
     }
 }
 
 async fn stream_answer(
     host: &Arc<Host>,
     call: Call,
-    pass: AccountPass,
+    permit: AccountPermit,
     guard: InProgressGuard,
-    held: Option<HeldClaim>,
-) -> Result<Answered, Problem> {
+    held_claim: Option<HeldClaim>,
+) -> Result<AnswerResponse, Problem> {
     let (chunk_sender, mut chunks) = mpsc::channel(STREAM_CHUNKS);
-    let (model, style) = (call.work.model.clone(), call.style);
+    let (model, style) = (call.job.model.clone(), call.style);
     let task_host = Arc::clone(host);
     let task = tokio::spawn(async move {
         let mut sink = Sink::Stream(chunk_sender);
-        let result = run_work(&task_host, &call.work, &pass, &mut sink).await;
-        end_claim(&task_host, held, result.as_ref().map(|_| None)).await;
+        let result = run_job(&task_host, &call.job, &permit, &mut sink).await;
+        end_claim(&task_host, held_claim, result.as_ref().map(|_| None)).await;
         result
     });
     let Some(first) = chunks.recv().await else {
@@ -212,30 +220,31 @@
             Err(problem) => Err(problem),
         };
     };
-    let (sender, channel) = Channel::<Bytes, CutOff>::new(STREAM_CHUNKS);
+    let (sender, channel) = Channel::<Bytes, BodyAborted>::new(STREAM_CHUNKS);
     tokio::spawn(send_stream(sender, style, model, first, chunks, task, guard));
-    Ok(event_response(FlushBeforeCutOff::new(channel.boxed_unsync()).boxed_unsync()))
+    Ok(event_response(FlushBeforeAbort::new(channel.boxed_unsync()).boxed_unsync()))
 }
 
 async fn join(task: JoinHandle<Result<Finish, Problem>>) -> Result<Finish, Problem> {
     task.await.unwrap_or_else(|_| Err(Problem::Failed("the request failed inside".to_owned())))
 }
 
-fn event_response(body: crate::doors::replies::Body) -> Answered {
+fn event_response(body: crate::doors::replies::Body) -> AnswerResponse {
     let mut response = Response::new(body);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     set_outcome(&mut response, Outcome::Answered);
     response
 }
 
-fn empty_stream(style: Style, model: &str, finish: &Finish) -> Answered {
+fn empty_stream(style: Style, model: &str, finish: &Finish) -> AnswerResponse {
     let text = format!("{}{DONE}", event(&last_chunk(style, model, finish)));
     event_response(full(text))
 }
 
-/// Passes the chunks on. A broken answer ends with an error event and a broken connection, never with `[DONE]`.
+/// Forwards the chunks to the caller. An answer that breaks off ends with an error event and an
+/// aborted connection, never with `[DONE]`.
 async fn send_stream(
-    mut sender: Sender<Bytes, CutOff>,
+    mut sender: Sender<Bytes, BodyAborted>,
     style: Style,
     model: String,
     first: Chunk,
@@ -247,7 +256,8 @@
     while let Some(chunk) = next {
         let data = event(&middle_chunk(style, &model, &chunk));
         if sender.send_data(Bytes::from(data)).await.is_err() {
-            // The caller left: the engine is told as soon as the next chunk finds nobody.
+            // The caller disconnected. The engine's request is cancelled when sending the next
+            // chunk fails.
             return;
         }
         next = chunks.recv().await;
@@ -260,7 +270,7 @@
         Err(problem) => {
             let end = format!("event: error\n{}", event(&problem.to_json()));
             sender.send_data(Bytes::from(end)).await.ok();
-            sender.abort(CutOff);
+            sender.abort(BodyAborted);
         }
     }
 }
@@ -292,7 +302,7 @@
     serde_json::json!({ "object": style.object(true), "model": model, "choices": [choice], "usage": usage })
 }
 
-fn whole_body(call: &Call, text: &str, finish: &Finish) -> serde_json::Value {
+fn completion_body(call: &Call, text: &str, finish: &Finish) -> serde_json::Value {
     let choice = match call.style {
         Style::Text => {
             serde_json::json!({ "index": 0, "text": text, "finish_reason": finish.reason })
@@ -305,7 +315,7 @@
     };
     serde_json::json!({
         "object": call.style.object(false),
-        "model": call.work.model,
+        "model": call.job.model,
         "choices": [choice],
         "usage": usage(finish),
     })
--- a/clayplankd/src/doors/contract.rs
+++ b/clayplankd/src/doors/contract.rs
@@ -1,4 +1,4 @@
-//! How a platform speaks to a seeded host: an edge of the process.
+//! The calls, headers and document formats with which a platform talks to a seeded host.
 
 use std::sync::Arc;
 
@@ -12,34 +12,34 @@
 use http_body_util::Full;
 use serde::Deserialize;
 
-/// A call to a keeper.
+/// A call to the control endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlCall {
     /// An operator replaces the serving plan.
     Publish(Box<ServingPlan>),
-    /// An operator asks for the plan in force, as it was sent.
+    /// An operator reads the plan in force, as it was sent.
     ReadPlan,
-    /// An upstream tells of itself.
+    /// An upstream reports its status.
     Heartbeat(Heartbeat),
-    /// An upstream leaves: the life that it names, or the newest.
+    /// An upstream departs: the incarnation that it names, or the newest.
     Leave(Heartbeat),
-    /// An operator asks which requests are held back.
+    /// An operator lists the quarantined requests.
     ReadHeldBack,
-    /// An operator holds a request back no more.
+    /// An operator lifts the quarantine of a request.
     Lift(RequestFingerprint),
-    /// An operator asks which data centres are under a cordon.
+    /// An operator lists the cordoned data centres.
     ReadCordoned,
-    /// An operator wants nothing more to go to the upstreams of a data centre.
+    /// An operator cordons a data centre: its upstreams get no more requests.
     Cordon(DataCentre),
-    /// An operator takes that back.
+    /// An operator lifts the cordon of a data centre.
     Uncordon(DataCentre),
 }
 
 impl ControlCall {
-    /// A heartbeat of an upstream that can be reached.
+    /// The call for a heartbeat of an upstream with a usable address.
     ///
     /// # Errors
-    /// Its address names no host, or no port: nothing could be sent there.
+    /// The address lacks a host or a port, so that no request could be sent to the upstream.
     pub fn of_heartbeat(heartbeat: Heartbeat) -> Result<Self, ControlFault> {
         if heartbeat.is_reachable() {
             return Ok(Self::Heartbeat(heartbeat));
@@ -50,20 +50,20 @@
     }
 }
 
-/// What an engine tells of itself when it is asked. Read as it stands under the project's own
-/// contract; what is missing is usual, and other fields are passed over.
+/// Load that an engine reports on request. The native contract uses this JSON form unchanged:
+/// missing fields take their defaults, and unknown fields are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct EngineReport {
-    /// How many times longer its work takes than its cost model says.
+    /// Ratio of actual run time to the cost model's estimate; above 1 if the engine is slower.
     pub pace: f64,
-    /// Requests that it runs, for whichever host.
+    /// Number of requests that the engine runs, from all hosts.
     pub running: usize,
-    /// Requests that wait there.
+    /// Number of requests that wait at the engine.
     pub waiting: usize,
-    /// Tokens of memory that its requests hold.
+    /// Engine memory that its requests occupy, in tokens.
     pub used_tokens: u64,
-    /// When the life that answers began, in ms since 1970; 0 if it does not say so.
+    /// Start time of the engine's incarnation, in ms since the Unix epoch; 0 if not reported.
     pub born_ms: u64,
 }
 
@@ -73,24 +73,25 @@
     }
 }
 
-/// Why a call is not taken.
+/// Why a call is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlFault {
-    /// There is no such call.
+    /// No call has this method and path.
     NotFound,
-    /// Its body is wrong.
+    /// The body or the path is invalid.
     Malformed(Faults),
 }
 
-/// Names, formats and calls of a platform. It translates and decides nothing.
+/// Header names, formats and calls of a platform. An implementation only translates them, and takes
+/// no decisions.
 pub trait Contract: OrderFormat {
-    /// The headers of requests and answers.
+    /// Names of the headers in requests and responses.
     fn header_names(&self) -> HeaderNames;
 
-    /// Reads a call to a keeper.
+    /// Parses a call to the control endpoint.
     ///
     /// # Errors
-    /// It is none, or its body is wrong; with every fault's place.
+    /// There is no such call, or its body is invalid; each fault names its place in the body.
     fn scan_call(
         &self,
         method: &Method,
@@ -98,24 +99,24 @@
         body: &[u8],
     ) -> Result<ControlCall, ControlFault>;
 
-    /// Reads a plan that was accepted before.
+    /// Parses a serving plan.
     ///
     /// # Errors
-    /// All faults of the text.
+    /// The text is not a valid plan; lists all faults.
     fn parse_plan(&self, text: &str) -> Result<ServingPlan, Faults>;
 
-    /// The question to an engine for what it tells of itself.
+    /// The request for an engine's report.
     fn report_request(&self) -> Request<Full<Bytes>>;
 
-    /// Reads an engine's answer to it.
+    /// Parses an engine's report.
     ///
     /// # Errors
-    /// It is not what engines answer.
+    /// The body is not a valid report.
     fn scan_report(&self, body: &[u8]) -> Result<EngineReport, serde_json::Error>;
 
-    /// Whether a call asks if the host takes new connections.
+    /// Whether a call is the readiness check, which asks if the host accepts new connections.
     fn is_readiness_call(&self, method: &Method, path: &str) -> bool;
 }
 
-/// A contract that the parts of a host share.
+/// The contract, shared by the parts of a host.
 pub(crate) type SharedContract = Arc<dyn Contract>;
--- a/clayplankd/src/doors/control_door.rs
+++ b/clayplankd/src/doors/control_endpoint.rs
@@ -1,7 +1,7 @@
-//! The door for operators and for heartbeats of upstreams.
+//! The control endpoint, for operators and for heartbeats of upstreams.
 //!
-//! Any host may have one. A keeper answers from what it holds; a host without a disk asks the
-//! keepers, and passes heartbeats on to them.
+//! Any host may have one. A keeper uses its local registry; a host without a data folder queries the
+//! keepers, and forwards heartbeats to them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,54 +27,56 @@
 use crate::keepers::keeper_messages::WhoLeads;
 use crate::process::logging::part;
 
-/// The largest plan, in bytes; the platform's callers keep below four megabytes.
+/// Size limit of a body, such as a plan, in bytes; the platform's plans stay below four megabytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// The most that a line of the log tells of what is wrong with a call, in characters.
-const MAX_TOLD_CHARS: usize = 300;
+/// Limit of the logged text of a call's faults, in characters.
+const MAX_LOGGED_CHARS: usize = 300;
 
-/// Time for the keepers to take a plan, or to confirm one: callers move on after about a second.
-pub(super) const PATIENCE: Duration = Duration::from_millis(900);
+/// Time-out of a call to the keepers, such as to store or confirm a plan: clients give up after
+/// about a second.
+pub(super) const QUORUM_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time for this host's own keeper to say who leads; one that waits for its disk says nothing.
-const OWN_KEEPER_PATIENCE: Duration = Duration::from_millis(100);
+/// Time-out of asking the local keeper for the leader; a keeper that waits for its disk does not
+/// answer.
+const LOCAL_KEEPER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A host without a disk takes heartbeats only if the leader answered it within this time, in
-/// ms: it asks about every half a second. Those that a host takes that is cut off are lost; with
-/// a leader that was heard at any time, prompts were refused beside idle engines, which all
-/// counted as silent.
-const LEADER_HEARD_MS: u64 = 1_200;
+/// Largest age of the leader's last answer, in ms, at which a host without a data folder accepts
+/// heartbeats; it contacts the leader about every half second. Heartbeats that a disconnected host
+/// accepts are lost: without this limit, prompts were refused beside idle engines, which all
+/// counted as unresponsive.
+const MAX_LEADER_CONTACT_AGE_MS: u64 = 1_200;
 
-/// Where a door finds the registered upstreams and who leads.
+/// Access of the endpoint to the registry of upstreams and to the current leader.
 #[derive(Clone)]
-pub(crate) enum Registered {
-    /// On a keeper.
-    Kept {
-        /// The keeper of this host.
+pub(crate) enum RegistryAccess {
+    /// The host is a keeper, with a local registry.
+    Local {
+        /// The local keeper.
         keeper: Address<Keeper>,
-        /// Its registry.
+        /// The local registry and fleet.
         fleet: Arc<FleetKeeper>,
     },
-    /// On a host without a disk: the keepers know them.
-    Followed,
+    /// The host has no data folder; the registry is on the keepers.
+    Remote,
 }
 
-/// What the door needs.
+/// State of the control endpoint.
 #[derive(Clone)]
-pub(crate) struct ControlDoor {
-    pub(crate) own: HostId,
+pub(crate) struct ControlEndpoint {
+    pub(crate) local_host: HostId,
     pub(crate) contract: SharedContract,
     pub(crate) keepers: KeeperClient,
-    pub(crate) registered: Registered,
+    pub(crate) registry: RegistryAccess,
     pub(crate) spread: Spread,
-    /// The data centres of the deployment; none if the settings do not name them.
+    /// Data centres of the deployment; empty if the settings do not name them.
     pub(crate) data_centres: Arc<[DataCentre]>,
 }
 
 pub(super) type Answer = Response<Full<Bytes>>;
 
-impl ControlDoor {
-    /// Answers a call.
+impl ControlEndpoint {
+    /// Parses and answers a call.
     pub(crate) async fn answer(self, request: Request<Incoming>) -> Answer {
         let (head, body) = request.into_parts();
         let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
@@ -84,10 +86,10 @@
         match self.contract.scan_call(&head.method, head.uri.path(), &body) {
             Ok(ControlCall::Publish(plan)) => self.publish(&plan, &body).await,
             Ok(ControlCall::ReadPlan) => self.read_plan().await,
-            Ok(ControlCall::Heartbeat(heartbeat)) => self.take_heartbeat(heartbeat).await,
-            Ok(ControlCall::Leave(gone)) => self.take_leave(gone).await,
-            Ok(ControlCall::ReadHeldBack) => self.read_held_back().await,
-            Ok(ControlCall::Lift(fingerprint)) => self.lift(fingerprint).await,
+            Ok(ControlCall::Heartbeat(heartbeat)) => self.apply_heartbeat(heartbeat).await,
+            Ok(ControlCall::Leave(departed)) => self.apply_departure(departed).await,
+            Ok(ControlCall::ReadHeldBack) => self.list_quarantined().await,
+            Ok(ControlCall::Lift(fingerprint)) => self.lift_quarantine(fingerprint).await,
             Ok(ControlCall::ReadCordoned) => self.read_cordoned().await,
             Ok(ControlCall::Cordon(data_centre)) => self.cordon(data_centre).await,
             Ok(ControlCall::Uncordon(data_centre)) => self.uncordon(data_centre).await,
@@ -97,12 +99,12 @@
     }
 
     async fn publish(&self, plan: &ServingPlan, body: &Bytes) -> Answer {
-        let began_ms = now_ms();
+        let started_ms = now_ms();
         let Ok(text) = std::str::from_utf8(body) else {
             return fault(StatusCode::BAD_REQUEST, "the body is not UTF-8");
         };
         let document = PlanDocument { version: plan.version, text: text.into() };
-        let reply = self.keepers.execute(&Body::Publish(document), PATIENCE).await;
+        let reply = self.keepers.execute(&Body::Publish(document), QUORUM_TIMEOUT).await;
         let (answer, outcome) = match &reply {
             Ok(Reply::Published { .. }) => (empty(StatusCode::OK), "published"),
             Ok(Reply::OtherPlan) => {
@@ -113,47 +115,47 @@
             Err(_) => (fault(StatusCode::SERVICE_UNAVAILABLE, "no quorum in time"), "no_quorum"),
         };
         log::info!(target: part::KEEPER,
-            version = plan.version, outcome = outcome, took_ms = now_ms() - began_ms,
+            version = plan.version, outcome = outcome, took_ms = now_ms() - started_ms,
             bytes = body.len();
             "An operator sent a plan");
         answer
     }
 
-    /// What a quorum confirms to last, or the answer where none does in time: `what` the caller asked
-    /// for goes to the log.
+    /// The replicated state as confirmed by a quorum, or an error response if no quorum answers in
+    /// time; `what` names the requested data in the log.
     pub(super) async fn confirmed(&self, what: &str) -> Result<Delta, Box<Answer>> {
-        match self.keepers.watch(&self.own, 0, PATIENCE).await {
+        match self.keepers.watch(&self.local_host, 0, QUORUM_TIMEOUT).await {
             Ok((delta, _)) => Ok(delta),
             Err(error) => {
-                log::info!(target: part::KEEPER, "{what} is not known: {error}.");
+                log::info!(target: part::KEEPER, "{what} not available from a quorum: {error}.");
                 Err(Box::new(fault(StatusCode::SERVICE_UNAVAILABLE, "no quorum in time")))
             }
         }
     }
 
-    /// The plan that a quorum confirms to be the newest.
+    /// Answers with the newest plan, as confirmed by a quorum.
     async fn read_plan(&self) -> Answer {
-        match self.confirmed("The newest plan").await.map(|delta| delta.plan) {
+        match self.confirmed("Newest plan").await.map(|delta| delta.plan) {
             Ok(Some(document)) => json(StatusCode::OK, Bytes::from(document.text.to_string())),
             Ok(None) => fault(StatusCode::NOT_FOUND, "no plan was published"),
             Err(answer) => *answer,
         }
     }
 
-    /// The requests that a quorum confirms to be held back.
-    async fn read_held_back(&self) -> Answer {
-        match self.confirmed("What is held back").await {
+    /// Answers with the quarantined requests, as confirmed by a quorum.
+    async fn list_quarantined(&self) -> Answer {
+        match self.confirmed("List of quarantined requests").await {
             Ok(delta) => {
                 let held_back = delta.held_back.unwrap_or_default();
-                let told: Vec<_> = held_back.iter().map(held_back_json).collect();
-                json(StatusCode::OK, Bytes::from(Value::from(told).to_string()))
+                let shown: Vec<_> = held_back.iter().map(quarantined_json).collect();
+                json(StatusCode::OK, Bytes::from(Value::from(shown).to_string()))
             }
             Err(answer) => *answer,
         }
     }
 
-    async fn lift(&self, fingerprint: RequestFingerprint) -> Answer {
-        let reply = self.keepers.execute(&Body::Lift(fingerprint), PATIENCE).await;
+    async fn lift_quarantine(&self, fingerprint: RequestFingerprint) -> Answer {
+        let reply = self.keepers.execute(&Body::Lift(fingerprint), QUORUM_TIMEOUT).await;
         let (answer, outcome) = match &reply {
             Ok(Reply::Lifted { was_held_back: true }) => (empty(StatusCode::OK), "lifted"),
             Ok(Reply::Lifted { was_held_back: false }) => {
@@ -164,48 +166,49 @@
         };
         log::info!(target: part::KEEPER,
             fingerprint:% = fingerprint, outcome = outcome;
-            "An operator lifts a request that is held back");
+            "An operator lifted the quarantine of a request");
         answer
     }
 
-    async fn take_heartbeat(&self, heartbeat: Heartbeat) -> Answer {
-        let takes_work = heartbeat.standing == Standing::Ready;
-        if let Registered::Kept { fleet, .. } = &self.registered {
+    async fn apply_heartbeat(&self, heartbeat: Heartbeat) -> Answer {
+        let accepts_requests = heartbeat.standing == Standing::Ready;
+        if let RegistryAccess::Local { fleet, .. } = &self.registry {
             fleet.apply(std::slice::from_ref(&heartbeat));
         }
-        if !takes_work {
-            return self.tell_leader(&heartbeat).await;
+        if !accepts_requests {
+            return self.notify_leader(&heartbeat).await;
         }
         self.spread.push(heartbeat);
         match self.leader().await {
             Some(_) => empty(StatusCode::OK),
-            // Cut off from the others, perhaps: the upstream should find a keeper that is not.
+            // This host may be partitioned from the keepers: the upstream should try another host.
             None => fault(StatusCode::SERVICE_UNAVAILABLE, "no keeper leads"),
         }
     }
 
-    /// Who leads, as far as this host knows.
+    /// The leading keeper, as far as this host knows.
     async fn leader(&self) -> Option<HostId> {
-        let Registered::Kept { keeper, .. } = &self.registered else {
-            return self.keepers.leader_heard_within(LEADER_HEARD_MS);
+        let RegistryAccess::Local { keeper, .. } = &self.registry else {
+            return self.keepers.leader_heard_within(MAX_LEADER_CONTACT_AGE_MS);
         };
-        match clayplank_clock::timeout(OWN_KEEPER_PATIENCE, keeper.send(WhoLeads)).await {
+        match clayplank_clock::timeout(LOCAL_KEEPER_TIMEOUT, keeper.send(WhoLeads)).await {
             Ok(leader) => leader.ok().flatten(),
-            Err(_) => self.keepers.leader().filter(|leader| *leader != self.own),
+            Err(_) => self.keepers.leader().filter(|leader| *leader != self.local_host),
         }
     }
 
-    async fn take_leave(&self, gone: Heartbeat) -> Answer {
-        let gone = match &self.registered {
-            Registered::Kept { fleet, .. } => fleet.leave(&gone),
-            // The keepers know which life it is.
-            Registered::Followed => gone,
+    async fn apply_departure(&self, departed: Heartbeat) -> Answer {
+        let departed = match &self.registry {
+            RegistryAccess::Local { fleet, .. } => fleet.leave(&departed),
+            // The keepers determine the incarnation.
+            RegistryAccess::Remote => departed,
         };
-        self.tell_leader(&gone).await
+        self.notify_leader(&departed).await
     }
 
-    /// Acknowledges that an upstream takes no new work once the leader knows it.
-    async fn tell_leader(&self, heartbeat: &Heartbeat) -> Answer {
+    /// Reports to the leader that an upstream accepts no new requests, and acknowledges it only once
+    /// the leader has received it.
+    async fn notify_leader(&self, heartbeat: &Heartbeat) -> Answer {
         let leader = self.leader().await;
         if self.spread.push_urgent(heartbeat, leader.as_ref()).await {
             empty(StatusCode::OK)
@@ -215,12 +218,12 @@
     }
 }
 
-fn held_back_json(one: &HeldBack) -> Value {
+fn quarantined_json(quarantined: &HeldBack) -> Value {
     serde_json::json!({
-        "fingerprint": one.fingerprint.to_string(),
-        "caller": one.caller,
-        "ended": one.ended,
-        "next_trial_in_ms": one.next_trial_in_ms,
+        "fingerprint": quarantined.fingerprint.to_string(),
+        "caller": quarantined.caller,
+        "ended": quarantined.ended,
+        "next_trial_in_ms": quarantined.next_trial_in_ms,
     })
 }
 
@@ -231,8 +234,8 @@
 pub(super) fn json(status: StatusCode, body: Bytes) -> Answer {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
-    let kind = HeaderValue::from_static("application/json");
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("application/json");
+    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
     response
 }
 
@@ -242,9 +245,9 @@
 }
 
 fn malformed(faults: &Faults) -> Answer {
-    // What is wrong may quote the body, which may be of any length.
-    let told: String = faults.to_string().chars().take(MAX_TOLD_CHARS).collect();
-    log::info!(target: part::KEEPER, faults = told; "A call was refused");
+    // The faults may quote the body, which may be long.
+    let shown: String = faults.to_string().chars().take(MAX_LOGGED_CHARS).collect();
+    log::info!(target: part::KEEPER, faults = shown; "Rejected a malformed call");
     let body = serde_json::json!({ "error": "the body is wrong", "faults": faults });
     json(StatusCode::BAD_REQUEST, Bytes::from(body.to_string()))
 }
--- a/clayplankd/src/doors/cordons.rs
+++ b/clayplankd/src/doors/cordons.rs
@@ -1,4 +1,4 @@
-//! An operator empties a data centre, and takes that back.
+//! Operator calls that cordon a data centre, lift a cordon, and list cordons.
 
 use bytes::Bytes;
 use clayplank_forward::now_ms;
@@ -6,13 +6,13 @@
 use clayplank_types::DataCentre;
 use http::StatusCode;
 
-use crate::doors::control_door::{Answer, ControlDoor, PATIENCE, empty, fault, json};
+use crate::doors::control_endpoint::{Answer, ControlEndpoint, QUORUM_TIMEOUT, empty, fault, json};
 use crate::process::logging::part;
 
-impl ControlDoor {
-    /// The data centres that a quorum confirms to be under a cordon.
+impl ControlEndpoint {
+    /// Answers with the data centres under a cordon, as confirmed by a quorum.
     pub(super) async fn read_cordoned(&self) -> Answer {
-        match self.confirmed("What is under a cordon").await {
+        match self.confirmed("List of cordoned data centres").await {
             Ok(delta) => {
                 let cordoned = delta.cordoned.unwrap_or_default();
                 json(StatusCode::OK, Bytes::from(serde_json::json!(cordoned).to_string()))
@@ -21,28 +21,29 @@
         }
     }
 
-    /// Acknowledges a cordon once it lasts: hosts in touch learn it with the next answer of the leader,
-    /// and one that is not refuses requests when its lease ends.
+    /// Cordons a data centre, and acknowledges it once the cordon is committed. Connected hosts learn
+    /// of it with the leader's next answer; a disconnected host refuses requests when its lease ends.
     pub(super) async fn cordon(&self, data_centre: DataCentre) -> Answer {
         if !self.is_known(&data_centre) {
             return fault(StatusCode::NOT_FOUND, "there is no such data centre");
         }
-        self.order_cordon(&data_centre, &Body::Cordon(data_centre.clone()), "cordoned").await
+        self.execute_cordon(&data_centre, &Body::Cordon(data_centre.clone()), "cordoned").await
     }
 
-    /// Takes a cordon off. A name that is not known has none, unless the settings have changed since.
+    /// Lifts a cordon. The name is not checked: an unknown data centre has no cordon, unless the
+    /// settings have changed since it was set.
     pub(super) async fn uncordon(&self, data_centre: DataCentre) -> Answer {
-        self.order_cordon(&data_centre, &Body::Uncordon(data_centre.clone()), "uncordoned").await
+        self.execute_cordon(&data_centre, &Body::Uncordon(data_centre.clone()), "uncordoned").await
     }
 
-    async fn order_cordon(
+    async fn execute_cordon(
         &self,
         data_centre: &DataCentre,
-        order: &Body,
+        command: &Body,
         done: &'static str,
     ) -> Answer {
-        let began_ms = now_ms();
-        let reply = self.keepers.execute(order, PATIENCE).await;
+        let started_ms = now_ms();
+        let reply = self.keepers.execute(command, QUORUM_TIMEOUT).await;
         let (answer, outcome) = match &reply {
             Ok(Reply::Cordoned { has_changed: true }) => (empty(StatusCode::OK), done),
             Ok(Reply::Cordoned { has_changed: false }) => (empty(StatusCode::OK), "unchanged"),
@@ -51,7 +52,7 @@
         };
         log::info!(target: part::KEEPER,
             data_centre = data_centre.as_str(), order = done, outcome = outcome,
-            took_ms = now_ms() - began_ms;
+            took_ms = now_ms() - started_ms;
             "An operator ordered a cordon");
         answer
     }
--- a/clayplankd/src/doors/dispatch.rs
+++ b/clayplankd/src/doors/dispatch.rs
@@ -1,4 +1,5 @@
-//! Runs one prompt: grant, dispatch, relay, and another try where that is allowed.
+//! Runs one prompt: reserves engines, dispatches the prompt, relays the answer, and retries where
+//! that is safe.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,21 +13,21 @@
 };
 use tokio::sync::mpsc;
 
-use crate::doors::accounts::AccountPass;
+use crate::doors::account_limits::AccountPermit;
+use crate::doors::quarantine::Identity;
 use crate::doors::replies::Problem;
-use crate::doors::suspects::Identity;
 use crate::owners::reserve::{Held, finish, new_ask, reserve, tell_first_token};
 use crate::process::clock::millis;
 use crate::process::host::Host;
 use crate::process::logging::part;
 use crate::process::metrics::Span;
 
-/// Tries of one request, the first among them.
-const MAX_TRIES: usize = 3;
+/// Limit of attempts of one request, including the first.
+const MAX_ATTEMPTS: usize = 3;
 
-/// A prompt on its way to an engine.
+/// A prompt to run on an engine, with the settings and limits of its request.
 #[derive(Clone, Debug)]
-pub(crate) struct Work {
+pub(crate) struct PromptJob {
     pub(crate) account: AccountId,
     pub(crate) share: u64,
     pub(crate) effective: Effective,
@@ -40,32 +41,32 @@
     pub(crate) identity: Identity,
 }
 
-/// Where the chunks go.
+/// Destination of the chunks of an answer.
 #[derive(Debug)]
 pub(crate) enum Sink {
-    /// To the caller, one by one.
+    /// Each chunk goes to the caller at once.
     Stream(mpsc::Sender<Chunk>),
-    /// Into one text.
-    Whole(String),
+    /// The chunks are joined into one text.
+    Buffered(String),
 }
 
 impl Sink {
-    /// Passes a chunk on; `false` if the caller has left.
+    /// Forwards a chunk; false if the caller has disconnected.
     async fn put(&mut self, chunk: Chunk) -> bool {
         match self {
             Self::Stream(sender) => sender.send(chunk).await.is_ok(),
-            Self::Whole(text) => {
+            Self::Buffered(text) => {
                 text.push_str(&chunk.text);
                 true
             }
         }
     }
 
-    /// Forgets a broken answer, if the caller has not seen any of it.
+    /// Discards the output of a failed attempt; false if the caller has already received some of it.
     fn reset(&mut self, has_output: bool) -> bool {
         match self {
             Self::Stream(_) => !has_output,
-            Self::Whole(text) => {
+            Self::Buffered(text) => {
                 text.clear();
                 true
             }
@@ -73,20 +74,20 @@
     }
 }
 
-/// How an attempt failed.
+/// Why an attempt failed.
 #[derive(Debug)]
 enum AttemptError {
-    /// It is proven that no engine began it.
+    /// Provably, no engine has started the attempt.
     NotBegun,
-    /// It began, or may have.
+    /// The attempt broke off after it started, or may have started.
     Broken(String),
-    /// The caller has left.
+    /// The caller disconnected.
     CallerLeft,
-    /// The deadline is over.
+    /// The deadline passed.
     DeadlineOver,
 }
 
-/// What one attempt has done so far.
+/// Progress of one attempt.
 #[derive(Debug, Default)]
 struct Progress {
     first_token: Option<Instant>,
@@ -94,69 +95,70 @@
     output_tokens: u64,
 }
 
-/// Runs a prompt to its end, one way or the other, within its deadline.
-pub(crate) async fn run_work(
+/// Runs a prompt within its deadline, with retries where that is safe.
+pub(crate) async fn run_job(
     host: &Host,
-    work: &Work,
-    pass: &AccountPass,
+    job: &PromptJob,
+    permit: &AccountPermit,
     sink: &mut Sink,
 ) -> Result<Finish, Problem> {
-    let mut avoid = Vec::new();
+    let mut excluded = Vec::new();
     let mut may_have_run = false;
-    for tries in 1.. {
-        let ask = plan_ask(host, work, &avoid);
-        let reserved = match host.let_through(&work.identity, tries == 1).await {
-            Ok(()) => reserve(host, &ask, work.deadline).await,
+    for attempt_count in 1.. {
+        let request = reservation_request(host, job, &excluded);
+        let reserved = match host.check_quarantine(&job.identity, attempt_count == 1).await {
+            Ok(()) => reserve(host, &request, job.deadline).await,
             Err(refusal) => Err(refusal),
         };
-        let held = match reserved {
-            Ok(held) => held,
-            // What ran before is told, not that the last try did not run.
+        let reservation = match reserved {
+            Ok(reservation) => reservation,
+            // An earlier attempt may have run: report that, not that the last one was rejected.
             Err(refusal) if may_have_run => {
                 return Err(Problem::Failed(format!("an engine failed; {refusal}")));
             }
             Err(refusal) => return Err(Problem::Refused(refusal)),
         };
         let mut progress = Progress::default();
-        let error = match run_attempt(host, work, &held, sink, &mut progress).await {
+        let error = match run_attempt(host, job, &reservation, sink, &mut progress).await {
             Ok(finish) => {
-                host.note_answered(&work.identity);
+                host.record_answered(&job.identity);
                 return Ok(finish);
             }
             Err(error) => error,
         };
         if let AttemptError::Broken(_) = &error {
-            note_break(host, work, &held);
+            record_break(host, job, &reservation);
         }
-        avoid.extend(held.grant.parts.iter().map(|part| part.engine.clone()));
+        excluded.extend(reservation.grant.parts.iter().map(|part| part.engine.clone()));
         let is_safe = match &error {
             AttemptError::NotBegun => true,
             AttemptError::Broken(_) => {
-                work.effective.repeatable && sink.reset(progress.output_tokens > 0)
+                job.effective.repeatable && sink.reset(progress.output_tokens > 0)
             }
             AttemptError::CallerLeft | AttemptError::DeadlineOver => false,
         };
         may_have_run |= !matches!(error, AttemptError::NotBegun);
-        if !is_safe || tries >= MAX_TRIES || !pass.spend_retry() {
-            return Err(explain(error, may_have_run));
+        if !is_safe || attempt_count >= MAX_ATTEMPTS || !permit.spend_retry() {
+            return Err(to_problem(error, may_have_run));
         }
         log::info!(target: part::CALLERS,
-            "Attempt {} failed and is tried again: {error:?}.", held.grant.attempt_id);
+            "Attempt {} failed and is retried: {error:?}.", reservation.grant.attempt_id);
     }
     Err(Problem::Failed("no try was left".to_owned()))
 }
 
-/// The last engine of a grant writes the answer: it is the one that broke it off.
-fn note_break(host: &Host, work: &Work, held: &Held) {
-    let engine = held.grant.parts.last().map(|part| &part.engine);
+/// Records that an attempt broke off at the last engine of its grant, the one that generates the
+/// answer.
+fn record_break(host: &Host, job: &PromptJob, reservation: &Held) {
+    let engine = reservation.grant.parts.last().map(|part| &part.engine);
     let address = engine.and_then(|engine| host.addresses.get(engine));
     if let (Some(engine), Some(&address)) = (engine, address) {
-        let attempt = held.grant.attempt_id.to_string();
-        host.note_break(&work.identity, engine, address, &attempt);
+        let attempt = reservation.grant.attempt_id.to_string();
+        host.record_break(&job.identity, engine, address, &attempt);
     }
 }
 
-fn explain(error: AttemptError, may_have_run: bool) -> Problem {
+fn to_problem(error: AttemptError, may_have_run: bool) -> Problem {
     match error {
         AttemptError::NotBegun if may_have_run => Problem::Failed("an engine failed".to_owned()),
         AttemptError::NotBegun => {
@@ -171,82 +173,83 @@
     }
 }
 
-fn plan_ask(host: &Host, work: &Work, avoid: &[UpstreamId]) -> Ask {
-    let bytes_per_block =
-        work.prompt.len() as u64 * PREFIX_BLOCK_TOKENS / work.prompt_tokens.max(1);
+fn reservation_request(host: &Host, job: &PromptJob, excluded: &[UpstreamId]) -> Ask {
+    let bytes_per_block = job.prompt.len() as u64 * PREFIX_BLOCK_TOKENS / job.prompt_tokens.max(1);
     let block_bytes = host
         .settings
         .bytes_per_token
         .bytes(PREFIX_BLOCK_TOKENS)
         .min(bytes_per_block.max(1) as usize);
-    let mut ask =
-        new_ask(AttemptId::random(), work.account.clone(), &work.model, work.prompt_tokens);
-    ask.share = work.share;
-    ask.priority = work.effective.priority;
-    ask.adapter = work.effective.adapter.clone();
-    ask.max_output_tokens = work.max_tokens;
-    ask.prefix_hashes = prefix_hashes(work.prompt.as_bytes(), block_bytes);
-    ask.avoid = avoid.to_vec();
-    ask
+    let mut request =
+        new_ask(AttemptId::random(), job.account.clone(), &job.model, job.prompt_tokens);
+    request.share = job.share;
+    request.priority = job.effective.priority;
+    request.adapter = job.effective.adapter.clone();
+    request.max_output_tokens = job.max_tokens;
+    request.prefix_hashes = prefix_hashes(job.prompt.as_bytes(), block_bytes);
+    request.avoid = excluded.to_vec();
+    request
 }
 
-/// Runs one attempt, and ends its grant whatever happens.
+/// Runs one attempt, and ends its grant in every case.
 async fn run_attempt(
     host: &Host,
-    work: &Work,
-    held: &Held,
+    job: &PromptJob,
+    reservation: &Held,
     sink: &mut Sink,
     progress: &mut Progress,
 ) -> Result<Finish, AttemptError> {
-    let result =
-        match clayplank_clock::timeout_at(work.deadline, relay(host, work, held, sink, progress))
-            .await
-        {
-            Ok(result) => result,
-            Err(_) => Err(AttemptError::DeadlineOver),
-        };
-    let engine_ended = match (&result, held.grant.parts.len()) {
+    let result = match clayplank_clock::timeout_at(
+        job.deadline,
+        relay(host, job, reservation, sink, progress),
+    )
+    .await
+    {
+        Ok(result) => result,
+        Err(_) => Err(AttemptError::DeadlineOver),
+    };
+    let engine_ended = match (&result, reservation.grant.parts.len()) {
         (Ok(_), 1) | (Err(AttemptError::NotBegun), 1) => true,
-        // The other members of a gang keep their part until they are told.
-        _ => cancel_parts(host, held).await,
+        // The other engines of a gang keep their part of the prompt until it is cancelled.
+        _ => cancel_parts(host, reservation).await,
     };
     let (first, last) = (progress.first_token, progress.last_token);
     let decode_ms = first.zip(last).map_or(0, |(first, last)| (last - first).as_millis() as u64);
     let engine_failed = matches!(result, Err(AttemptError::Broken(_) | AttemptError::NotBegun));
     let usage =
         Usage { engine_ended, engine_failed, output_tokens: progress.output_tokens, decode_ms };
-    finish(host, held, usage).await;
+    finish(host, reservation, usage).await;
     if result.is_ok() {
         host.metrics.record(
-            &work.account,
-            &work.band,
+            &job.account,
+            &job.band,
             Span::Total,
-            work.arrived.elapsed().as_millis() as u64,
+            job.arrived.elapsed().as_millis() as u64,
         );
     }
     result
 }
 
-/// Whether every engine has confirmed that the attempt ended there.
-async fn cancel_parts(host: &Host, held: &Held) -> bool {
+/// Cancels the attempt at every engine; true if each of them confirmed it.
+async fn cancel_parts(host: &Host, reservation: &Held) -> bool {
     let mut all_ended = true;
-    for part in &held.grant.parts {
+    for part in &reservation.grant.parts {
         let Some(&address) = host.addresses.get(&part.engine) else {
             continue;
         };
-        all_ended &= host.engines.cancel(address, held.grant.attempt_id).await.is_ok();
+        all_ended &= host.engines.cancel(address, reservation.grant.attempt_id).await.is_ok();
     }
     all_ended
 }
 
 async fn relay(
     host: &Host,
-    work: &Work,
-    held: &Held,
+    job: &PromptJob,
+    reservation: &Held,
     sink: &mut Sink,
     progress: &mut Progress,
 ) -> Result<Finish, AttemptError> {
-    let mut stream = start(host, work, held).await?;
+    let mut stream = start(host, job, reservation).await?;
     loop {
         let next = stream.next().await;
         let chunk = match next {
@@ -255,30 +258,30 @@
             Err(error) => return Err(AttemptError::Broken(error.to_string())),
         };
         if let Some(mut finish) = chunk.finish.clone() {
-            // The last engine of a gang counts only the part that it read.
-            let earlier = held.grant.parts.iter().rev().skip(1);
+            // The last engine of a gang counts only the part of the prompt that it prefilled.
+            let earlier = reservation.grant.parts.iter().rev().skip(1);
             finish.prompt_tokens += earlier.map(|part| part.prompt_tokens).sum::<u64>();
             return Ok(finish);
         }
-        note_token(host, work, held, progress);
+        record_token(host, job, reservation, progress);
         if !sink.put(chunk).await {
             return Err(AttemptError::CallerLeft);
         }
     }
 }
 
-fn note_token(host: &Host, work: &Work, held: &Held, progress: &mut Progress) {
+fn record_token(host: &Host, job: &PromptJob, reservation: &Held, progress: &mut Progress) {
     let now = Instant::now();
     match progress.last_token {
         None => {
-            let first_ms = (now - work.arrived).as_millis() as u64;
-            host.metrics.record(&work.account, &work.band, Span::FirstToken, first_ms);
+            let first_ms = (now - job.arrived).as_millis() as u64;
+            host.metrics.record(&job.account, &job.band, Span::FirstToken, first_ms);
             progress.first_token = Some(now);
-            host.tell_in_background(held);
+            host.report_first_token_in_background(reservation);
         }
         Some(last) => {
             let gap_ms = (now - last).as_millis() as u64;
-            host.metrics.record(&work.account, &work.band, Span::BetweenTokens, gap_ms);
+            host.metrics.record(&job.account, &job.band, Span::BetweenTokens, gap_ms);
         }
     }
     progress.last_token = Some(now);
@@ -286,36 +289,40 @@
 }
 
 impl Host {
-    fn tell_in_background(&self, held: &Held) {
+    fn report_first_token_in_background(&self, reservation: &Held) {
         if let Some(host) = self.shared() {
-            let held = held.clone();
-            tokio::spawn(async move { tell_first_token(&host, &held).await });
+            let reservation = reservation.clone();
+            tokio::spawn(async move { tell_first_token(&host, &reservation).await });
         }
     }
 }
 
-/// Begins the attempt at the last engine, after the others have read their parts.
-async fn start(host: &Host, work: &Work, held: &Held) -> Result<AnswerStream, AttemptError> {
-    let attempt_id = held.grant.attempt_id;
-    let left = work.deadline.saturating_duration_since(Instant::now());
-    let prompts = split_prompt(&work.prompt, held);
+/// Starts the attempt at the last engine, after the others have prefilled their parts of the prompt.
+async fn start(
+    host: &Host,
+    job: &PromptJob,
+    reservation: &Held,
+) -> Result<AnswerStream, AttemptError> {
+    let attempt_id = reservation.grant.attempt_id;
+    let remaining = job.deadline.saturating_duration_since(Instant::now());
+    let prompts = split_prompt(&job.prompt, reservation);
     let mut kv_imports: Vec<KvHandle> = Vec::new();
     let mut last_address = None;
-    for (position, part) in held.grant.parts.iter().enumerate() {
+    for (position, part) in reservation.grant.parts.iter().enumerate() {
         let address = engine_address(host, &part.engine)?;
         let completion = CompletionRef {
             attempt_id,
-            model: &work.model,
-            adapter: work.effective.adapter.as_deref(),
+            model: &job.model,
+            adapter: job.effective.adapter.as_deref(),
             prompt: prompts[position],
-            max_tokens: work.max_tokens,
-            priority: held.engine_priority,
+            max_tokens: job.max_tokens,
+            priority: reservation.engine_priority,
             kv_imports: &kv_imports,
             stream: true,
         };
-        if position + 1 < held.grant.parts.len() {
+        if position + 1 < reservation.grant.parts.len() {
             host.engines
-                .prefill(address, completion, left)
+                .prefill(address, completion, remaining)
                 .await
                 .map_err(|error| classify(&error))?;
             kv_imports.push(KvHandle { address, handle: attempt_id });
@@ -324,7 +331,7 @@
         last_address = Some((
             address,
             host.engines
-                .complete(address, completion, left)
+                .complete(address, completion, remaining)
                 .await
                 .map_err(|error| classify(&error))?,
         ));
@@ -349,18 +356,22 @@
     }
 }
 
-/// Cuts the prompt into the parts of a gang, between characters.
-fn split_prompt<'a>(prompt: &'a str, held: &Held) -> Vec<&'a str> {
-    let total_tokens: u64 = held.grant.parts.iter().map(|part| part.prompt_tokens).sum();
-    let mut rest = prompt;
+/// Splits the prompt, at character boundaries, into the parts that the engines of a gang prefill.
+fn split_prompt<'a>(prompt: &'a str, reservation: &Held) -> Vec<&'a str> {
+    let total_tokens: u64 = reservation.grant.parts.iter().map(|part| part.prompt_tokens).sum();
+    let mut remainder = prompt;
     let mut parts = Vec::new();
-    for part in &held.grant.parts {
+    for part in &reservation.grant.parts {
         let size_bytes = prompt.len() as u64 * part.prompt_tokens / total_tokens.max(1);
-        let is_last = parts.len() + 1 == held.grant.parts.len();
-        let cut = if is_last { rest.len() } else { rest.floor_char_boundary(size_bytes as usize) };
-        let (head, tail) = rest.split_at(cut);
+        let is_last = parts.len() + 1 == reservation.grant.parts.len();
+        let split_at_bytes = if is_last {
+            remainder.len()
+        } else {
+            remainder.floor_char_boundary(size_bytes as usize)
+        };
+        let (head, tail) = remainder.split_at(split_at_bytes);
         parts.push(head);
-        rest = tail;
+        remainder = tail;
     }
     parts
 }
--- a/clayplankd/src/doors/native.rs
+++ b/clayplankd/src/doors/native.rs
@@ -1,4 +1,4 @@
-//! The project's own contract for seeded hosts: its calls, headers and documents.
+//! The native contract of seeded hosts: its calls, headers and documents.
 
 use bytes::Bytes;
 use clayplank_forward::{HeaderNames, OrderFormat};
@@ -14,28 +14,28 @@
 
 const PLAN_PATH: &str = "/v1/plan";
 const UPSTREAMS_PATH: &str = "/v1/upstreams/";
-const HELD_BACK_PATH: &str = "/v1/held-back";
+const QUARANTINE_PATH: &str = "/v1/held-back";
 const CORDONS_PATH: &str = "/v1/cordons";
 const HEALTH_PATH: &str = "/health";
 const REPORT_PATH: &str = "/v1/report";
 const RESERVATIONS_PATH: &str = "/v1/reservations";
 
-/// What callers, operators and upstreams of the project itself speak.
+/// The project's own contract, for deployments without a platform-specific one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NativeContract;
 
 impl OrderFormat for NativeContract {
     fn reserve(&self, ticket: &str, tokens: u64, hold_ms: u64) -> Request<Full<Bytes>> {
         let body = json!({ "ticket": ticket, "tokens": tokens, "hold_ms": hold_ms });
-        order(Method::PUT, &body)
+        reservation_request(Method::PUT, &body)
     }
 
     fn release(&self, ticket: &str) -> Request<Full<Bytes>> {
-        order(Method::DELETE, &json!({ "ticket": ticket }))
+        reservation_request(Method::DELETE, &json!({ "ticket": ticket }))
     }
 }
 
-fn order(method: Method, body: &Value) -> Request<Full<Bytes>> {
+fn reservation_request(method: Method, body: &Value) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(Bytes::from(body.to_string())));
     *request.method_mut() = method;
     *request.uri_mut() = Uri::from_static(RESERVATIONS_PATH);
@@ -70,7 +70,7 @@
                 Ok(ControlCall::Publish(Box::new(plan)))
             }
             (&Method::GET, PLAN_PATH) => Ok(ControlCall::ReadPlan),
-            (&Method::GET, HELD_BACK_PATH) => Ok(ControlCall::ReadHeldBack),
+            (&Method::GET, QUARANTINE_PATH) => Ok(ControlCall::ReadHeldBack),
             (&Method::GET, CORDONS_PATH) => Ok(ControlCall::ReadCordoned),
             (&Method::DELETE, _) => scan_lift(path),
             _ => Err(ControlFault::NotFound),
@@ -97,11 +97,11 @@
     }
 }
 
-/// Reads the fingerprint of a request that is to be held back no more.
+/// Parses a call that lifts the quarantine of a request, named by its fingerprint.
 fn scan_lift(path: &str) -> Result<ControlCall, ControlFault> {
-    let named = path.strip_prefix(HELD_BACK_PATH).and_then(|rest| rest.strip_prefix('/'));
-    let named = named.ok_or(ControlFault::NotFound)?;
-    named.parse().map(ControlCall::Lift).map_err(|error| malformed(&error))
+    let fingerprint = path.strip_prefix(QUARANTINE_PATH).and_then(|rest| rest.strip_prefix('/'));
+    let fingerprint = fingerprint.ok_or(ControlFault::NotFound)?;
+    fingerprint.parse().map(ControlCall::Lift).map_err(|error| malformed(&error))
 }
 
 fn scan_cordon_call(method: &Method, name: &str) -> Result<ControlCall, ControlFault> {
--- a/clayplankd/src/doors/operators.rs
+++ b/clayplankd/src/doors/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' door: settings, and what the system does.
+//! The operators' endpoint: reads and changes settings, and shows the state of the system.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,15 +20,16 @@
 use crate::owners::owner::{Owner, PoolTotals};
 use crate::process::host::Host;
 use crate::process::logging::part;
-use crate::process::suspension::suspension_figures;
+use crate::process::suspension::suspension_metrics;
 
 const MAX_BODY_BYTES: u64 = 1 << 20;
 
-const READ_PATIENCE: Duration = Duration::from_secs(5);
+/// Time-out of reading the body of a change.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 const MAX_CHANGE_ID_BYTES: usize = 128;
 
-/// What a change carries beside its value.
+/// Body of a change of a setting.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ChangeBody {
@@ -38,30 +39,33 @@
     value: Option<Value>,
 }
 
-/// What the door needs.
+/// State of the operators' endpoint.
 #[derive(Clone)]
-pub(crate) struct OperatorsDoor {
+pub(crate) struct OperatorsEndpoint {
     pub(crate) host: Arc<Host>,
     pub(crate) owner: Option<Address<Owner>>,
 }
 
-/// Answers one request of an operator.
-pub(crate) async fn answer(door: OperatorsDoor, request: Request<Incoming>) -> Response<Body> {
+/// Answers a request of an operator.
+pub(crate) async fn answer(
+    endpoint: OperatorsEndpoint,
+    request: Request<Incoming>,
+) -> Response<Body> {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/health") => return health(&door.host),
+        (&Method::GET, "/health") => return health(&endpoint.host),
         (&Method::GET, "/metrics") => {
-            let figures = door.host.metrics.to_text() + &suspension_figures();
-            return text(StatusCode::OK, figures);
+            let metrics = endpoint.host.metrics.to_text() + &suspension_metrics();
+            return text(StatusCode::OK, metrics);
         }
         _ => {}
     }
-    match door.run(request).await {
+    match endpoint.run(request).await {
         Ok(response) => response,
         Err(problem) => problem.to_response(),
     }
 }
 
-impl OperatorsDoor {
+impl OperatorsEndpoint {
     async fn run(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
         let operator = self.identify(&request).ok_or(Problem::Unauthorized)?.clone();
         let path = request.uri().path().to_owned();
@@ -91,12 +95,12 @@
         self.host.settings.operators.iter().find(|operator| operator.key_sha256.matches(&digest))
     }
 
-    /// Settings of the operator's own partner; the others' are not shown.
+    /// Lists the settings of the operator's partner; those of other partners are not shown.
     fn list(&self, operator: &Operator, kind: &str) -> Result<Response<Body>, Problem> {
         let view = self.host.current.view();
         let mut items = Vec::new();
         for (key, item) in view.iter().filter(|(key, _)| *key.partner() == operator.partner) {
-            if kind_of(key) == check_kind(kind)? && item.value.is_some() {
+            if kind_of(key) == parse_kind(kind)? && item.value.is_some() {
                 items.push(item_json(key, item));
             }
         }
@@ -104,9 +108,9 @@
     }
 
     fn get(&self, operator: &Operator, kind: &str, name: &str) -> Result<Response<Body>, Problem> {
-        let wanted = setting_key(operator, kind, name)?;
+        let requested_key = setting_key(operator, kind, name)?;
         let view = self.host.current.view();
-        match view.iter().find(|(key, item)| **key == wanted && item.value.is_some()) {
+        match view.iter().find(|(key, item)| **key == requested_key && item.value.is_some()) {
             Some((key, item)) => Ok(json_response(StatusCode::OK, &item_json(key, item))),
             None => Err(Problem::NotFound(format!("there is no setting {kind}/{name}"))),
         }
@@ -121,7 +125,7 @@
         is_put: bool,
     ) -> Result<Response<Body>, Problem> {
         let key = setting_key(operator, kind, name)?;
-        let bytes = read_body(request.into_body(), MAX_BODY_BYTES, READ_PATIENCE).await?;
+        let bytes = read_body(request.into_body(), MAX_BODY_BYTES, READ_TIMEOUT).await?;
         let body: ChangeBody = serde_json::from_slice(&bytes)
             .map_err(|error| Problem::Malformed(error.to_string()))?;
         if body.change_id.is_empty() || body.change_id.len() > MAX_CHANGE_ID_BYTES {
@@ -130,7 +134,7 @@
             )));
         }
         let value = match (is_put, body.value) {
-            (true, Some(value)) => Some(read_value(&key, value)?),
+            (true, Some(value)) => Some(parse_setting(&key, value)?),
             (true, None) => {
                 return Err(Problem::Malformed("/value: must be the new value".to_owned()));
             }
@@ -149,16 +153,16 @@
 
     async fn execute(&self, change: SettingChange) -> Result<Response<Body>, Problem> {
         let (operator, key) = (change.operator.clone(), change.key.clone());
-        let patience = KeeperClient::usual_patience(self.host.settings.timing.election_ms);
-        let reply = self.host.keepers.execute(&CommandBody::Change(change), patience).await;
+        let timeout = KeeperClient::usual_patience(self.host.settings.timing.election_ms);
+        let reply = self.host.keepers.execute(&CommandBody::Change(change), timeout).await;
         match reply {
             Ok(Reply::Changed { version }) => {
                 log::info!(target: part::OPERATORS, "{operator} changed {key:?} to version {version}.");
                 Ok(json_response(StatusCode::OK, &json!({ "version": version })))
             }
             Ok(Reply::Conflict { current }) => {
-                let newer = json!({ "error": { "type": "conflict" }, "current": item_json(&key, &current) });
-                Ok(json_response(StatusCode::CONFLICT, &newer))
+                let conflict = json!({ "error": { "type": "conflict" }, "current": item_json(&key, &current) });
+                Ok(json_response(StatusCode::CONFLICT, &conflict))
             }
             Ok(Reply::Forbidden) => {
                 Err(Problem::Forbidden("the setting is another partner's".to_owned()))
@@ -167,7 +171,7 @@
                 Err(Problem::Malformed(format!("{path}: {message}")))
             }
             Ok(_) => Err(Problem::Failed("the keepers gave an answer of another kind".to_owned())),
-            // The same change id may be sent again without harm.
+            // The change is idempotent: its id may be sent again.
             Err(error) => Err(Problem::Unknown(error.to_string())),
         }
     }
@@ -181,7 +185,7 @@
         json_response(StatusCode::OK, &hosts)
     }
 
-    /// Engines and services, with the sums of the pools that this host owns.
+    /// Lists engines and services, and the totals of the pools that this host owns.
     async fn upstreams(&self) -> Result<Response<Body>, Problem> {
         let settings = &self.host.settings;
         let upstreams: Vec<_> = settings
@@ -211,8 +215,8 @@
     }
 
     async fn keepers(&self) -> Result<Response<Body>, Problem> {
-        let patience = KeeperClient::usual_patience(self.host.settings.timing.election_ms);
-        let json = self.host.keepers.inspect(patience).await;
+        let timeout = KeeperClient::usual_patience(self.host.settings.timing.election_ms);
+        let json = self.host.keepers.inspect(timeout).await;
         let value: Value = json
             .ok()
             .and_then(|json| serde_json::from_str(&json).ok())
@@ -221,8 +225,8 @@
     }
 
     async fn status(&self) -> Result<Response<Body>, Problem> {
-        let patience = KeeperClient::usual_patience(self.host.settings.timing.election_ms);
-        let keepers = self.host.keepers.inspect(patience).await.ok();
+        let timeout = KeeperClient::usual_patience(self.host.settings.timing.election_ms);
+        let keepers = self.host.keepers.inspect(timeout).await.ok();
         let keepers: Option<Value> = keepers.and_then(|json| serde_json::from_str(&json).ok());
         let status = json!({
             "host": self.host.settings.host,
@@ -243,7 +247,7 @@
     Account,
 }
 
-fn check_kind(kind: &str) -> Result<Kind, Problem> {
+fn parse_kind(kind: &str) -> Result<Kind, Problem> {
     match kind {
         "templates" => Ok(Kind::Template),
         "accounts" => Ok(Kind::Account),
@@ -259,17 +263,21 @@
 }
 
 fn setting_key(operator: &Operator, kind: &str, name: &str) -> Result<SettingKey, Problem> {
-    Ok(match check_kind(kind)? {
+    Ok(match parse_kind(kind)? {
         Kind::Template => SettingKey::template(&operator.partner, name),
         Kind::Account => SettingKey::account(&operator.partner, name),
     })
 }
 
-fn read_value(key: &SettingKey, value: Value) -> Result<SettingValue, Problem> {
-    let wrong = |faults: Faults| Problem::Malformed(faults.to_string());
+fn parse_setting(key: &SettingKey, value: Value) -> Result<SettingValue, Problem> {
+    let malformed = |faults: Faults| Problem::Malformed(faults.to_string());
     Ok(match kind_of(key) {
-        Kind::Template => SettingValue::Template(parse_value::<Template>(value).map_err(wrong)?),
-        Kind::Account => SettingValue::Account(parse_value::<ClientAccount>(value).map_err(wrong)?),
+        Kind::Template => {
+            SettingValue::Template(parse_value::<Template>(value).map_err(malformed)?)
+        }
+        Kind::Account => {
+            SettingValue::Account(parse_value::<ClientAccount>(value).map_err(malformed)?)
+        }
     })
 }
 
--- a/clayplankd/src/doors/suspects.rs
+++ b/clayplankd/src/doors/quarantine.rs
@@ -1,7 +1,8 @@
-//! Requests that end upstreams, at the project's own doors.
+//! Detection and quarantine of requests that end upstreams, on hosts whose settings list their
+//! upstreams.
 //!
-//! An upstream of the settings keeps its id and its address when it starts again, so that an end is
-//! known by the attempt that broke off there.
+//! Such an upstream keeps its id and its address when it restarts. Each of its ends is therefore
+//! identified by the attempt that broke off there.
 
 use std::net::SocketAddr;
 
@@ -12,7 +13,7 @@
 use crate::process::host::Host;
 use crate::process::logging::part;
 
-/// A request, as it is known again.
+/// Identity of a request, by which a repeat of it is recognized.
 #[derive(Clone, Debug)]
 pub(crate) struct Identity {
     pub(crate) fingerprint: RequestFingerprint,
@@ -20,18 +21,19 @@
 }
 
 impl Host {
-    /// Refuses a request that is held back, unless this host may try it: once, at its first try.
-    pub(crate) async fn let_through(
+    /// Rejects a quarantined request, unless this host is granted a trial of it. Only the first attempt
+    /// of a request can be a trial.
+    pub(crate) async fn check_quarantine(
         &self,
         identity: &Identity,
-        is_first_try: bool,
+        is_first_attempt: bool,
     ) -> Result<(), Refusal> {
         let fingerprint = identity.fingerprint;
-        let held_for_ms = match is_first_try {
+        let quarantined_for_ms = match is_first_attempt {
             true => self.suspicion.let_through(fingerprint).await.err(),
             false => self.suspicion.held_for(fingerprint).map(|span| span.as_millis() as u64),
         };
-        let Some(retry_after_ms) = held_for_ms else {
+        let Some(retry_after_ms) = quarantined_for_ms else {
             return Ok(());
         };
         log::info!(target: part::CALLERS,
@@ -40,8 +42,9 @@
         Err(Refusal::new(RefusalReason::HeldBack, retry_after_ms))
     }
 
-    /// Finds out whether an upstream ended when it broke off an attempt, and tells so.
-    pub(crate) fn note_break(
+    /// Records a broken-off attempt if it ended the upstream: checks in the background whether the
+    /// upstream still listens.
+    pub(crate) fn record_break(
         &self,
         identity: &Identity,
         upstream: &UpstreamId,
@@ -52,17 +55,21 @@
             return;
         };
         let Identity { fingerprint, caller } = identity.clone();
-        let one = Break { fingerprint, caller, at: Instant::now() };
-        let life = UpstreamId::new(format!("{upstream}@{attempt}"));
+        let broken_attempt = Break { fingerprint, caller, at: Instant::now() };
+        let upstream_incarnation = UpstreamId::new(format!("{upstream}@{attempt}"));
         tokio::spawn(async move {
             if has_stopped_listening(address).await {
-                host.suspicion.note_upstream_ended(&life, EndCause::Refused, vec![one]);
+                host.suspicion.note_upstream_ended(
+                    &upstream_incarnation,
+                    EndCause::Refused,
+                    vec![broken_attempt],
+                );
             }
         });
     }
 
-    /// Notes that an upstream answered a request whole.
-    pub(crate) fn note_answered(&self, identity: &Identity) {
+    /// Records that an upstream answered a request completely.
+    pub(crate) fn record_answered(&self, identity: &Identity) {
         self.suspicion.note_answered(identity.fingerprint, &identity.caller);
     }
 }
--- a/clayplankd/src/doors/replies.rs
+++ b/clayplankd/src/doors/replies.rs
@@ -1,4 +1,4 @@
-//! Answers to callers that are not those of an upstream.
+//! Answers to callers that this host makes itself, and the body type of all answers.
 
 use std::convert::Infallible;
 
@@ -10,43 +10,44 @@
 use http_body_util::{BodyExt, Full};
 use serde::Serialize;
 
-/// Tells the outcome of a request, on every answer to a caller.
+/// Header with the outcome of the request, set on every answer to a caller.
 pub(crate) const OUTCOME_HEADER: &str = "x-clayplank-outcome";
 
-/// The time to come back in milliseconds; `Retry-After` has only whole seconds.
+/// Header with the retry delay in ms; `Retry-After` has only a resolution of seconds.
 pub(crate) const RETRY_MS_HEADER: &str = "x-clayplank-retry-after-ms";
 
-/// The answer was cut off: its connection is broken, so that it does not look whole.
+/// Error of a body that was aborted: the connection is closed, so that the answer does not look
+/// complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the answer is not whole")]
-pub(crate) struct CutOff;
+#[error("the answer broke off before its end")]
+pub(crate) struct BodyAborted;
 
-pub(crate) type Body = UnsyncBoxBody<Bytes, CutOff>;
+pub(crate) type Body = UnsyncBoxBody<Bytes, BodyAborted>;
 
-/// Why a request is answered without being run, or after it failed.
+/// Why a request was not run, or failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Problem {
-    /// The key is missing or not known.
+    /// The bearer key is missing or unknown.
     Unauthorized,
-    /// The operator's key is another partner's.
+    /// The operator's key belongs to another partner.
     Forbidden(String),
-    /// There is nothing under this path.
+    /// Nothing is served under this path, or the named item does not exist.
     NotFound(String),
-    /// The request is wrong; the place and what would be right.
+    /// The request is invalid; names the field or header and the expected form.
     Malformed(String),
     /// The body is larger than allowed.
     TooLarge { limit_bytes: u64 },
     /// The caller sent its body too slowly.
     TooSlow,
-    /// Not run.
+    /// The request was rejected and did not run.
     Refused(Refusal),
-    /// It ran and gave no whole answer.
+    /// The request ran, but its answer is incomplete or missing.
     Failed(String),
-    /// It may have run.
+    /// The request may have run; its outcome is unknown.
     Unknown(String),
-    /// The idempotency key was used for another request, or a setting has changed.
+    /// The idempotency key was used for a different request.
     Conflict(String),
-    /// Another call with the same idempotency key is being run.
+    /// A request with the same idempotency key is in progress.
     InProgress { retry_after_ms: u64 },
 }
 
@@ -80,7 +81,7 @@
         }
     }
 
-    /// How the request ended.
+    /// Outcome of the request.
     pub(crate) fn outcome(&self) -> Outcome {
         match self {
             Self::Unauthorized
@@ -138,7 +139,7 @@
         }
     }
 
-    /// What stands in an error event within a stream.
+    /// JSON body of the error, also sent as an error event within a stream.
     pub(crate) fn to_json(&self) -> serde_json::Value {
         serde_json::json!({
             "error": { "type": self.reason(), "message": self.message() },
@@ -146,7 +147,7 @@
         })
     }
 
-    /// The final answer.
+    /// The complete response to the caller.
     pub(crate) fn to_response(&self) -> Response<Body> {
         let mut response = json(self.status(), &self.to_json());
         set_outcome(&mut response, self.outcome());
--- a/clayplankd/src/doors/serve.rs
+++ b/clayplankd/src/doors/serve.rs
@@ -1,4 +1,4 @@
-//! Accepts HTTP connections, up to a limit, and reads bodies, up to a limit.
+//! Accepts HTTP connections and reads bodies, both up to a limit.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -16,20 +16,20 @@
 
 use crate::doors::replies::{Body, Problem};
 
-/// Limits of one door.
+/// Limits of the connections of a listener.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct DoorLimits {
+pub(crate) struct ListenerLimits {
     pub(crate) max_connections: usize,
     pub(crate) max_head_bytes: usize,
     pub(crate) read_timeout: Duration,
 }
 
-/// hyper reads heads into a buffer that is at least this large.
+/// Smallest buffer for request heads that hyper accepts.
 const MIN_HEAD_BYTES: usize = 8_192;
 
-/// Serves connections until the task is dropped. A connection above the limit
-/// waits in the listener's queue.
-pub(crate) async fn serve<F, R>(listener: TcpListener, limits: DoorLimits, answer: F)
+/// Serves connections until the task is dropped. Connections above the limit wait in the
+/// listener's backlog.
+pub(crate) async fn serve<F, R>(listener: TcpListener, limits: ListenerLimits, answer: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Response<Body>> + Send + 'static,
@@ -51,32 +51,32 @@
                 async move { Ok::<_, std::convert::Infallible>(answer.await) }
             });
             let builder = connection_builder(limits);
-            // A connection that ends with an error ends for its peer too; there is nobody to tell.
+            // An error ends the connection for its peer too: nobody is left to report it to.
             builder.serve_connection(TokioIo::new(stream), service).await.ok();
         });
     }
 }
 
-fn connection_builder(limits: DoorLimits) -> auto::Builder<TokioExecutor> {
+fn connection_builder(limits: ListenerLimits) -> auto::Builder<TokioExecutor> {
     let mut builder = auto::Builder::new(TokioExecutor::new());
-    let max_buffer = limits.max_head_bytes.max(MIN_HEAD_BYTES);
+    let max_buffer_bytes = limits.max_head_bytes.max(MIN_HEAD_BYTES);
     builder
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.read_timeout)
-        .max_buf_size(max_buffer);
-    builder.http2().timer(TokioTimer::new()).max_header_list_size(max_buffer as u32);
+        .max_buf_size(max_buffer_bytes);
+    builder.http2().timer(TokioTimer::new()).max_header_list_size(max_buffer_bytes as u32);
     builder
 }
 
-/// Reads a whole body, in time and up to a limit.
+/// Reads a complete body of at most `limit_bytes` within `timeout`.
 pub(crate) async fn read_body(
     body: Incoming,
     limit_bytes: u64,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<Bytes, Problem> {
     let limited = Limited::new(body, limit_bytes as usize);
-    match clayplank_clock::timeout(patience, limited.collect()).await {
+    match clayplank_clock::timeout(timeout, limited.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Problem::TooLarge { limit_bytes }),
         Ok(Err(_)) => Err(Problem::Malformed("the body broke off".to_owned())),
@@ -84,7 +84,7 @@
     }
 }
 
-/// The bearer key of a request (RFC 6750, section 2.1).
+/// Bearer key of a request (RFC 6750, section 2.1).
 pub(crate) fn bearer_key<T>(request: &Request<T>) -> Option<&str> {
     let value = request.headers().get(http::header::AUTHORIZATION)?.to_str().ok()?;
     let (scheme, key) = value.split_once(' ')?;
--- a/clayplankd/src/doors/services.rs
+++ b/clayplankd/src/doors/services.rs
@@ -1,10 +1,10 @@
-//! Requests to plain services.
+//! Forwards calls to plain services, chosen by path prefix.
 
 use std::collections::HashMap;
 use std::hash::Hasher;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use crate::doors::suspects::Identity;
+use crate::doors::quarantine::Identity;
 use bytes::Bytes;
 use clayplank_clock::Instant;
 use clayplank_settings::ServiceSettings;
@@ -15,16 +15,16 @@
 use http::{Response, StatusCode};
 use siphasher::sip128::{Hasher128, SipHasher13};
 
-use crate::doors::accounts::AccountPass;
+use crate::doors::account_limits::AccountPermit;
 use crate::doors::claims::{Claimed, claim, release, settle};
 use crate::doors::replies::{Body, Problem, full, set_outcome};
 use crate::process::host::Host;
 
-/// A busy service may have room after this time.
+/// Retry delay while no service can take a call.
 const BUSY_RETRY_MS: u64 = 200;
 
-/// Tries of one request, the first among them.
-const MAX_TRIES: usize = 3;
+/// Limit of attempts of one request, including the first.
+const MAX_ATTEMPTS: usize = 3;
 
 /// A call to a plain service.
 #[derive(Debug)]
@@ -37,13 +37,13 @@
     pub(crate) identity: Identity,
 }
 
-/// Requests that this host has open at each service.
+/// Number of calls that this host has open at each service. Clones share one state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceLoads {
     open: Arc<Mutex<HashMap<UpstreamId, u64>>>,
 }
 
-/// Counts one open request until it is dropped.
+/// Counts one open call at a service until it is dropped.
 #[derive(Debug)]
 struct OpenCall {
     loads: ServiceLoads,
@@ -55,7 +55,7 @@
         self.open.lock().unwrap_or_else(PoisonError::into_inner).get(id).copied().unwrap_or(0)
     }
 
-    fn enter(&self, id: &UpstreamId) -> OpenCall {
+    fn start_call(&self, id: &UpstreamId) -> OpenCall {
         *self.open.lock().unwrap_or_else(PoisonError::into_inner).entry(id.clone()).or_default() +=
             1;
         OpenCall { loads: self.clone(), id: id.clone() }
@@ -76,33 +76,33 @@
     host.settings.services().any(|service| path.starts_with(&service.path_prefix))
 }
 
-/// Runs a call, at most once unless it is repeatable.
+/// Runs a call; one with an idempotency key runs at most once unless it is repeatable.
 pub(crate) async fn run_call(
     host: &Host,
     call: &ServiceCall,
-    pass: &AccountPass,
+    permit: &AccountPermit,
 ) -> Result<Response<Body>, Problem> {
     let key = match &call.idempotency_key {
         Some(key) if !call.is_repeatable => key,
         Some(_) | None => {
-            return run_unclaimed(host, call, pass).await.map(|answer| to_response(&answer));
+            return run_unclaimed(host, call, permit).await.map(|answer| to_response(&answer));
         }
     };
-    let held =
+    let held_claim =
         match claim(host, &call.account, key, fingerprint(&call.request), call.deadline).await? {
-            Claimed::Run(held) => held,
+            Claimed::Run(held_claim) => held_claim,
             Claimed::Repeated(answer) => return Ok(repeat_response(answer)),
         };
-    match run_unclaimed(host, call, pass).await {
+    match run_unclaimed(host, call, permit).await {
         Ok(answer) => {
-            settle(host, held, Some(to_kept(&answer))).await;
+            settle(host, held_claim, Some(to_stored(&answer))).await;
             Ok(to_response(&answer))
         }
         Err(problem) => {
             match problem.outcome() {
-                Outcome::NotRun => release(host, held),
+                Outcome::NotRun => release(host, held_claim),
                 Outcome::Failed | Outcome::Unknown | Outcome::Answered => {
-                    settle(host, held, None).await
+                    settle(host, held_claim, None).await
                 }
             }
             Err(problem)
@@ -110,71 +110,73 @@
     }
 }
 
-/// Tries again only what is repeatable, or what is proven not to have begun.
+/// Runs a call without a claim. Retries it only if it is repeatable or has provably not started.
 async fn run_unclaimed(
     host: &Host,
     call: &ServiceCall,
-    pass: &AccountPass,
+    permit: &AccountPermit,
 ) -> Result<ServiceAnswer, Problem> {
-    let mut avoid: Vec<UpstreamId> = Vec::new();
+    let mut excluded: Vec<UpstreamId> = Vec::new();
     let mut may_have_run = false;
-    for tries in 1..=MAX_TRIES {
-        let service = match choose_service(host, &call.request.path, &avoid) {
+    for attempt_count in 1..=MAX_ATTEMPTS {
+        let service = match choose_service(host, &call.request.path, &excluded) {
             Ok(service) => service,
             Err(_) if may_have_run => break,
             Err(refusal) => return Err(refusal.into()),
         };
-        match host.let_through(&call.identity, tries == 1).await {
+        match host.check_quarantine(&call.identity, attempt_count == 1).await {
             Ok(()) => {}
             Err(_) if may_have_run => break,
             Err(refusal) => return Err(refusal.into()),
         }
-        let _open = host.service_loads.enter(&service.id);
-        let left = call.deadline.saturating_duration_since(Instant::now());
+        let _open_call = host.service_loads.start_call(&service.id);
+        let remaining = call.deadline.saturating_duration_since(Instant::now());
         let limit_bytes = host.settings.doors.max_body_bytes as usize;
         let error =
-            match forward(&host.http, service.address, &call.request, left, limit_bytes).await {
+            match forward(&host.http, service.address, &call.request, remaining, limit_bytes).await
+            {
                 Ok(answer) => {
-                    host.note_answered(&call.identity);
+                    host.record_answered(&call.identity);
                     return Ok(answer);
                 }
                 Err(error) => error,
             };
         if !error.proves_not_begun() {
-            let attempt = AttemptId::random().to_string();
-            host.note_break(&call.identity, &service.id, service.address, &attempt);
+            let attempt_id = AttemptId::random().to_string();
+            host.record_break(&call.identity, &service.id, service.address, &attempt_id);
         }
-        avoid.push(service.id.clone());
+        excluded.push(service.id.clone());
         may_have_run |= !error.proves_not_begun();
         let is_safe = error.proves_not_begun() || call.is_repeatable;
         let in_time = Instant::now() < call.deadline;
-        if !is_safe || !in_time || tries == MAX_TRIES || !pass.spend_retry() {
-            return Err(explain(&error, may_have_run));
+        if !is_safe || !in_time || attempt_count == MAX_ATTEMPTS || !permit.spend_retry() {
+            return Err(to_problem(&error, may_have_run));
         }
     }
     Err(Problem::Unknown("no service gave an answer".to_owned()))
 }
 
-fn explain(error: &EdgeError, may_have_run: bool) -> Problem {
+fn to_problem(error: &EdgeError, may_have_run: bool) -> Problem {
     match may_have_run {
         true => Problem::Unknown(error.to_string()),
         false => Problem::Refused(Refusal::new(RefusalReason::UpstreamRefused, BUSY_RETRY_MS)),
     }
 }
 
-/// Of the services with the longest fitting prefix, the one with the fewest open calls.
+/// Chooses the service with the fewest open calls of those with the longest matching prefix.
 fn choose_service<'a>(
     host: &'a Host,
     path: &str,
-    avoid: &[UpstreamId],
+    excluded: &[UpstreamId],
 ) -> Result<&'a ServiceSettings, Refusal> {
-    let fitting =
+    let matching =
         || host.settings.services().filter(|service| path.starts_with(&service.path_prefix));
-    let longest = fitting().map(|service| service.path_prefix.len()).max().unwrap_or(0);
-    let live = fitting().filter(|service| {
-        service.path_prefix.len() == longest
+    let longest_prefix_bytes =
+        matching().map(|service| service.path_prefix.len()).max().unwrap_or(0);
+    let live = matching().filter(|service| {
+        service.path_prefix.len() == longest_prefix_bytes
             && !host.upstreams.is_leaving(&service.id)
-            && !avoid.contains(&service.id)
+            && !excluded.contains(&service.id)
     });
     let open = |service: &&ServiceSettings| host.service_loads.open(&service.id);
     match live.min_by_key(open) {
@@ -186,7 +188,7 @@
     }
 }
 
-/// Tells whether two calls under one key are the same request.
+/// Fingerprint of a request, to detect another request under the same idempotency key.
 pub(crate) fn fingerprint(request: &ServiceRequest) -> u128 {
     let mut hasher = SipHasher13::new();
     hasher.write(request.method.as_str().as_bytes());
@@ -197,7 +199,7 @@
     hasher.finish128().as_u128()
 }
 
-fn to_kept(answer: &ServiceAnswer) -> Answer {
+fn to_stored(answer: &ServiceAnswer) -> Answer {
     let content_type =
         answer.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).map(str::to_owned);
     Answer { status: answer.status, content_type, body: Some(answer.body.to_vec()) }
@@ -211,10 +213,10 @@
     response
 }
 
-/// Set on an answer that was kept from the first run.
+/// Header set on an answer that was stored from the first run.
 const REPEATED_HEADER: &str = "x-clayplank-repeated";
 
-/// The first answer again; without its body if that was too large to keep.
+/// The stored answer of the first run; without its body if that was too large to store.
 pub(crate) fn repeat_response(answer: Answer) -> Response<Body> {
     let mut response = Response::new(full(Bytes::from(answer.body.unwrap_or_default())));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
--- a/clayplankd/src/lib.rs
+++ b/clayplankd/src/lib.rs
@@ -1,8 +1,8 @@
 //! The clayplank daemon.
 //!
-//! One process per host; its settings give it the roles of an entry host, a
-//! keeper, or both. The parts are actors around the pure packages; only
-//! this package knows sockets and the clock.
+//! One process runs on each host. Its settings make it an entry host, which serves callers, a
+//! keeper, which holds a replica of the replicated state, or both. The parts are actors around
+//! packages without I/O; only this package opens sockets and reads the clock.
 //!
 //! ```no_run
 //! # async fn start(text: &str) -> Result<(), clayplankd::StartError> {
@@ -13,7 +13,7 @@
 //! # }
 //! ```
 
-#![warn(clippy::disallowed_methods, reason = "what decides by time goes by clayplank_clock")]
+#![warn(clippy::disallowed_methods, reason = "decisions that depend on time use clayplank_clock")]
 
 mod doors;
 mod fleet;
--- a/clayplankd/src/main.rs
+++ b/clayplankd/src/main.rs
@@ -1,6 +1,6 @@
-//! Starts the daemon.
+//! Command line of the daemon: reads the options and settings, and runs until a signal.
 
-#![warn(clippy::disallowed_methods, reason = "what decides by time goes by clayplank_clock")]
+#![warn(clippy::disallowed_methods, reason = "decisions that depend on time use clayplank_clock")]
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,17 +12,17 @@
 use error_stack::{Report, ResultExt};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Settings that cannot be used, as sysexits.h numbers it.
+/// Exit code for unusable settings (`EX_CONFIG` of sysexits.h).
 const EXIT_BAD_SETTINGS: u8 = 78;
 
-/// The daemon could not start or had to stop.
+/// Exit code when the daemon could not start, or failed while it ran.
 const EXIT_FAILED: u8 = 1;
 
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version)]
-/// Serves prompts of very unlike lengths: an entry host, a keeper, or both
+/// Serves prompts of very different lengths: an entry host, a keeper, or both
 struct Options {
-    /// The settings are those of a host that finds the others from seeds
+    /// The settings are those of a host that finds the others from bootstrap addresses (`seeds`)
     seeded: bool,
     /// The host's settings, in JSON; `clayplank check FILE` checks them
     #[bpaf(argument("FILE"))]
--- a/clayplankd/src/process.rs
+++ b/clayplankd/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: its start and end, its connections to other hosts, clock, logs and figures.
+//! The process itself: start and shutdown, connections to peers, clock, logs and metrics.
 
 pub(crate) mod clock;
 pub(crate) mod daemon;
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a host, and stops them in order.
+//! A host whose settings list all hosts: starts its parts, and drains requests before it stops.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,8 +19,8 @@
 use xtra::{Address, Mailbox};
 
 use crate::doors::callers;
-use crate::doors::operators::{self, OperatorsDoor};
-use crate::doors::serve::{DoorLimits, serve};
+use crate::doors::operators::{self, OperatorsEndpoint};
+use crate::doors::serve::{ListenerLimits, serve};
 use crate::fleet::sightings::{SightingLink, run_sightings};
 use crate::follow::settings_watch::{CurrentSettings, run_settings_watch};
 use crate::keepers::keeper::{Keeper, KeeperAddress, Sizing};
@@ -31,30 +31,32 @@
 use crate::owners::pools::PoolDirectory;
 use crate::owners::reserve::run_renewals;
 use crate::owners::upstreams::UpstreamStates;
-use crate::process::clock::{fresh_incarnation, millis};
+use crate::process::clock::{millis, new_incarnation};
 use crate::process::host::{Host, InProgress};
 use crate::process::inner::InnerService;
 use crate::process::logging::part;
-use crate::process::membership::{Leave, MembersView, Membership, run_membership, run_platform};
+use crate::process::membership::{
+    Leave, MembersView, Membership, run_membership, run_platform_poll,
+};
 use crate::process::peers::{MAX_MESSAGE_BYTES, Peers};
 use crate::process::suspension::run_suspension_watch;
 
-/// Messages that wait for an actor before senders wait.
-pub(crate) const MAILBOX: usize = 4_096;
+/// Capacity of an actor's mailbox; senders wait while it is full.
+pub(crate) const MAILBOX_CAPACITY: usize = 4_096;
 
-/// Time for the last bytes to leave after the last request has ended.
-const LINGER: Duration = Duration::from_millis(300);
+/// Delay between the end of the last request and the stop, in which the last bytes are sent.
+const FLUSH_DELAY: Duration = Duration::from_millis(300);
 
-/// Connections of operators.
+/// Limit of open connections of operators.
 const MAX_OPERATOR_CONNECTIONS: usize = 64;
 
-/// Why the daemon did not start, or had to stop.
+/// Why the daemon could not start, or failed while it ran.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The settings file cannot be read.
     #[error("the settings cannot be read")]
     Read(#[source] std::io::Error),
-    /// The settings are wrong.
+    /// The settings are invalid.
     #[error("the settings are wrong:\n{0}")]
     Settings(Faults),
     /// Logging cannot be started.
@@ -63,12 +65,12 @@
     /// Signals cannot be caught.
     #[error("signals cannot be caught")]
     Signal(#[source] std::io::Error),
-    /// An address cannot be had.
+    /// An address cannot be listened on.
     #[error("cannot listen on {address}")]
     Listen {
-        /// The address.
+        /// The address in the settings.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The data folder cannot be used.
@@ -77,18 +79,18 @@
     /// Opening the data folder ended without a result.
     #[error("the data folder was not opened")]
     Opening(#[source] tokio::task::JoinError),
-    /// The settings name no address for a door that the role needs.
+    /// The settings have no address for a listener that the role needs.
     #[error("the settings have no address for {0}")]
     NoListen(&'static str),
-    /// A keeper without a data folder.
+    /// The settings of a keeper name no data folder.
     #[error("a keeper needs a data folder")]
     NoDataDir,
-    /// The disk failed.
+    /// Writing to the data folder failed while the keeper ran.
     #[error("the disk failed: {0}")]
     DiskFailed(#[source] StoreError),
 }
 
-/// A running daemon.
+/// A running daemon, on a host whose settings list all hosts.
 #[derive(Debug)]
 pub struct Daemon {
     host: Arc<Host>,
@@ -99,16 +101,16 @@
 }
 
 impl Daemon {
-    /// Starts every part that the settings ask for.
+    /// Starts the parts that the settings require.
     ///
     /// # Errors
-    /// An address or the data folder cannot be used; nothing runs.
+    /// An address or the data folder cannot be used; the daemon does not run then.
     pub async fn start(settings: HostSettings) -> Result<Self, StartError> {
         let settings = Arc::new(settings);
         let callers_listener = bind(settings.listen.callers).await?;
         let inner_listener = bind(settings.listen.inner).await?;
         let operators_listener = bind(settings.listen.operators).await?;
-        let incarnation = Incarnation(fresh_incarnation());
+        let incarnation = Incarnation(new_incarnation());
         tokio::spawn(run_suspension_watch());
         let peers = Peers::new(&settings);
         let pools = Arc::new(PoolDirectory::new(&settings));
@@ -116,11 +118,11 @@
         let keeper = start_keeper(&settings, incarnation, &peers, failed_sender.clone())?;
         let (membership, members) =
             Membership::new(&settings, incarnation, peers.clone(), Arc::clone(&pools));
-        let membership = xtra::spawn_tokio(membership, Mailbox::bounded(MAILBOX));
+        let membership = xtra::spawn_tokio(membership, Mailbox::bounded(MAILBOX_CAPACITY));
         let host = new_host(&settings, incarnation, peers.clone(), members, pools);
         tokio::spawn(run_membership(membership.clone()));
         let upstreams = host.upstreams.clone();
-        tokio::spawn(run_platform(
+        tokio::spawn(run_platform_poll(
             Arc::clone(&settings),
             membership.clone(),
             upstreams,
@@ -138,15 +140,15 @@
             spread: None,
         };
         tokio::spawn(serve_inner(inner_listener, inner));
-        let own = settings.host.clone();
+        let local_host = settings.host.clone();
         tokio::spawn(run_leader_search(host.keepers.clone()));
-        tokio::spawn(run_settings_watch(Arc::clone(&host), own));
-        start_doors(&host, owner, callers_listener, operators_listener);
-        log::info!(target: part::DAEMON, "Host {} takes callers at {}.", settings.host, settings.listen.callers);
+        tokio::spawn(run_settings_watch(Arc::clone(&host), local_host));
+        start_endpoints(&host, owner, callers_listener, operators_listener);
+        log::info!(target: part::DAEMON, "Host {} accepts callers at {}.", settings.host, settings.listen.callers);
         Ok(Self { host, membership, failed, _failed_sender: failed_sender })
     }
 
-    /// Waits until the daemon cannot go on.
+    /// Waits for a failure that ends the daemon.
     pub async fn failed(&mut self) -> StartError {
         match self.failed.recv().await {
             Some(error) => StartError::DiskFailed(error),
@@ -154,22 +156,22 @@
         }
     }
 
-    /// A planned stop: fails the health check, hands over, and waits until
+    /// Graceful shutdown: fails the health check, notifies peers of the departure, and waits until
     /// every request in progress has ended, up to `drain_ms`.
     pub async fn leave_and_drain(&self) {
         let timing = &self.host.settings.timing;
-        log::info!(target: part::DAEMON, "Stops; {} requests are in progress.", self.host.progress.count());
+        log::info!(target: part::DAEMON, "Shutting down; {} requests are in progress.", self.host.progress.count());
         let deadline = Instant::now() + millis(timing.drain_ms);
         self.host.progress.leave();
         self.membership.send(Leave).await.ok();
-        // The balancer has not turned away yet: what still comes is served.
+        // The balancer still sends requests until it notices the failing health check: they are served.
         clayplank_clock::sleep(millis(timing.leave_grace_ms)).await;
         self.host.progress.close();
         while self.host.progress.count() > 0 && Instant::now() < deadline {
             clayplank_clock::sleep(millis(20)).await;
         }
-        clayplank_clock::sleep(LINGER).await;
-        log::info!(target: part::DAEMON, "Stopped; {} requests were cut off.", self.host.progress.count());
+        clayplank_clock::sleep(FLUSH_DELAY).await;
+        log::info!(target: part::DAEMON, "Shutdown complete; {} requests were still in progress and are aborted.", self.host.progress.count());
     }
 }
 
@@ -188,8 +190,8 @@
     let keepers = KeeperClient::new(settings, peers.clone());
     let (judge, observations) = SightingLink::new(keepers.clone());
     tokio::spawn(run_sightings(keepers.clone(), observations));
-    Arc::new_cyclic(|own| Host {
-        own: own.clone(),
+    Arc::new_cyclic(|weak_self| Host {
+        weak_self: weak_self.clone(),
         settings: Arc::clone(settings),
         incarnation,
         keepers,
@@ -203,7 +205,7 @@
         upstreams: UpstreamStates::default(),
         held: Default::default(),
         pool_waits: Default::default(),
-        account_doors: Default::default(),
+        account_limits: Default::default(),
         metrics: Default::default(),
         progress: InProgress::default(),
         service_loads: Default::default(),
@@ -224,7 +226,7 @@
         Arc::clone(&host.engines),
         host.keepers.clone(),
     );
-    let owner = xtra::spawn_tokio(owner, Mailbox::bounded(MAILBOX));
+    let owner = xtra::spawn_tokio(owner, Mailbox::bounded(MAILBOX_CAPACITY));
     tokio::spawn(run_owner(owner.clone()));
     tokio::spawn(run_renewals(Arc::clone(host)));
     Some(owner)
@@ -250,26 +252,26 @@
     let (outbox, outbox_receiver) = mpsc::unbounded_channel();
     let keeper =
         Keeper::new(store, state, options, Sizing::default(), outbox, failed).with_may_begin(true);
-    let keeper = xtra::spawn_tokio(keeper, Mailbox::bounded(MAILBOX));
-    let is_other = |host: &HostId| *host != settings.host;
+    let keeper = xtra::spawn_tokio(keeper, Mailbox::bounded(MAILBOX_CAPACITY));
+    let is_peer = |host: &HostId| *host != settings.host;
     let keepers =
         settings.hosts.iter().filter(|entry| entry.keeper).map(|entry| entry.host.clone());
-    let others: Vec<_> = keepers.filter(is_other).collect();
+    let peer_keepers: Vec<_> = keepers.filter(is_peer).collect();
     tokio::spawn(run_outbox(outbox_receiver, peers.clone()));
     tokio::spawn(run_ticks(keeper.clone()));
-    let join = Joining { seeds: others, keepers: None };
-    tokio::spawn(run_join(keeper.clone(), join, peers.clone()));
+    let joining = Joining { seeds: peer_keepers, keepers: None };
+    tokio::spawn(run_join(keeper.clone(), joining, peers.clone()));
     Ok(Some(keeper))
 }
 
-fn start_doors(
+fn start_endpoints(
     host: &Arc<Host>,
     owner: Option<Address<Owner>>,
     callers: TcpListener,
     operators: TcpListener,
 ) {
     let doors = &host.settings.doors;
-    let limits = DoorLimits {
+    let limits = ListenerLimits {
         max_connections: doors.max_connections as usize,
         max_head_bytes: doors.max_head_bytes as usize,
         read_timeout: millis(doors.read_timeout_ms),
@@ -280,14 +282,14 @@
             callers::answer(Arc::clone(&host), request)
         }));
     }
-    let operator_limits = DoorLimits { max_connections: MAX_OPERATOR_CONNECTIONS, ..limits };
-    let door = OperatorsDoor { host: Arc::clone(host), owner };
+    let operator_limits = ListenerLimits { max_connections: MAX_OPERATOR_CONNECTIONS, ..limits };
+    let endpoint = OperatorsEndpoint { host: Arc::clone(host), owner };
     tokio::spawn(serve(operators, operator_limits, move |request| {
-        operators::answer(door.clone(), request)
+        operators::answer(endpoint.clone(), request)
     }));
 }
 
-/// Serves the other hosts; one service, so that no router is needed.
+/// Serves the gRPC calls of peers. There is only one service, so that no router is needed.
 pub(crate) async fn serve_inner(listener: TcpListener, inner: InnerService) {
     let service = InnerServer::new(inner)
         .max_decoding_message_size(MAX_MESSAGE_BYTES)
@@ -305,7 +307,7 @@
                 .timer(TokioTimer::new())
                 .keep_alive_interval(Some(Duration::from_secs(5)));
             if let Err(error) = builder.serve_connection(TokioIo::new(stream), service).await {
-                log::debug!(target: part::INNER, "A connection ended: {error}.");
+                log::debug!(target: part::INNER, "The connection of a peer ended with an error: {error}.");
             }
         });
     }
--- a/clayplankd/src/process/host.rs
+++ b/clayplankd/src/process/host.rs
@@ -1,4 +1,4 @@
-//! What the parts of an entry host share.
+//! State that the parts of an entry host share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use clayplank_types::{Incarnation, UpstreamId};
 use clayplank_upstream::{EngineEdge, HttpClient};
 
-use crate::doors::accounts::AccountDoors;
+use crate::doors::account_limits::AccountLimits;
 use crate::doors::services::ServiceLoads;
 use crate::follow::settings_watch::CurrentSettings;
 use crate::keepers::keeper_client::KeeperClient;
@@ -21,40 +21,43 @@
 use crate::process::metrics::Metrics;
 use crate::process::peers::Peers;
 
-/// Everything that a request meets on its way.
+/// State, clients and limits used to serve a request.
 #[derive(Debug)]
 pub(crate) struct Host {
-    /// This value itself, for tasks that outlive a call.
-    pub(crate) own: Weak<Self>,
+    /// Reference to this value, for tasks that outlive a call.
+    pub(crate) weak_self: Weak<Self>,
     pub(crate) settings: Arc<HostSettings>,
     pub(crate) incarnation: Incarnation,
     pub(crate) peers: Peers,
     pub(crate) keepers: KeeperClient,
+    /// Replicated settings, with the lease for which they are confirmed.
     pub(crate) current: Arc<CurrentSettings>,
     pub(crate) members: Arc<MembersView>,
     pub(crate) engines: Arc<dyn EngineEdge>,
     pub(crate) http: HttpClient,
+    /// Addresses of the engines in the settings.
     pub(crate) addresses: HashMap<UpstreamId, SocketAddr>,
     pub(crate) pools: Arc<PoolDirectory>,
     pub(crate) upstreams: UpstreamStates,
+    /// Grants that this host holds and renews at their owners.
     pub(crate) held: HeldGrants,
     pub(crate) pool_waits: PoolWaits,
-    pub(crate) account_doors: AccountDoors,
+    pub(crate) account_limits: AccountLimits,
     pub(crate) metrics: Metrics,
     pub(crate) progress: InProgress,
     pub(crate) service_loads: ServiceLoads,
-    /// Requests that end upstreams.
+    /// Requests suspected of ending upstreams.
     pub(crate) suspicion: Arc<Suspicion>,
 }
 
 impl Host {
-    /// This value, for a task of its own.
+    /// An owning reference to this host, for a spawned task; `None` once the host was dropped.
     pub(crate) fn shared(&self) -> Option<Arc<Self>> {
-        self.own.upgrade()
+        self.weak_self.upgrade()
     }
 }
 
-/// How many requests wait or run here, and whether more are taken.
+/// Number of requests that wait or run on this host, and whether more are accepted.
 #[derive(Debug, Default)]
 pub(crate) struct InProgress {
     count: AtomicU64,
@@ -67,7 +70,7 @@
         self.count.load(Ordering::SeqCst)
     }
 
-    /// From now on the health check fails.
+    /// Makes the health check fail from now on.
     pub(crate) fn leave(&self) {
         self.is_leaving.store(true, Ordering::SeqCst);
     }
@@ -76,7 +79,7 @@
         self.is_leaving.load(Ordering::SeqCst)
     }
 
-    /// From now on no request is taken.
+    /// Rejects all new requests from now on.
     pub(crate) fn close(&self) {
         self.is_closed.store(true, Ordering::SeqCst);
     }
@@ -94,7 +97,7 @@
     }
 }
 
-/// Counts one request from its arrival until its last byte was handed over.
+/// Counts a request as in progress until its last byte was handed to the connection.
 #[derive(Debug)]
 pub(crate) struct InProgressGuard(Arc<Host>);
 
--- a/clayplankd/src/process/inner.rs
+++ b/clayplankd/src/process/inner.rs
@@ -1,4 +1,4 @@
-//! The service for the other hosts.
+//! gRPC service that this host offers to its peers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -40,28 +40,28 @@
 use crate::process::membership::{Gossip, Membership};
 use crate::process::peers::Peers;
 
-/// Time for a probe on behalf of another host.
-const INDIRECT_PATIENCE: Duration = Duration::from_millis(500);
+/// Time-out of a probe that this host sends on behalf of another.
+const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Answers the other hosts by asking this host's actors.
+/// Serves peers: passes their calls to the local actors and encodes the answers.
 #[derive(Clone)]
 pub(crate) struct InnerService {
     pub(crate) owner: Option<Address<Owner>>,
     pub(crate) keeper: KeeperAddress,
-    /// `None` on hosts that find each other from seeds.
+    /// `None` on seeded hosts, which find each other from bootstrap addresses.
     pub(crate) membership: Option<Address<Membership>>,
     pub(crate) peers: Peers,
-    /// Keepers that a seeded host knows: it names them to whoever asks, also if it is none.
+    /// Keepers that a seeded host knows and names to its peers, also if it is not a keeper itself.
     pub(crate) keepers: Option<KeeperClient>,
-    /// The registry and the fleet of a seeded keeper.
+    /// Registry of upstreams, and fleet, of a seeded keeper.
     pub(crate) fleet: Option<Arc<FleetKeeper>>,
-    /// What confirms the state of a seeded keeper for those that follow it.
+    /// Confirms the state of a seeded keeper to its followers.
     pub(crate) relay: Option<Arc<Relay>>,
-    /// What passes heartbeats on from a seeded keeper.
+    /// Forwards heartbeats from a seeded keeper to its peers.
     pub(crate) spread: Option<Spread>,
 }
 
-type Answer<T> = Result<Response<T>, Status>;
+type RpcResult<T> = Result<Response<T>, Status>;
 
 impl InnerService {
     fn owner(&self) -> Result<&Address<Owner>, Status> {
@@ -89,16 +89,16 @@
     hosts.iter().map(ToString::to_string).collect()
 }
 
-fn gone<E>(_: E) -> Status {
+fn actor_stopped<E>(_: E) -> Status {
     Status::unavailable("the host is stopping")
 }
 
-/// What a peer sent cannot be read.
+/// Status for a message of a peer that cannot be decoded.
 pub(crate) fn malformed<E: std::fmt::Display>(error: E) -> Status {
     Status::invalid_argument(error.to_string())
 }
 
-/// Limits that a peer tells, if it tells any.
+/// Decodes the limits that a peer reports; an empty field stands for none.
 fn decode_limits(bytes: &[u8]) -> Result<Vec<AgedLimit>, Status> {
     if bytes.is_empty() {
         return Ok(Vec::new());
@@ -112,31 +112,37 @@
 
 #[tonic::async_trait]
 impl Inner for InnerService {
-    async fn reserve(&self, request: Request<ReserveRequest>) -> Answer<ReserveReply> {
+    async fn reserve(&self, request: Request<ReserveRequest>) -> RpcResult<ReserveReply> {
         let request = request.into_inner();
         let reserve = reserve_from_wire(request)?;
-        let answer = self.owner()?.send(reserve).await.map_err(gone)?.await.map_err(gone)?;
+        let answer = self
+            .owner()?
+            .send(reserve)
+            .await
+            .map_err(actor_stopped)?
+            .await
+            .map_err(actor_stopped)?;
         Ok(Response::new(reserve_to_wire(answer)))
     }
 
-    async fn renew(&self, request: Request<RenewRequest>) -> Answer<RenewReply> {
+    async fn renew(&self, request: Request<RenewRequest>) -> RpcResult<RenewReply> {
         let renew = renew_from_wire(request.into_inner())?;
-        self.owner()?.send(renew).await.map_err(gone)?;
+        self.owner()?.send(renew).await.map_err(actor_stopped)?;
         Ok(Response::new(RenewReply::default()))
     }
 
-    async fn first_token(&self, request: Request<FirstTokenRequest>) -> Answer<FirstTokenReply> {
+    async fn first_token(&self, request: Request<FirstTokenRequest>) -> RpcResult<FirstTokenReply> {
         let request = request.into_inner();
         let first = FirstToken {
             pool: PoolId::new(request.pool),
             owner: Incarnation(request.owner_incarnation),
             grant_id: GrantId(request.grant_id),
         };
-        self.owner()?.send(first).await.map_err(gone)?;
+        self.owner()?.send(first).await.map_err(actor_stopped)?;
         Ok(Response::new(FirstTokenReply {}))
     }
 
-    async fn finish(&self, request: Request<FinishRequest>) -> Answer<FinishReply> {
+    async fn finish(&self, request: Request<FinishRequest>) -> RpcResult<FinishReply> {
         let request = request.into_inner();
         let attempt_id: AttemptId = request.attempt_id.parse().map_err(malformed)?;
         let usage = Usage {
@@ -146,22 +152,27 @@
             decode_ms: request.decode_ms,
         };
         let finish = Finish { pool: PoolId::new(request.pool), attempt_id, usage };
-        self.owner()?.send(finish).await.map_err(gone)?;
+        self.owner()?.send(finish).await.map_err(actor_stopped)?;
         Ok(Response::new(FinishReply {}))
     }
 
-    async fn step(&self, request: Request<StepRequest>) -> Answer<StepReply> {
+    async fn step(&self, request: Request<StepRequest>) -> RpcResult<StepReply> {
         let messages = request.into_inner().messages;
         let decoded: Result<Vec<Envelope>, _> =
             messages.iter().map(|bytes| decode(bytes)).collect();
-        self.keeper()?.send(Step(decoded.map_err(malformed)?)).await.map_err(gone)?;
+        self.keeper()?.send(Step(decoded.map_err(malformed)?)).await.map_err(actor_stopped)?;
         Ok(Response::new(StepReply {}))
     }
 
-    async fn execute(&self, request: Request<ExecuteRequest>) -> Answer<ExecuteReply> {
+    async fn execute(&self, request: Request<ExecuteRequest>) -> RpcResult<ExecuteReply> {
         let body: Body = decode(&request.into_inner().command).map_err(malformed)?;
-        let executed =
-            self.keeper()?.send(Execute(body)).await.map_err(gone)?.await.map_err(gone)?;
+        let executed = self
+            .keeper()?
+            .send(Execute(body))
+            .await
+            .map_err(actor_stopped)?
+            .await
+            .map_err(actor_stopped)?;
         let result = match executed {
             Executed::Reply(reply) => {
                 execute_reply::Result::Reply(encode(&reply).map_err(malformed)?)
@@ -172,14 +183,20 @@
         Ok(Response::new(ExecuteReply { result: Some(result) }))
     }
 
-    async fn watch(&self, request: Request<WatchRequest>) -> Answer<WatchReply> {
+    async fn watch(&self, request: Request<WatchRequest>) -> RpcResult<WatchReply> {
         let request = request.into_inner();
         let watch = Watch {
             host: HostId::new(request.from_host),
             applied_revision: request.applied_revision,
             wait_ms: WATCH_WAIT_MS,
         };
-        let watched = self.keeper()?.send(watch).await.map_err(gone)?.await.map_err(gone)?;
+        let watched = self
+            .keeper()?
+            .send(watch)
+            .await
+            .map_err(actor_stopped)?
+            .await
+            .map_err(actor_stopped)?;
         let result = match watched {
             Watched::Delta(delta) => watch_reply::Result::Delta(encode(&delta).map_err(malformed)?),
             Watched::NotLeader(hint) => watch_reply::Result::NotLeaderHint(hint_text(hint)),
@@ -187,16 +204,17 @@
         Ok(Response::new(WatchReply { result: Some(result) }))
     }
 
-    async fn introduce(&self, request: Request<IntroduceRequest>) -> Answer<IntroduceReply> {
+    async fn introduce(&self, request: Request<IntroduceRequest>) -> RpcResult<IntroduceReply> {
         let replica: ReplicaId = decode(&request.into_inner().replica).map_err(malformed)?;
         if let Some(keepers) = &self.keepers {
             keepers.learn([HostId::new(replica.host.clone())]);
         }
         let introduction = match &self.keeper {
             Some(keeper) => {
-                let told = keeper.send(Introduce(replica)).await.map_err(gone)?;
-                let told = told.ok_or_else(|| Status::unavailable("the keeper is busy"))?;
-                encode(&told).map_err(malformed)?
+                let introduced = keeper.send(Introduce(replica)).await.map_err(actor_stopped)?;
+                let introduced =
+                    introduced.ok_or_else(|| Status::unavailable("the keeper is busy"))?;
+                encode(&introduced).map_err(malformed)?
             }
             None => Vec::new(),
         };
@@ -207,17 +225,17 @@
         }))
     }
 
-    async fn stopping(&self, request: Request<StoppingRequest>) -> Answer<StoppingReply> {
+    async fn stopping(&self, request: Request<StoppingRequest>) -> RpcResult<StoppingReply> {
         let stopping = Stopping(HostId::new(request.into_inner().from_host));
-        let result = match self.keeper()?.send(stopping).await.map_err(gone)? {
+        let result = match self.keeper()?.send(stopping).await.map_err(actor_stopped)? {
             MayStop::Known(may_stop) => stopping_reply::Result::MayStop(may_stop),
             MayStop::NotLeader(hint) => stopping_reply::Result::NotLeaderHint(hint_text(hint)),
         };
         Ok(Response::new(StoppingReply { result: Some(result) }))
     }
 
-    async fn inspect(&self, _: Request<InspectRequest>) -> Answer<InspectReply> {
-        let result = match self.keeper()?.send(Inspect).await.map_err(gone)? {
+    async fn inspect(&self, _: Request<InspectRequest>) -> RpcResult<InspectReply> {
+        let result = match self.keeper()?.send(Inspect).await.map_err(actor_stopped)? {
             Ok(status) => {
                 inspect_reply::Result::Json(serde_json::to_string(&status).map_err(malformed)?)
             }
@@ -226,18 +244,18 @@
         Ok(Response::new(InspectReply { result: Some(result) }))
     }
 
-    async fn probe(&self, request: Request<ProbeRequest>) -> Answer<ProbeReply> {
+    async fn probe(&self, request: Request<ProbeRequest>) -> RpcResult<ProbeReply> {
         let request = request.into_inner();
         let rumours: Vec<Rumour> = decode(&request.gossip).map_err(malformed)?;
         let membership = self.membership.as_ref();
         let membership = membership.ok_or_else(|| Status::unimplemented("no membership here"))?;
-        let own = membership.send(Gossip(rumours)).await.map_err(gone)?;
-        let gossip = encode(&own).map_err(malformed)?;
+        let local_rumours = membership.send(Gossip(rumours)).await.map_err(actor_stopped)?;
+        let gossip = encode(&local_rumours).map_err(malformed)?;
         let reached = request.via_target.is_empty() || self.probe_for_another(&request).await;
         Ok(Response::new(ProbeReply { reached, gossip }))
     }
 
-    async fn follow(&self, request: Request<FollowRequest>) -> Answer<FollowReply> {
+    async fn follow(&self, request: Request<FollowRequest>) -> RpcResult<FollowReply> {
         let relay = self.relay.as_ref();
         let relay = relay.ok_or_else(|| Status::unimplemented("not a seeded keeper"))?;
         let followers = Followers { fleet: self.fleet()?, keeper: self.keeper()?, relay };
@@ -245,7 +263,7 @@
         Ok(Response::new(FollowReply { result: Some(result) }))
     }
 
-    async fn find_leader(&self, request: Request<FindLeaderRequest>) -> Answer<FindLeaderReply> {
+    async fn find_leader(&self, request: Request<FindLeaderRequest>) -> RpcResult<FindLeaderReply> {
         let request = request.into_inner();
         if let Some(keepers) = self.keepers.as_ref().filter(|_| !request.from_host.is_empty()) {
             keepers.learn_contacts([HostId::new(request.from_host)]);
@@ -253,7 +271,9 @@
         }
         let find = FindLeader { wait_ms: request.wait_ms };
         let leader = match &self.keeper {
-            Some(keeper) => keeper.send(find).await.map_err(gone)?.await.map_err(gone)?,
+            Some(keeper) => {
+                keeper.send(find).await.map_err(actor_stopped)?.await.map_err(actor_stopped)?
+            }
             None => None,
         };
         let leader_host = hint_text(leader);
@@ -264,13 +284,16 @@
         }))
     }
 
-    async fn place(&self, request: Request<PlaceRequest>) -> Answer<PlaceReply> {
-        let ask: Ask = decode(&request.into_inner().ask).map_err(malformed)?;
-        let placed = self.fleet()?.place(&ask).ok_or_else(|| Status::unavailable("not ready"))?;
+    async fn place(&self, request: Request<PlaceRequest>) -> RpcResult<PlaceReply> {
+        let placement_request: Ask = decode(&request.into_inner().ask).map_err(malformed)?;
+        let placed = self
+            .fleet()?
+            .place(&placement_request)
+            .ok_or_else(|| Status::unavailable("not ready"))?;
         Ok(Response::new(PlaceReply { placed: encode(&placed).map_err(malformed)? }))
     }
 
-    async fn take_turn(&self, request: Request<TakeTurnRequest>) -> Answer<TakeTurnReply> {
+    async fn take_turn(&self, request: Request<TakeTurnRequest>) -> RpcResult<TakeTurnReply> {
         let request = request.into_inner();
         let limit: AgedLimit = decode(&request.limit).map_err(malformed)?;
         let taken = self.fleet()?.take_turn(limit, request.patience_ms);
@@ -281,7 +304,7 @@
         Ok(Response::new(TakeTurnReply { is_taken, wait_ms }))
     }
 
-    async fn report(&self, request: Request<ReportRequest>) -> Answer<ReportReply> {
+    async fn report(&self, request: Request<ReportRequest>) -> RpcResult<ReportReply> {
         let request = request.into_inner();
         if !request.placed.is_empty() {
             let placed: Vec<Renewed> = decode(&request.placed).map_err(malformed)?;
@@ -297,7 +320,7 @@
         Ok(Response::new(ReportReply {}))
     }
 
-    async fn spread(&self, request: Request<SpreadRequest>) -> Answer<SpreadReply> {
+    async fn spread(&self, request: Request<SpreadRequest>) -> RpcResult<SpreadReply> {
         let request = request.into_inner();
         let heartbeats: Vec<Heartbeat> = decode(&request.heartbeats).map_err(malformed)?;
         self.fleet()?.apply(&heartbeats);
@@ -317,7 +340,7 @@
             via_target: String::new(),
             gossip: request.gossip.clone(),
         };
-        let call = self.peers.call(&target, INDIRECT_PATIENCE, |mut client| async move {
+        let call = self.peers.call(&target, INDIRECT_PROBE_TIMEOUT, |mut client| async move {
             client.probe(probe).await
         });
         call.await.is_ok()
@@ -327,7 +350,7 @@
 fn reserve_from_wire(request: ReserveRequest) -> Result<Reserve, Status> {
     let account = request.account.parse().map_err(malformed)?;
     let attempt_id: AttemptId = request.attempt_id.parse().map_err(malformed)?;
-    // The owner's clock counts: only the time that is left crosses the wire.
+    // The deadline is by the owner's clock: only the remaining time is sent.
     let deadline_ms = now_ms() + request.deadline_in_ms;
     let mut ask = clayplank_schedule::Ask::new(
         RequestId(0),
--- a/clayplankd/src/process/lock.rs
+++ b/clayplankd/src/process/lock.rs
@@ -1,8 +1,9 @@
-//! Locks a mutex, also after a thread panicked while it held it.
+//! Locking of mutexes regardless of poisoning.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex; what is inside is kept whole by whoever changes it.
+/// Locks a mutex, also after a thread panicked while it held the lock: writers keep the value
+/// consistent at every point where they may panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/clayplankd/src/process/logging.rs
+++ b/clayplankd/src/process/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: time, level, the part that speaks, a short sentence.
+//! Log output. A line has a time, a level, the component that wrote it, and a message.
 
 use std::io::Write;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use clayplank_settings::{LogLevel, LogSettings};
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
 
-/// Parts of the daemon, as log lines name them.
+/// Components of the daemon, used as log targets.
 pub(crate) mod part {
     pub(crate) const CALLERS: &str = "callers";
     pub(crate) const DAEMON: &str = "daemon";
@@ -18,31 +18,31 @@
     pub(crate) const SETTINGS: &str = "settings";
 }
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Short sentences, for people.
+    /// Plain text, for people.
     Plain,
-    /// JSON objects, one a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Between two looks at whether lines were dropped.
-const DROPPED_EVERY: Duration = Duration::from_secs(1);
+/// Interval of the check for dropped log lines.
+const DROPPED_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Logs that run; lines that wait are written when this is dropped.
-#[must_use = "logs end when this is dropped"]
+/// Guard of the log writer; buffered lines are written when it is dropped.
+#[must_use = "logging ends when this is dropped"]
 #[derive(Debug)]
 pub struct Logging {
     _writer: WorkerGuard,
 }
 
-/// Writes log lines from now on, by a thread of its own: whoever logs never waits for
-/// a reader that is slow. Lines beyond those that may wait are dropped, and a task of the
-/// runtime tells how many.
+/// Starts logging. A separate thread writes the lines, so that the code that logs never waits for
+/// a slow reader of the output. Lines that exceed the buffer are dropped, and a task logs their
+/// number.
 ///
 /// # Errors
-/// Logging was started before.
+/// Logging was already started.
 pub fn start_logging<W>(
     host: &str,
     settings: &LogSettings,
@@ -62,40 +62,40 @@
             LogFormat::Json => out.finish(format_args!("{}", json_line(&host, message, record))),
         })
         .level(log::LevelFilter::Debug)
-        .filter(is_own)
+        .filter(is_logged)
         .chain(fern::Output::call(move |record| write_line(&writer, record)))
         .apply()?;
     set_log_level(settings.level);
-    tokio::spawn(tell_dropped(dropped));
+    tokio::spawn(report_dropped(dropped));
     Ok(Logging { _writer: guard })
 }
 
-/// Queues a line in one piece, so that it is dropped as a whole or not at all.
+/// Queues a line in a single write, so that it is either complete or dropped.
 fn write_line(writer: &NonBlocking, record: &log::Record<'_>) {
     let line = format!("{}\n", record.args());
-    // What does not fit is dropped and counted by the writer.
+    // The writer drops and counts lines that do not fit into its buffer.
     writer.clone().write_all(line.as_bytes()).ok();
 }
 
-/// Tells of dropped lines, again and again.
-async fn tell_dropped(counter: ErrorCounter) {
-    let mut told = 0;
+/// Logs the number of newly dropped lines at every check.
+async fn report_dropped(counter: ErrorCounter) {
+    let mut reported = 0;
     loop {
-        clayplank_clock::sleep(DROPPED_EVERY).await;
+        clayplank_clock::sleep(DROPPED_CHECK_INTERVAL).await;
         let dropped = counter.dropped_lines();
-        if dropped > told {
-            log::warn!(target: part::DAEMON, lines = dropped - told; "Log lines were dropped");
+        if dropped > reported {
+            log::warn!(target: part::DAEMON, lines = dropped - reported; "Log lines were dropped");
         }
-        told = dropped;
+        reported = dropped;
     }
 }
 
-/// Changes the level of logs that run already.
+/// Changes the log level while logging runs.
 pub(crate) fn set_log_level(level: LogLevel) {
     log::set_max_level(filter_of(level));
 }
 
-/// Collects the fields of a log line.
+/// Collects the structured fields of a log record as JSON values.
 #[derive(Default)]
 struct Fields(serde_json::Map<String, serde_json::Value>);
 
@@ -108,7 +108,7 @@
         let value = match (value.to_u64(), value.to_f64(), value.to_bool()) {
             (Some(number), _, _) => serde_json::Value::from(number),
             (None, Some(number), _) => serde_json::Value::from(number),
-            (None, None, Some(is_so)) => serde_json::Value::from(is_so),
+            (None, None, Some(flag)) => serde_json::Value::from(flag),
             (None, None, None) => serde_json::Value::from(value.to_string()),
         };
         self.0.insert(key.to_string(), value);
@@ -131,8 +131,8 @@
     serde_json::Value::Object(fields.0).to_string()
 }
 
-/// Only the daemon's own parts speak, and libraries from warnings on.
-fn is_own(metadata: &log::Metadata<'_>) -> bool {
+/// Whether a record is logged: all of the daemon, and warnings and errors of libraries.
+fn is_logged(metadata: &log::Metadata<'_>) -> bool {
     metadata.level() <= log::Level::Warn || !metadata.target().contains("::")
 }
 
--- a/clayplankd/src/process/membership.rs
+++ b/clayplankd/src/process/membership.rs
@@ -1,4 +1,4 @@
-//! Probes the other hosts and publishes who is live.
+//! Probes the other hosts and publishes which of them are live (gossip membership).
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,9 +19,10 @@
 use crate::process::logging::part;
 use crate::process::peers::Peers;
 
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which the membership protocol advances.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The membership as the rest of the host reads it.
+/// Latest published membership, read by the other parts of the host.
 #[derive(Debug)]
 pub(crate) struct MembersView {
     members: ArcSwap<Members>,
@@ -29,7 +30,7 @@
 }
 
 impl MembersView {
-    /// The owner of a pool, if any host is live.
+    /// The owner of a pool; `None` if no host is live or the pool is unknown.
     pub(crate) fn owner_of(&self, pool: &PoolId) -> Option<HostId> {
         self.members.load().owner_of(pool, self.pools.data_centre(pool)?).cloned()
     }
@@ -39,14 +40,14 @@
     }
 }
 
-/// The actor.
+/// Actor that runs the membership protocol.
 #[derive(xtra::Actor)]
 pub(crate) struct Membership {
     members: Members,
     view: Arc<MembersView>,
-    own: HostId,
+    local_host: HostId,
     peers: Peers,
-    probe_patience: Duration,
+    probe_timeout: Duration,
 }
 
 impl Membership {
@@ -64,18 +65,18 @@
         };
         let members = Members::new(settings.host.clone(), incarnation, hosts, timing, now_ms());
         let view = Arc::new(MembersView { members: ArcSwap::from_pointee(members.clone()), pools });
-        let probe_patience = millis(settings.timing.probe_interval_ms);
-        let own = settings.host.clone();
-        (Self { members, view: Arc::clone(&view), own, peers, probe_patience }, view)
+        let probe_timeout = millis(settings.timing.probe_interval_ms);
+        let local_host = settings.host.clone();
+        (Self { members, view: Arc::clone(&view), local_host, peers, probe_timeout }, view)
     }
 
-    /// Publishes the view and logs what has changed.
+    /// Publishes the membership and logs each host whose status changed.
     fn publish(&self) {
         let before = self.view.members.load_full();
         for (host, status) in self.members.iter() {
-            let former = before.status(host);
-            if former != Some(status) {
-                log::info!(target: part::MEMBERS, "Host {host} is {status:?}.");
+            let previous = before.status(host);
+            if previous != Some(status) {
+                log::info!(target: part::MEMBERS, "Status of host {host} changed to {status:?}.");
             }
         }
         self.view.members.store(Arc::new(self.members.clone()));
@@ -85,23 +86,23 @@
         let Some(address) = context.mailbox().address().try_upgrade() else {
             return;
         };
-        let (peers, patience) = (self.peers.clone(), self.probe_patience);
+        let (peers, timeout) = (self.peers.clone(), self.probe_timeout);
         let mut rumours = self.members.take_rumours();
         match effect {
             Effect::Probe(target) => {
                 rumours.extend(self.members.rumour_for(&target));
                 let request = self.probe_request("", &rumours);
                 tokio::spawn(async move {
-                    let answer = probe(&peers, &target, request, patience).await;
-                    address.send(Probed { target, answer }).await.ok();
+                    let answer = probe(&peers, &target, request, timeout).await;
+                    address.send(ProbeEnded { target, answer }).await.ok();
                 });
             }
             Effect::ProbeVia { via, target } => {
                 let request = self.probe_request(target.as_str(), &rumours);
                 tokio::spawn(async move {
-                    let answer = probe(&peers, &via, request, patience * 2).await;
+                    let answer = probe(&peers, &via, request, timeout * 2).await;
                     let is_reached = answer.is_some_and(|(reached, _)| reached);
-                    address.send(ProbedVia { target, is_reached }).await.ok();
+                    address.send(IndirectProbeEnded { target, is_reached }).await.ok();
                 });
             }
         }
@@ -109,28 +110,29 @@
 
     fn probe_request(&self, via_target: &str, rumours: &[Rumour]) -> ProbeRequest {
         ProbeRequest {
-            from_host: self.own.to_string(),
+            from_host: self.local_host.to_string(),
             via_target: via_target.to_owned(),
             gossip: encode(&rumours).unwrap_or_default(),
         }
     }
 }
 
-/// Whether the target was reached, and what was told; `None` if there was no answer.
+/// Sends a probe. Returns whether its target was reached, and the rumours of the answer; `None`
+/// if there was no answer.
 async fn probe(
     peers: &Peers,
     host: &HostId,
     request: ProbeRequest,
-    patience: Duration,
+    timeout: Duration,
 ) -> Option<(bool, Vec<Rumour>)> {
     let reply = peers
-        .call(host, patience, |mut client| async move { client.probe(request).await })
+        .call(host, timeout, |mut client| async move { client.probe(request).await })
         .await
         .ok()?;
     Some((reply.reached, decode(&reply.gossip).unwrap_or_default()))
 }
 
-/// Lets time pass.
+/// Advances the membership protocol to the current time.
 struct Tick;
 
 impl Handler<Tick> for Membership {
@@ -144,16 +146,16 @@
     }
 }
 
-/// A probe of our own has ended.
-struct Probed {
+/// A direct probe by this host ended.
+struct ProbeEnded {
     target: HostId,
     answer: Option<(bool, Vec<Rumour>)>,
 }
 
-impl Handler<Probed> for Membership {
+impl Handler<ProbeEnded> for Membership {
     type Return = ();
 
-    async fn handle(&mut self, probed: Probed, context: &mut Context<Self>) {
+    async fn handle(&mut self, probed: ProbeEnded, context: &mut Context<Self>) {
         match probed.answer {
             Some((_, rumours)) => {
                 self.members.note_reached(&probed.target);
@@ -169,16 +171,16 @@
     }
 }
 
-/// A probe through another host has ended.
-struct ProbedVia {
+/// An indirect probe, through another host, ended.
+struct IndirectProbeEnded {
     target: HostId,
     is_reached: bool,
 }
 
-impl Handler<ProbedVia> for Membership {
+impl Handler<IndirectProbeEnded> for Membership {
     type Return = ();
 
-    async fn handle(&mut self, probed: ProbedVia, _: &mut Context<Self>) {
+    async fn handle(&mut self, probed: IndirectProbeEnded, _: &mut Context<Self>) {
         match probed.is_reached {
             true => self.members.note_reached(&probed.target),
             false => self.members.note_missed_via(now_ms(), &probed.target),
@@ -187,7 +189,7 @@
     }
 }
 
-/// Rumours of a host that probes us; answered with our own.
+/// Rumours of a host that probes this one; answered with the local rumours.
 pub(crate) struct Gossip(pub(crate) Vec<Rumour>);
 
 impl Handler<Gossip> for Membership {
@@ -200,7 +202,7 @@
     }
 }
 
-/// This host is about to stop: it tells every other one at once.
+/// This host is about to stop: notifies peers at once, without waiting for the next probe.
 pub(crate) struct Leave;
 
 impl Handler<Leave> for Membership {
@@ -209,18 +211,18 @@
     async fn handle(&mut self, _: Leave, context: &mut Context<Self>) {
         self.members.leave();
         self.publish();
-        let others: Vec<_> =
-            self.members.live().filter(|host| **host != self.own).cloned().collect();
-        for other in others.into_iter().take(MAX_TOLD_AT_ONCE) {
-            self.start_effect(Effect::Probe(other), context);
+        let live_peers: Vec<_> =
+            self.members.live().filter(|host| **host != self.local_host).cloned().collect();
+        for peer in live_peers.into_iter().take(MAX_DEPARTURE_PROBES) {
+            self.start_effect(Effect::Probe(peer), context);
         }
     }
 }
 
-/// A leaving host tells this many others itself; the rest hears it from them.
-const MAX_TOLD_AT_ONCE: usize = 8;
+/// Number of peers that a departing host notifies itself; the others learn it from them by gossip.
+const MAX_DEPARTURE_PROBES: usize = 8;
 
-/// The platform says that these hosts are leaving.
+/// The platform lists these hosts as leaving.
 struct PlatformLeaving(Vec<HostId>);
 
 impl Handler<PlatformLeaving> for Membership {
@@ -232,9 +234,9 @@
     }
 }
 
-/// Ticks until the actor is gone.
+/// Sends ticks until the actor has stopped.
 pub(crate) async fn run_membership(membership: Address<Membership>) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
@@ -244,8 +246,8 @@
     }
 }
 
-/// Asks the platform for its list, again and again.
-pub(crate) async fn run_platform(
+/// Polls the platform for its list of hosts and marks those that are leaving.
+pub(crate) async fn run_platform_poll(
     settings: Arc<HostSettings>,
     membership: Address<Membership>,
     upstreams: UpstreamStates,
@@ -272,7 +274,9 @@
                     hosts.filter(|host| names.contains(host.as_str())).cloned().collect();
                 membership.send(PlatformLeaving(leaving_hosts)).await.ok();
             }
-            Err(error) => log::debug!(target: part::MEMBERS, "The platform gave no list: {error}."),
+            Err(error) => {
+                log::debug!(target: part::MEMBERS, "Could not fetch the platform's list of hosts: {error}.")
+            }
         }
         clayplank_clock::sleep(millis(platform.poll_interval_ms)).await;
     }
--- a/clayplankd/src/process/metrics.rs
+++ b/clayplankd/src/process/metrics.rs
@@ -1,4 +1,4 @@
-//! Histograms by client account and length band.
+//! Latency histograms by client account and length band, and counts of request outcomes.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -11,27 +11,27 @@
 use hdrhistogram::serialization::{Serializer, V2Serializer};
 use serde::Serialize;
 
-/// Times up to an hour, to two digits.
+/// Histograms record times up to an hour, with two significant digits.
 const MAX_MS: u64 = 3_600_000;
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Series of this many accounts and bands are kept; the rest is counted together.
+/// Limit of the number of series. Accounts without one by then are counted under [`OTHER_ACCOUNTS`].
 const MAX_SERIES: usize = 512;
 
-/// The series of accounts that came after the last one that is kept.
-const OTHER: &str = "other";
+/// Account label of the series that several accounts share.
+const OTHER_ACCOUNTS: &str = "other";
 
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 
-/// What is timed.
+/// Time span of a request that a histogram records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Span {
-    /// From arrival to the first token.
+    /// From the request's arrival to its first token.
     FirstToken,
-    /// Between two tokens.
+    /// Between two successive tokens.
     BetweenTokens,
-    /// From arrival to the end.
+    /// From the request's arrival to the end of its answer.
     Total,
 }
 
@@ -52,17 +52,17 @@
     span: Span,
 }
 
-/// A histogram on its way to the operator's tool.
+/// A histogram as sent to the operator's tool.
 #[derive(Debug, Serialize)]
 pub(crate) struct Series {
     account: String,
     band: String,
     span: Span,
-    /// HdrHistogram V2, base 64.
+    /// HdrHistogram V2 encoding, in base 64.
     histogram: String,
 }
 
-/// All figures of this host.
+/// Metrics of this host.
 #[derive(Debug, Default)]
 pub(crate) struct Metrics {
     series: Mutex<BTreeMap<SeriesKey, Histogram<u32>>>,
@@ -70,15 +70,15 @@
 }
 
 impl Metrics {
-    /// Notes a time of one request.
+    /// Records a time span of a request, in ms.
     pub(crate) fn record(&self, account: &AccountId, band: &str, span: Span, span_ms: u64) {
         let mut series = self.series.lock().unwrap_or_else(PoisonError::into_inner);
         let mut key = SeriesKey { account: account.to_string(), band: band.to_owned(), span };
         if series.len() >= MAX_SERIES && !series.contains_key(&key) {
-            key.account = OTHER.to_owned();
+            key.account = OTHER_ACCOUNTS.to_owned();
         }
         if let std::collections::btree_map::Entry::Vacant(vacant) = series.entry(key.clone()) {
-            let Ok(fresh) = Histogram::new_with_max(MAX_MS, DIGITS) else {
+            let Ok(fresh) = Histogram::new_with_max(MAX_MS, SIGNIFICANT_DIGITS) else {
                 return;
             };
             vacant.insert(fresh);
@@ -88,13 +88,13 @@
         }
     }
 
-    /// Notes how a request ended.
+    /// Counts the outcome of a request.
     pub(crate) fn count(&self, account: &str, outcome: Outcome) {
         let mut outcomes = self.outcomes.lock().unwrap_or_else(PoisonError::into_inner);
         *outcomes.entry((account.to_owned(), outcome.as_str())).or_default() += 1;
     }
 
-    /// All histograms, to be merged with those of other hosts.
+    /// All histograms; the operator's tool merges them with those of other hosts.
     pub(crate) fn series(&self) -> Vec<Series> {
         let series = self.series.lock().unwrap_or_else(PoisonError::into_inner);
         let encoded = series.iter().filter_map(|(key, histogram)| {
@@ -106,7 +106,7 @@
         encoded.collect()
     }
 
-    /// All figures in the Prometheus text format.
+    /// All metrics in the Prometheus text format.
     pub(crate) fn to_text(&self) -> String {
         let mut text = String::new();
         let outcomes = self.outcomes.lock().unwrap_or_else(PoisonError::into_inner);
--- a/clayplankd/src/process/peers.rs
+++ b/clayplankd/src/process/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to the other hosts.
+//! Connections to the peers of this host.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -11,37 +11,39 @@
 use clayplank_wire::inner_client::InnerClient;
 use tonic::transport::{Channel, Endpoint};
 
-/// Time to open a connection to another host: many times the way to the farthest data centre
-/// of a region. Calls to a host wait for its connection; one to a host without power gives no
-/// answer at all, and its opening packet is sent again only after a second. With 500 ms the
-/// first votes after a loss of power met half a second late, and were split.
+/// Time-out of opening a connection to a peer: many times the round trip to the farthest data
+/// centre of a region. Calls to a peer wait for its connection. A host without power does not
+/// answer, and the SYN is sent again only after a second: with 500 ms the first votes after a
+/// power failure arrived at the same time, half a second late, and were split.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A connection whose peer is silent for this long and one more is given up.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
+/// Interval of keep-alive pings, and the time-out of their answers: the connection to an
+/// unresponsive peer is closed after twice this time.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The largest message: a snapshot of the replicated state.
+/// Size limit of a message; the largest is a snapshot of the replicated state.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 256 << 20;
 
-/// Why another host gave no answer.
+/// Why a call to a peer failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerError {
-    /// It is not in the settings.
+    /// The settings do not name the host.
     #[error("host `{host}` is not in the settings")]
     NotKnown { host: HostId },
-    /// The call failed.
+    /// The call ended with an error status.
     #[error("host `{host}` did not answer: {code}")]
     Call { host: HostId, code: tonic::Code },
-    /// It took too long.
+    /// The call exceeded its time-out.
     #[error("host `{host}` did not answer in time")]
     TimedOut { host: HostId },
 }
 
-/// A client for each host.
+/// gRPC clients by host; connections are opened on first use and shared.
 #[derive(Clone, Debug)]
 pub(crate) struct Peers {
     clients: Arc<Mutex<HashMap<HostId, InnerClient<Channel>>>>,
-    /// Where hosts that are named by their address listen for each other.
+    /// Port on which hosts that are named by their IP address listen for peers; `None` if the
+    /// settings list the peers.
     inner_port: Option<u16>,
 }
 
@@ -51,8 +53,8 @@
         Self { clients: Arc::new(Mutex::new(clients.collect())), inner_port: None }
     }
 
-    /// Hosts that are named by their address and listen on the same port.
-    pub(crate) fn by_address(inner_port: u16) -> Self {
+    /// Clients of hosts that are named by their IP address and all listen on `inner_port`.
+    pub(crate) fn with_inner_port(inner_port: u16) -> Self {
         Self { clients: Arc::default(), inner_port: Some(inner_port) }
     }
 
@@ -67,18 +69,18 @@
         Some(client)
     }
 
-    /// Calls a host; the call is dropped when `patience` is over.
+    /// Calls a host; drops the call after `timeout`.
     pub(crate) async fn call<T, F>(
         &self,
         host: &HostId,
-        patience: Duration,
+        timeout: Duration,
         call: impl FnOnce(InnerClient<Channel>) -> F,
     ) -> Result<T, PeerError>
     where
         F: Future<Output = Result<tonic::Response<T>, tonic::Status>>,
     {
         let client = self.client(host).ok_or_else(|| PeerError::NotKnown { host: host.clone() })?;
-        match clayplank_clock::timeout(patience, call(client)).await {
+        match clayplank_clock::timeout(timeout, call(client)).await {
             Ok(Ok(response)) => Ok(response.into_inner()),
             Ok(Err(status)) => Err(PeerError::Call { host: host.clone(), code: status.code() }),
             Err(_) => Err(PeerError::TimedOut { host: host.clone() }),
@@ -92,8 +94,8 @@
     let channel = endpoint
         .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
-        .http2_keep_alive_interval(KEEP_ALIVE)
-        .keep_alive_timeout(KEEP_ALIVE)
+        .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+        .keep_alive_timeout(KEEP_ALIVE_INTERVAL)
         .keep_alive_while_idle(true)
         .connect_lazy();
     InnerClient::new(channel)
--- a/clayplankd/src/process/run_seeded.rs
+++ b/clayplankd/src/process/run_seeded.rs
@@ -1,4 +1,4 @@
-//! The program of a seeded host: settings, signals, and the end.
+//! Main loop of a seeded host: reads and reloads its settings, handles signals, and stops it.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use crate::process::logging::{LogFormat, part, start_logging};
 use crate::process::seeded::SeededDaemon;
 
-/// Between two looks at the settings file, which may change without a signal.
-const SETTINGS_POLL: Duration = Duration::from_secs(2);
+/// Interval of the check of the settings file, which may change without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Runs a host until it is stopped.
 ///
@@ -23,16 +23,16 @@
     let (settings, mut text) = read_settings(path)?;
     let _logging = start_logging(&settings.name, &settings.log, LogFormat::Json, std::io::stdout())
         .map_err(StartError::Logging)?;
-    let mut stop = catch(SignalKind::terminate())?;
-    let mut interrupt = catch(SignalKind::interrupt())?;
-    let mut reload = catch(SignalKind::hangup())?;
+    let mut stop = listen_for(SignalKind::terminate())?;
+    let mut interrupt = listen_for(SignalKind::interrupt())?;
+    let mut reload = listen_for(SignalKind::hangup())?;
     let mut daemon = SeededDaemon::start(settings, contract).await?;
     loop {
         tokio::select! {
             _ = stop.recv() => break,
             _ = interrupt.recv() => break,
             _ = reload.recv() => {}
-            () = clayplank_clock::sleep(SETTINGS_POLL) => {}
+            () = clayplank_clock::sleep(SETTINGS_POLL_INTERVAL) => {}
             error = daemon.failed() => return Err(Report::new(error)),
         }
         match read_changed(path, &text) {
@@ -41,7 +41,7 @@
                 text = new_text;
             }
             Ok(None) => {}
-            // The former settings stay in force: a host that serves is worth more.
+            // The host keeps the former settings: serving matters more than a reload.
             Err(error) => {
                 log::error!(target: part::DAEMON, "Changed settings were not taken: {error:?}");
             }
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-fn catch(kind: SignalKind) -> Result<Signal, StartError> {
+fn listen_for(kind: SignalKind) -> Result<Signal, StartError> {
     signal(kind).map_err(StartError::Signal)
 }
 
@@ -61,14 +61,14 @@
     Ok((settings, text))
 }
 
-/// The settings, if their text is not the one in force: the text of most looks is, and
-/// need not be checked again.
+/// Reads the settings file; `None` if its text equals `current`, which saves validating it again
+/// at most checks.
 fn read_changed(
     path: &Path,
-    held: &str,
+    current: &str,
 ) -> Result<Option<(SeededSettings, String)>, Report<StartError>> {
     let text = read_text(path)?;
-    if text == held {
+    if text == current {
         return Ok(None);
     }
     let settings = parse_settings(path, &text)?;
--- a/clayplankd/src/process/seeded.rs
+++ b/clayplankd/src/process/seeded.rs
@@ -1,8 +1,9 @@
-//! A host that finds the others from seeds: starts what its settings ask for, and stops in order.
+//! A seeded host, which finds its peers from the bootstrap addresses in its settings (`seeds`):
+//! starts the parts that the settings require, and drains requests before it stops.
 //!
-//! A host with callers' addresses is an entry host; one with a disk and a door for operators
-//! is a keeper; one may be both, in one process, so that a host pays for one runtime and its
-//! keeper goes on while its callers are drained.
+//! A host with an address for callers is an entry host; one with a data folder and an address for
+//! operators is a keeper. A host may be both in one process: it then needs only one runtime,
+//! and its keeper keeps running while its callers are drained.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +19,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::doors::contract::SharedContract;
-use crate::doors::control_door::Registered;
+use crate::doors::control_endpoint::RegistryAccess;
 use crate::fleet::fleet_keeper::FleetKeeper;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::keepers::keeper_stop::give_up_vote;
@@ -28,20 +29,21 @@
 use crate::process::peers::Peers;
 use crate::process::seeded_entry::EntryHost;
 use crate::process::seeded_keeper::run_keeper_start;
-use crate::process::suspension::{run_suspension_watch, suspension_figures};
+use crate::process::suspension::{run_suspension_watch, suspension_metrics};
 
-/// The balancer asks every second, and turns away after two misses: until then new
-/// connections come. Requests that come later could be cut off at the end of the grace.
-const TURN_AWAY: Duration = Duration::from_millis(2_700);
+/// Time until the balancer sends no new connections to a departing host: it checks readiness every
+/// second, and removes a host after two failed checks. Requests accepted later than this might be
+/// aborted at the end of the grace period.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_700);
 
-/// Time for the last bytes to leave after the last request has ended.
-const LINGER: Duration = Duration::from_millis(150);
+/// Delay between the end of the last request and the stop, in which the last bytes are sent.
+const FLUSH_DELAY: Duration = Duration::from_millis(150);
 
-/// Before the end of the grace, the last bytes leave.
+/// Draining ends this long before the grace period, so that the last bytes can still be sent.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Between two looks at the requests in progress of a host that stops.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// Interval of the check for requests in progress while the host drains.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running seeded host.
 pub struct SeededDaemon {
@@ -50,7 +52,7 @@
     /// `None` on a host without callers.
     entry: Option<EntryHost>,
     closing: watch::Sender<bool>,
-    /// Closed on a host without a disk, which nothing can end.
+    /// Errors that end the daemon. Closed on a host without a data folder, which has none.
     failed: mpsc::Receiver<StartError>,
 }
 
@@ -61,23 +63,24 @@
 }
 
 impl SeededDaemon {
-    /// Starts the parts of the host. A keeper starts beside them as soon as its disk can be
-    /// used, so that a full one holds up no caller.
+    /// Starts the parts of the host. A keeper starts in a separate task as soon as its disk is
+    /// usable, so that a full disk does not delay the callers.
     ///
     /// # Errors
-    /// An address cannot be used; nothing runs.
+    /// An address cannot be listened on; the daemon does not run then.
     pub async fn start(
         settings: SeededSettings,
         contract: SharedContract,
     ) -> Result<Self, StartError> {
-        let peers = Peers::by_address(settings.listen.inner.port());
-        let own = HostId::new(settings.ip.to_string());
-        let keepers = KeeperClient::of_seeds(own.clone(), seed_hosts(&settings), peers.clone());
+        let peers = Peers::with_inner_port(settings.listen.inner.port());
+        let local_host = HostId::new(settings.ip.to_string());
+        let keepers =
+            KeeperClient::of_seeds(local_host.clone(), bootstrap_hosts(&settings), peers.clone());
         let (failed_sender, failed) = mpsc::channel(1);
         let (closing, closing_receiver) = watch::channel(false);
-        let parts = Parts {
+        let context = StartContext {
             settings: Arc::new(settings.clone()),
-            own,
+            local_host,
             contract,
             peers,
             keepers: keepers.clone(),
@@ -86,35 +89,35 @@
         tokio::spawn(run_leader_search(keepers.clone()));
         tokio::spawn(run_suspension_watch());
         let entry = match settings.role {
-            Role::Entry => Some(parts.start_entry(closing_receiver).await?),
+            Role::Entry => Some(context.start_entry(closing_receiver).await?),
             Role::Keeper => None,
         };
-        let counting =
+        let entry_metrics =
             entry.as_ref().map(|host| (Arc::clone(&host.entry), Arc::clone(&host.following)));
-        let fleet = settings.is_keeper().then(|| parts.new_fleet());
+        let fleet = settings.is_keeper().then(|| context.new_fleet());
         if let Some(fleet) = &fleet {
-            tokio::spawn(run_keeper_start(parts, Arc::clone(fleet), failed_sender));
+            tokio::spawn(run_keeper_start(context, Arc::clone(fleet), failed_sender));
         } else if let (Some(control), Some(_)) = (settings.listen.control, &entry) {
-            let spread = parts.new_spread();
-            parts.start_door(bind(control).await?, Registered::Followed, spread);
+            let spread = context.new_spread();
+            context.start_control_endpoint(bind(control).await?, RegistryAccess::Remote, spread);
         }
         serve_metrics(metrics, move || {
-            let of_entry = counting
+            let entry_text = entry_metrics
                 .as_ref()
                 .map(|(entry, following)| entry.to_text() + &following.to_text())
                 .unwrap_or_default();
-            let of_keeper = fleet.as_deref().map(FleetKeeper::to_text).unwrap_or_default();
-            of_entry + &of_keeper + &suspension_figures()
+            let keeper_text = fleet.as_deref().map(FleetKeeper::to_text).unwrap_or_default();
+            entry_text + &keeper_text + &suspension_metrics()
         });
         log::info!(target: part::DAEMON,
             name = settings.name, role:? = settings.role, keeper = settings.is_keeper(),
             is_first_start = settings.is_first_start,
-            seeds = seed_hosts(&settings).map(|seed| seed.to_string()).collect::<Vec<_>>().join(" ");
-            "Started");
+            seeds = bootstrap_hosts(&settings).map(|host| host.to_string()).collect::<Vec<_>>().join(" ");
+            "Host started");
         Ok(Self { settings, keepers, entry, closing, failed })
     }
 
-    /// Waits until the daemon cannot go on.
+    /// Waits for a failure that ends the daemon.
     pub async fn failed(&mut self) -> StartError {
         match self.failed.recv().await {
             Some(error) => error,
@@ -122,48 +125,48 @@
         }
     }
 
-    /// Takes in changed settings: seeds, bounds and the level of logs. What else has
-    /// changed is named in the log, and counts from the next start on.
+    /// Applies changed settings: bootstrap addresses, bounds and the log level. Other changed fields
+    /// are named in the log, and take effect at the next start.
     pub fn reload(&mut self, settings: SeededSettings) {
-        self.keepers.set_seeds(seed_hosts(&settings));
+        self.keepers.set_seeds(bootstrap_hosts(&settings));
         set_log_level(settings.log.level);
         if let Some(entry) = &self.entry {
             entry.set_bounds(&settings.bounds);
         }
-        let waiting = self.fields_for_next_start(&settings);
+        let deferred = self.fields_for_next_start(&settings);
         self.settings.seeds = settings.seeds;
         self.settings.bounds = settings.bounds;
         self.settings.log = settings.log;
         log::info!(target: part::DAEMON,
-            seeds = self.settings.seeds.len(), for_next_start = waiting.join(",");
+            seeds = self.settings.seeds.len(), for_next_start = deferred.join(",");
             "Took in changed settings");
     }
 
-    /// Names of changed fields that a running host does not take in.
+    /// Names of changed fields that a running host does not apply.
     fn fields_for_next_start(&self, changed: &SeededSettings) -> Vec<&'static str> {
-        let held = &self.settings;
+        let current = &self.settings;
         let fields = [
-            ("name", held.name != changed.name),
-            ("role", held.role != changed.role),
-            ("ip", held.ip != changed.ip),
-            ("data_centre", held.data_centre != changed.data_centre),
-            ("listen", held.listen != changed.listen),
-            ("data_dir", held.data_dir != changed.data_dir),
-            ("tolerated_losses", held.tolerated_losses != changed.tolerated_losses),
+            ("name", current.name != changed.name),
+            ("role", current.role != changed.role),
+            ("ip", current.ip != changed.ip),
+            ("data_centre", current.data_centre != changed.data_centre),
+            ("listen", current.listen != changed.listen),
+            ("data_dir", current.data_dir != changed.data_dir),
+            ("tolerated_losses", current.tolerated_losses != changed.tolerated_losses),
             (
                 "bounds/apply_ms",
-                held.is_keeper() && held.bounds.apply_ms != changed.bounds.apply_ms,
+                current.is_keeper() && current.bounds.apply_ms != changed.bounds.apply_ms,
             ),
         ];
         fields.into_iter().filter(|(_, is_changed)| *is_changed).map(|(name, _)| name).collect()
     }
 
-    /// A planned stop: a keeper gives up its vote, an entry host waits for those that it serves.
+    /// Graceful shutdown: a keeper gives up its vote while an entry host drains its requests.
     pub async fn leave_and_drain(&self) {
-        let own = HostId::new(self.settings.ip.to_string());
+        let local_host = HostId::new(self.settings.ip.to_string());
         let give_up_vote = async {
             if self.settings.is_keeper() {
-                give_up_vote(&self.keepers, &own).await;
+                give_up_vote(&self.keepers, &local_host).await;
             }
         };
         let drain = async {
@@ -173,40 +176,41 @@
         };
         tokio::join!(give_up_vote, drain);
         let cut_off = self.entry.as_ref().map_or(0, |entry| entry.gate.in_progress());
-        log::info!(target: part::DAEMON, cut_off = cut_off; "Stopped");
+        log::info!(target: part::DAEMON, cut_off = cut_off; "Shutdown complete");
     }
 
-    /// Turns new callers away, and waits for those that are served.
+    /// Fails the readiness check, then rejects new requests, and waits for those in progress until
+    /// the grace period is nearly over.
     async fn drain(&self, gate: &Gate) {
         let end =
             Instant::now() + Duration::from_secs_f64(self.settings.bounds.grace_s) - GRACE_MARGIN;
-        log::info!(target: part::DAEMON, in_progress = gate.in_progress(); "Stops");
+        log::info!(target: part::DAEMON, in_progress = gate.in_progress(); "Shutting down; draining requests");
         gate.leave();
-        clayplank_clock::sleep(TURN_AWAY).await;
+        clayplank_clock::sleep(BALANCER_DELAY).await;
         gate.close();
         self.closing.send_replace(true);
         while gate.in_progress() > 0 && Instant::now() < end {
-            clayplank_clock::sleep(DRAIN_POLL).await;
+            clayplank_clock::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        clayplank_clock::sleep(LINGER).await;
+        clayplank_clock::sleep(FLUSH_DELAY).await;
     }
 }
 
-/// What the parts of a host start from.
-pub(crate) struct Parts {
+/// Settings and clients with which the parts of a host start.
+pub(crate) struct StartContext {
     pub(crate) settings: Arc<SeededSettings>,
-    pub(crate) own: HostId,
+    pub(crate) local_host: HostId,
     pub(crate) contract: SharedContract,
     pub(crate) peers: Peers,
     pub(crate) keepers: KeeperClient,
 }
 
-/// The hosts that the settings name as seeds.
-pub(crate) fn seed_hosts(settings: &SeededSettings) -> impl Iterator<Item = HostId> + '_ {
-    settings.seeds.iter().map(|seed| HostId::new(seed.ip().to_string()))
+/// The hosts at the bootstrap addresses in the settings (`seeds`).
+pub(crate) fn bootstrap_hosts(settings: &SeededSettings) -> impl Iterator<Item = HostId> + '_ {
+    settings.seeds.iter().map(|address| HostId::new(address.ip().to_string()))
 }
 
-/// Serves the figures that `to_text` tells.
+/// Serves the metrics that `to_text` returns.
 pub(crate) fn serve_metrics<F>(listener: TcpListener, to_text: F)
 where
     F: Fn() -> String + Clone + Send + Sync + 'static,
@@ -217,7 +221,7 @@
     }));
 }
 
-/// An answer in plain text.
+/// A response with a plain-text body.
 pub(crate) fn plain_text(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
--- a/clayplankd/src/process/seeded_entry.rs
+++ b/clayplankd/src/process/seeded_entry.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of an entry host that finds the others from seeds.
+//! Starts the parts of a seeded entry host, which serves callers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,24 +21,24 @@
 use crate::follow::following::{Following, run_following};
 use crate::process::daemon::{StartError, bind, serve_inner};
 use crate::process::inner::InnerService;
-use crate::process::seeded::{Parts, plain_text};
+use crate::process::seeded::{StartContext, plain_text};
 
-/// Share of the time until a revoked key, or a cordon, must be in effect for which a
-/// confirmation holds; the rest is for requests that are on their way.
+/// Length of the lease of a confirmation, as a share of the time within which a revoked key, or a
+/// cordon, must be in effect. The remainder allows for requests that are already on their way.
 const LEASE_SHARE: f64 = 0.8;
 
-/// What a running entry host is told later.
+/// Handles to a running entry host, to change its bounds and to stop it.
 pub(crate) struct EntryHost {
-    /// Whether it takes requests.
+    /// Decides whether the host accepts requests.
     pub(crate) gate: Arc<Gate>,
     pub(crate) entry: Arc<Entry>,
-    /// How well it follows the keepers.
+    /// Metrics of how this host follows the keepers.
     pub(crate) following: Arc<FollowFigures>,
     apply_ms: Arc<AtomicU64>,
 }
 
 impl EntryHost {
-    /// Takes in bounds that were changed.
+    /// Applies changed bounds.
     pub(crate) fn set_bounds(&self, bounds: &Bounds) {
         self.gate.set_lease_ms(lease_ms(bounds));
         self.apply_ms.store(bounds.apply_ms, Ordering::SeqCst);
@@ -46,10 +46,10 @@
     }
 }
 
-impl Parts {
-    /// Answers other hosts where there is no keeper to do so: a host is told of three others at
-    /// most, which may all be entry hosts, and has to find the keepers from them.
-    async fn serve_other_hosts(&self) -> Result<(), StartError> {
+impl StartContext {
+    /// Serves peers on a host without a keeper. Deployments give a host at most three bootstrap
+    /// addresses. They may all be those of entry hosts, through which it has to find the keepers.
+    async fn serve_peers(&self) -> Result<(), StartError> {
         let inner = bind(self.settings.listen.inner).await?;
         let service = InnerService {
             owner: None,
@@ -65,7 +65,8 @@
         Ok(())
     }
 
-    /// Starts an entry host.
+    /// Starts the entry host: listeners for callers and readiness checks, and the tasks that follow
+    /// the keepers. `closing` turns true when connections of callers shall close.
     pub(crate) async fn start_entry(
         &self,
         closing: watch::Receiver<bool>,
@@ -74,20 +75,20 @@
         let callers = bind(listen.callers.ok_or(StartError::NoListen("callers"))?).await?;
         let readiness = bind(listen.readiness.ok_or(StartError::NoListen("readiness"))?).await?;
         if !self.settings.is_keeper() {
-            self.serve_other_hosts().await?;
+            self.serve_peers().await?;
         }
         let bounds = &self.settings.bounds;
         let gate = Arc::new(Gate::new(lease_ms(bounds)));
         let directory = Arc::new(Directory::default());
         let (link, reports) = FleetLink::new(self.peers.clone(), self.keepers.clone());
         let link = Arc::new(link);
-        let (judge, observations) = SightingLink::new(self.keepers.clone());
-        tokio::spawn(run_sightings(self.keepers.clone(), observations));
+        let (sighting_link, sightings) = SightingLink::new(self.keepers.clone());
+        tokio::spawn(run_sightings(self.keepers.clone(), sightings));
         let entry = EntryBuilder::default()
             .names(self.contract.header_names())
             .budget(RetryBudget::new(budget_limits(bounds)))
             .orders(Arc::clone(&self.contract) as Arc<dyn OrderFormat>)
-            .judge(Arc::new(judge))
+            .judge(Arc::new(sighting_link))
             .data_centre(self.settings.data_centre.clone())
             .build(Arc::clone(&gate), Arc::clone(&directory), link.clone());
         let entry = Arc::new(entry);
@@ -97,7 +98,7 @@
         let figures = Arc::new(FollowFigures::default());
         let apply_ms = Arc::new(AtomicU64::new(bounds.apply_ms));
         tokio::spawn(run_following(Following {
-            host: self.own.clone(),
+            host: self.local_host.clone(),
             contract: Arc::clone(&self.contract),
             keepers: self.keepers.clone(),
             link,
@@ -125,7 +126,7 @@
     }
 }
 
-/// Answers the balancer, which asks whether new connections should come here.
+/// Serves the balancer's readiness check, which asks whether to send new connections to this host.
 fn serve_readiness(listener: TcpListener, contract: SharedContract, gate: Arc<Gate>) {
     tokio::spawn(serve_simple(listener, move |request| {
         let status = readiness_status(&contract, &gate, &request);
--- a/clayplankd/src/process/seeded_keeper.rs
+++ b/clayplankd/src/process/seeded_keeper.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a keeper that finds the others from seeds.
+//! Starts the parts of a seeded keeper, which holds a replica of the replicated state.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 use xtra::Mailbox;
 
-use crate::doors::control_door::{ControlDoor, Registered};
+use crate::doors::control_endpoint::{ControlEndpoint, RegistryAccess};
 use crate::fleet::engine_watch::run_engine_watch;
 use crate::fleet::fleet_keeper::{FleetKeeper, run_fleet};
 use crate::fleet::mirror::run_mirror;
@@ -20,45 +20,49 @@
 use crate::keepers::full_disk::FullDisk;
 use crate::keepers::keeper::{Keeper, Sizing};
 use crate::keepers::keeper_join::{Joining, run_join, run_outbox, run_ticks};
-use crate::process::daemon::{MAILBOX, StartError, bind, serve_inner};
+use crate::process::daemon::{MAILBOX_CAPACITY, StartError, bind, serve_inner};
 use crate::process::inner::InnerService;
-use crate::process::seeded::{Parts, seed_hosts};
+use crate::process::seeded::{StartContext, bootstrap_hosts};
 
-/// An election follows after a leader was silent for this long, in ms, up to twice: a
-/// change that waits for one is still acknowledged within about a second.
-const ELECTION_MS: u64 = 350;
+/// Election time-out, in ms: an election starts once the leader was unresponsive for between one
+/// and two times this long. A change that waits for an election is still acknowledged within about
+/// a second.
+const ELECTION_TIMEOUT_MS: u64 = 350;
 
-/// Between two heartbeats of the leader, in ms: several fit into the shortest election time.
-const LEADER_HEARTBEAT_MS: u64 = 80;
+/// Interval of the leader's heartbeats, in ms: several fit into the shortest election time-out.
+const LEADER_HEARTBEAT_INTERVAL_MS: u64 = 80;
 
-/// A voter beyond those that are needed is taken out when it was silent for this long, in ms:
-/// several times an election, so that a restart seldom costs a place.
-const REPLACE_SILENT_MS: u64 = 1_500;
+/// A surplus voter is removed after it was unresponsive for this long, in ms: several election
+/// time-outs, so that a restart seldom costs a host its vote.
+const REPLACE_UNRESPONSIVE_MS: u64 = 1_500;
 
-/// Entries kept in memory for slow followers: each may be a whole plan.
-const KEEP_ENTRIES: u64 = 32;
+/// Number of log entries kept in memory for slow followers; small, as an entry may be a complete
+/// plan.
+const MAX_RETAINED_ENTRIES: u64 = 32;
 
-const _: () =
-    assert!(ELECTION_MS >= 3 * LEADER_HEARTBEAT_MS, "an election waits for several heartbeats");
+const _: () = assert!(
+    ELECTION_TIMEOUT_MS >= 3 * LEADER_HEARTBEAT_INTERVAL_MS,
+    "an election time-out must exceed several heartbeats"
+);
 
-/// What a keeper's disk holds.
+/// A keeper's opened store, and what it contained.
 struct OpenedStore {
     store: Store,
-    /// `None` if it has never held a log.
+    /// Stored state; `None` if the store has never contained a log.
     state: Option<StoredState>,
-    /// Whether this keeper may begin a log with the other seeds.
+    /// Whether this keeper may start a new log together with the other bootstrap hosts.
     may_begin: bool,
 }
 
-/// Starts a keeper once its disk can be used; what ends it is told to `failed`.
+/// Starts a keeper once its disk is usable, and sends the error that ends it to `failed`.
 pub(crate) async fn run_keeper_start(
-    parts: Parts,
+    context: StartContext,
     fleet: Arc<FleetKeeper>,
     failed: mpsc::Sender<StartError>,
 ) {
-    let opened = parts.open_store().await;
+    let opened = context.open_store().await;
     let started = match opened {
-        Ok(opened) => parts.start_keeper(opened, fleet).await,
+        Ok(opened) => context.start_keeper(opened, fleet).await,
         Err(error) => Err(error),
     };
     let error = match started {
@@ -71,47 +75,52 @@
     failed.send(error).await.ok();
 }
 
-impl Parts {
-    /// The registry and the fleet of a keeper on this host.
+impl StartContext {
+    /// Creates the registry of upstreams and the fleet for a keeper on this host.
     pub(crate) fn new_fleet(&self) -> Arc<FleetKeeper> {
         let heartbeat_ms = self.settings.bounds.heartbeat_ms;
         let contract = Arc::clone(&self.contract);
         Arc::new(FleetKeeper::new(contract, self.keepers.clone(), heartbeat_ms))
     }
 
-    /// What passes heartbeats on from this host.
+    /// Creates the forwarder of heartbeats from this host to the keepers.
     pub(crate) fn new_spread(&self) -> Spread {
-        Spread::new(self.own.clone(), self.peers.clone(), self.keepers.clone())
+        Spread::new(self.local_host.clone(), self.peers.clone(), self.keepers.clone())
     }
 
-    /// Serves operators and upstreams.
-    pub(crate) fn start_door(self, control: TcpListener, registered: Registered, spread: Spread) {
-        match &registered {
-            Registered::Kept { .. } => tokio::spawn(run_spread(spread.clone())),
-            Registered::Followed => tokio::spawn(run_spread_to_one(spread.clone())),
+    /// Starts the control endpoint, for operators and heartbeats of upstreams.
+    pub(crate) fn start_control_endpoint(
+        self,
+        control: TcpListener,
+        registry: RegistryAccess,
+        spread: Spread,
+    ) {
+        match &registry {
+            RegistryAccess::Local { .. } => tokio::spawn(run_spread(spread.clone())),
+            RegistryAccess::Remote => tokio::spawn(run_spread_to_one(spread.clone())),
         };
-        let door = ControlDoor {
-            own: self.own,
+        let endpoint = ControlEndpoint {
+            local_host: self.local_host,
             contract: self.contract,
             keepers: self.keepers,
-            registered,
+            registry,
             spread,
             data_centres: self.settings.data_centres.clone().into(),
         };
-        tokio::spawn(serve_simple(control, move |request| door.clone().answer(request)));
+        tokio::spawn(serve_simple(control, move |request| endpoint.clone().answer(request)));
     }
 
-    /// Opens the data folder, off the runtime's threads: a disk may stall. Waits while it is full.
+    /// Opens the data folder on a blocking thread, as a disk may stall. Waits while the disk is full.
     async fn open_store(&self) -> Result<OpenedStore, StartError> {
         let dir = self.settings.data_dir.clone().ok_or(StartError::NoDataDir)?;
         let is_first_start = self.settings.is_first_start;
-        let is_seed = seed_hosts(&self.settings).any(|seed| seed == self.own);
-        let mut full = FullDisk::default();
+        let is_bootstrap_host = bootstrap_hosts(&self.settings).any(|host| host == self.local_host);
+        let mut full_disk = FullDisk::default();
         loop {
-            let (dir, own) = (dir.clone(), self.own.clone());
+            let (dir, local_host) = (dir.clone(), self.local_host.clone());
             let open = move || {
-                let (store, state) = Store::open(&dir, own.as_str(), rand::random())?;
-                let is_candidate = state.is_none() && is_seed;
+                let (store, state) = Store::open(&dir, local_host.as_str(), rand::random())?;
+                let is_candidate = state.is_none() && is_bootstrap_host;
                 let may_begin = is_candidate && recall_first_start(&store.notes(), is_first_start)?;
                 Ok(OpenedStore { store, state, may_begin })
             };
@@ -119,16 +128,16 @@
                 tokio::task::spawn_blocking(open).await.map_err(StartError::Opening)?;
             match opened {
                 Ok(opened) => {
-                    full.note_room();
+                    full_disk.note_room();
                     return Ok(opened);
                 }
-                Err(error) if error.is_full() => full.wait(&error).await,
+                Err(error) if error.is_full() => full_disk.wait(&error).await,
                 Err(error) => return Err(StartError::Store(error)),
             }
         }
     }
 
-    /// Starts a keeper on what its disk holds; a disk that fails later is told by the channel.
+    /// Starts a keeper from its opened store. The returned channel reports a later disk failure.
     async fn start_keeper(
         self,
         opened: OpenedStore,
@@ -148,13 +157,13 @@
         let keeper = Keeper::new(store, state, options, sizing, outbox, disk_failed)
             .with_may_begin(may_begin);
         let applied = keeper.applied();
-        let keeper = xtra::spawn_tokio(keeper, Mailbox::bounded(MAILBOX));
+        let keeper = xtra::spawn_tokio(keeper, Mailbox::bounded(MAILBOX_CAPACITY));
         tokio::spawn(run_outbox(outbox_receiver, self.peers.clone()));
         tokio::spawn(run_ticks(keeper.clone()));
         tokio::spawn(run_join(keeper.clone(), self.joining(), self.peers.clone()));
         tokio::spawn(run_fleet(Arc::clone(&fleet), applied.clone()));
         let relay = Arc::new(Relay::new(
-            self.own.clone(),
+            self.local_host.clone(),
             keeper.clone(),
             Arc::clone(&fleet),
             self.peers.clone(),
@@ -164,7 +173,7 @@
         tokio::spawn(run_relay(Arc::clone(&relay)));
         tokio::spawn(run_engine_watch(Arc::clone(&fleet)));
         tokio::spawn(run_mirror(
-            self.own.clone(),
+            self.local_host.clone(),
             keeper.clone(),
             Arc::clone(&fleet),
             self.peers.clone(),
@@ -183,22 +192,23 @@
                 spread: Some(spread.clone()),
             },
         ));
-        self.start_door(control, Registered::Kept { keeper, fleet }, spread);
+        self.start_control_endpoint(control, RegistryAccess::Local { keeper, fleet }, spread);
         Ok(disk_failed_receiver)
     }
 
     fn joining(&self) -> Joining {
-        let seeds = seed_hosts(&self.settings).filter(|seed| *seed != self.own).collect();
+        let seeds =
+            bootstrap_hosts(&self.settings).filter(|host| *host != self.local_host).collect();
         Joining { seeds, keepers: Some(self.keepers.clone()) }
     }
 }
 
 fn agreement_options(tolerated_losses: usize) -> Options {
     Options {
-        election_ms: ELECTION_MS,
-        heartbeat_ms: LEADER_HEARTBEAT_MS,
-        keep_entries: KEEP_ENTRIES,
-        replace_silent_ms: Some(REPLACE_SILENT_MS),
+        election_ms: ELECTION_TIMEOUT_MS,
+        heartbeat_ms: LEADER_HEARTBEAT_INTERVAL_MS,
+        keep_entries: MAX_RETAINED_ENTRIES,
+        replace_silent_ms: Some(REPLACE_UNRESPONSIVE_MS),
         tolerated_losses,
         ..Options::default()
     }
