--- a/clayplankd/src/doors/contract.rs
+++ b/clayplankd/src/doors/contract.rs
@@ -99,7 +99,7 @@
         body: &[u8],
     ) -> Result<ControlCall, ControlFault>;
 
-    /// Parses a serving plan.
+    /// Parses a serving plan, such as one that was accepted and stored before.
     ///
     /// # Errors
     /// The text is not a valid plan; lists all faults.
--- a/clayplankd/src/doors/control_endpoint.rs
+++ b/clayplankd/src/doors/control_endpoint.rs
@@ -1,7 +1,7 @@
 //! The control endpoint, for operators and for heartbeats of upstreams.
 //!
-//! Any host may have one. A keeper uses its local registry; a host without a data folder queries the
-//! keepers, and forwards heartbeats to them.
+//! Any host may have one. A keeper uses its local registry; a host without a data folder queries
+//! the keepers, and forwards heartbeats to them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -206,8 +206,8 @@
         self.notify_leader(&departed).await
     }
 
-    /// Reports to the leader that an upstream accepts no new requests, and acknowledges it only once
-    /// the leader has received it.
+    /// Reports to the leader that an upstream accepts no new requests, and acknowledges it only
+    /// once the leader has received it.
     async fn notify_leader(&self, heartbeat: &Heartbeat) -> Answer {
         let leader = self.leader().await;
         if self.spread.push_urgent(heartbeat, leader.as_ref()).await {
--- a/clayplankd/src/doors/cordons.rs
+++ b/clayplankd/src/doors/cordons.rs
@@ -21,8 +21,9 @@
         }
     }
 
-    /// Cordons a data centre, and acknowledges it once the cordon is committed. Connected hosts learn
-    /// of it with the leader's next answer; a disconnected host refuses requests when its lease ends.
+    /// Cordons a data centre, and acknowledges it once the cordon is committed. Connected hosts
+    /// receive it with the leader's next answer; a disconnected host refuses requests when its lease
+    /// ends.
     pub(super) async fn cordon(&self, data_centre: DataCentre) -> Answer {
         if !self.is_known(&data_centre) {
             return fault(StatusCode::NOT_FOUND, "there is no such data centre");
--- a/clayplankd/src/doors/dispatch.rs
+++ b/clayplankd/src/doors/dispatch.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Discards the output of a failed attempt; false if the caller has already received some of it.
+    /// Discards the output of a failed attempt; false if the caller has already received some.
     fn reset(&mut self, has_output: bool) -> bool {
         match self {
             Self::Stream(_) => !has_output,
@@ -297,7 +297,8 @@
     }
 }
 
-/// Starts the attempt at the last engine, after the others have prefilled their parts of the prompt.
+/// Starts the attempt at the last engine, after the others have prefilled their parts of the
+/// prompt.
 async fn start(
     host: &Host,
     job: &PromptJob,
--- a/clayplankd/src/doors/quarantine.rs
+++ b/clayplankd/src/doors/quarantine.rs
@@ -21,8 +21,8 @@
 }
 
 impl Host {
-    /// Rejects a quarantined request, unless this host is granted a trial of it. Only the first attempt
-    /// of a request can be a trial.
+    /// Rejects a quarantined request, unless this host is granted a trial of it. Only the first
+    /// attempt of a request can be a trial.
     pub(crate) async fn check_quarantine(
         &self,
         identity: &Identity,
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -164,7 +164,7 @@
         let deadline = Instant::now() + millis(timing.drain_ms);
         self.host.progress.leave();
         self.membership.send(Leave).await.ok();
-        // The balancer still sends requests until it notices the failing health check: they are served.
+        // The balancer sends requests until it notices the failing health check: they are served.
         clayplank_clock::sleep(millis(timing.leave_grace_ms)).await;
         self.host.progress.close();
         while self.host.progress.count() > 0 && Instant::now() < deadline {
--- a/clayplankd/src/process/metrics.rs
+++ b/clayplankd/src/process/metrics.rs
@@ -15,7 +15,8 @@
 const MAX_MS: u64 = 3_600_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Limit of the number of series. Accounts without one by then are counted under [`OTHER_ACCOUNTS`].
+/// Limit of the number of series. Once it is reached, requests that would need a new one are
+/// recorded under [`OTHER_ACCOUNTS`].
 const MAX_SERIES: usize = 512;
 
 /// Account label of the series that several accounts share.
--- a/clayplankd/src/process/run_seeded.rs
+++ b/clayplankd/src/process/run_seeded.rs
@@ -61,8 +61,8 @@
     Ok((settings, text))
 }
 
-/// Reads the settings file; `None` if its text equals `current`, which saves validating it again
-/// at most checks.
+/// Reads the settings file. Returns `None` if its text is still `current`: it need not be
+/// validated again then, which is the case at most checks.
 fn read_changed(
     path: &Path,
     current: &str,
--- a/clayplankd/src/process/seeded.rs
+++ b/clayplankd/src/process/seeded.rs
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Applies changed settings: bootstrap addresses, bounds and the log level. Other changed fields
-    /// are named in the log, and take effect at the next start.
+    /// Applies changed settings: bootstrap addresses, bounds and the log level. Other changed
+    /// fields are named in the log, and take effect at the next start.
     pub fn reload(&mut self, settings: SeededSettings) {
         self.keepers.set_seeds(bootstrap_hosts(&settings));
         set_log_level(settings.log.level);
@@ -176,7 +176,7 @@
         };
         tokio::join!(give_up_vote, drain);
         let cut_off = self.entry.as_ref().map_or(0, |entry| entry.gate.in_progress());
-        log::info!(target: part::DAEMON, cut_off = cut_off; "Shutdown complete");
+        log::info!(target: part::DAEMON, cut_off = cut_off; "Stopped");
     }
 
     /// Fails the readiness check, then rejects new requests, and waits for those in progress until
--- a/clayplankd/src/process/seeded_keeper.rs
+++ b/clayplankd/src/process/seeded_keeper.rs
@@ -110,7 +110,8 @@
         tokio::spawn(serve_simple(control, move |request| endpoint.clone().answer(request)));
     }
 
-    /// Opens the data folder on a blocking thread, as a disk may stall. Waits while the disk is full.
+    /// Opens the data folder on a blocking thread, as a disk may stall. Waits while the disk is
+    /// full.
     async fn open_store(&self) -> Result<OpenedStore, StartError> {
         let dir = self.settings.data_dir.clone().ok_or(StartError::NoDataDir)?;
         let is_first_start = self.settings.is_first_start;
