--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -188,8 +188,8 @@
 ) -> Arc<Host> {
     let engines: Arc<dyn EngineEdge> = Arc::new(HttpEngines::default());
     let keepers = KeeperClient::new(settings, peers.clone());
-    let (judge, observations) = SightingLink::new(keepers.clone());
-    tokio::spawn(run_sightings(keepers.clone(), observations));
+    let (sighting_link, sightings) = SightingLink::new(keepers.clone());
+    tokio::spawn(run_sightings(keepers.clone(), sightings));
     Arc::new_cyclic(|weak_self| Host {
         weak_self: weak_self.clone(),
         settings: Arc::clone(settings),
@@ -209,7 +209,7 @@
         metrics: Default::default(),
         progress: InProgress::default(),
         service_loads: Default::default(),
-        suspicion: Arc::new(Suspicion::new(Arc::new(judge))),
+        suspicion: Arc::new(Suspicion::new(Arc::new(sighting_link))),
     })
 }
 
--- a/clayplankd/src/process/inner.rs
+++ b/clayplankd/src/process/inner.rs
@@ -395,13 +395,13 @@
 fn renew_from_wire(request: RenewRequest) -> Result<Renew, Status> {
     let mut held: BTreeMap<PoolId, Vec<HeldGrant>> = BTreeMap::new();
     for grant in request.grants {
-        let one = HeldGrant {
+        let held_grant = HeldGrant {
             grant_id: GrantId(grant.grant_id),
             owner: Incarnation(grant.owner_incarnation),
             attempt_id: grant.attempt_id.parse().map_err(malformed)?,
             parts: grant.engines.into_iter().map(part_from_wire).collect(),
         };
-        held.entry(PoolId::new(grant.pool)).or_default().push(one);
+        held.entry(PoolId::new(grant.pool)).or_default().push(held_grant);
     }
     let holder = Holder {
         host: HostId::new(request.from_host),
--- a/clayplankd/src/process/membership.rs
+++ b/clayplankd/src/process/membership.rs
@@ -257,7 +257,7 @@
         return;
     };
     let upstream_ids: BTreeSet<UpstreamId> =
-        settings.upstreams.iter().map(|one| one.id().clone()).collect();
+        settings.upstreams.iter().map(|upstream| upstream.id().clone()).collect();
     loop {
         match fetch_platform_hosts(&client, platform.address).await {
             Ok(list) => {
--- a/clayplankd/src/process/peers.rs
+++ b/clayplankd/src/process/peers.rs
@@ -29,7 +29,7 @@
 pub(crate) enum PeerError {
     /// The settings do not name the host.
     #[error("host `{host}` is not in the settings")]
-    NotKnown { host: HostId },
+    UnknownHost { host: HostId },
     /// The call ended with an error status.
     #[error("host `{host}` did not answer: {code}")]
     Call { host: HostId, code: tonic::Code },
@@ -79,7 +79,8 @@
     where
         F: Future<Output = Result<tonic::Response<T>, tonic::Status>>,
     {
-        let client = self.client(host).ok_or_else(|| PeerError::NotKnown { host: host.clone() })?;
+        let client =
+            self.client(host).ok_or_else(|| PeerError::UnknownHost { host: host.clone() })?;
         match clayplank_clock::timeout(timeout, call(client)).await {
             Ok(Ok(response)) => Ok(response.into_inner()),
             Ok(Err(status)) => Err(PeerError::Call { host: host.clone(), code: status.code() }),
