--- a/clayplank-settings/src/account.rs
+++ b/clayplank-settings/src/account.rs
@@ -1,4 +1,4 @@
-//! Templates and client accounts: what operators change.
+//! Templates and client accounts, the settings that operators change at run time.
 
 use clayplank_types::Priority;
 use schemars::JsonSchema;
@@ -7,27 +7,27 @@
 use crate::check::{Check, Faults};
 use crate::key::KeyDigest;
 
-/// How a kind of request is served.
+/// Defaults and limits for requests that name this template.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// How soon, against other requests.
+    /// Scheduling priority relative to other requests.
     #[serde(default)]
     pub priority: Priority,
-    /// The time from arrival within which the request ends, 1 to 86,400,000 ms.
+    /// Time from the request's arrival to its deadline, 1 to 86,400,000 ms.
     #[schemars(range(min = 1, max = 86_400_000))]
     pub deadline_ms: u64,
-    /// The most tokens that an answer may have.
+    /// Maximum number of tokens in an answer.
     #[schemars(range(min = 1))]
     #[serde(default = "default_output_tokens")]
     pub max_output_tokens: u64,
-    /// The model, where the request names none.
+    /// Model for requests that name none.
     #[serde(default)]
     pub model: Option<String>,
-    /// The adapter on the model.
+    /// Adapter to apply to the model.
     #[serde(default)]
     pub adapter: Option<String>,
-    /// Whether the request may be run again after a failure.
+    /// Whether the request may be retried after a failure.
     #[serde(default = "default_repeatable")]
     pub repeatable: bool,
 }
@@ -41,20 +41,20 @@
 }
 
 impl Check for Template {
-    /// The schema says it all.
+    /// Does nothing: the JSON schema expresses all rules.
     fn check(&self, _at: &str, _faults: &mut Faults) {}
 }
 
-/// What a partner's client may use. Values that are set here go before the template's.
+/// Account of a partner's client, with its limits. Values set here override the template's.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
-    /// Digest of the account's bearer key.
+    /// SHA-256 digest of the account's bearer key.
     pub key_sha256: KeyDigest,
-    /// The template of requests that name none.
+    /// Name of the template for requests that name none.
     #[schemars(length(min = 1))]
     pub template: String,
-    /// Weight of the account's part in the capacity; 1 to 1,000,000.
+    /// Weight of the account's share of the capacity, 1 to 1,000,000.
     #[serde(default = "default_share")]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub share: u64,
@@ -71,18 +71,19 @@
     /// Overrides the template's adapter.
     #[serde(default)]
     pub adapter: Option<String>,
-    /// Overrides whether requests may be run again.
+    /// Overrides whether requests may be retried.
     #[serde(default)]
     pub repeatable: Option<bool>,
-    /// Requests a second that one entry host takes; bursts of two seconds pass.
+    /// Rate limit at each entry host, in requests per second. Bursts of up to two seconds' worth
+    /// of requests are admitted.
     #[serde(default = "default_rate")]
     #[schemars(range(min = 1))]
     pub requests_per_s: u64,
-    /// Requests that may wait or run at one entry host.
+    /// Maximum number of requests that wait or run at one entry host.
     #[serde(default = "default_waiting")]
     #[schemars(range(min = 1))]
     pub max_in_progress: u64,
-    /// Second tries, in percent of first tries.
+    /// Retry budget, in percent of first attempts.
     #[serde(default = "default_retry_percent")]
     #[schemars(range(min = 0, max = 100))]
     pub retry_percent: u64,
@@ -105,29 +106,29 @@
 }
 
 impl Check for ClientAccount {
-    /// The schema says it all.
+    /// Does nothing: the JSON schema expresses all rules.
     fn check(&self, _at: &str, _faults: &mut Faults) {}
 }
 
-/// What holds for one request: the account's values before the template's.
+/// Values in force for one request: the account's where it sets them, else the template's.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Effective {
-    /// How soon.
+    /// Scheduling priority.
     pub priority: Priority,
-    /// Time from arrival to the end.
+    /// Time from the request's arrival to its deadline, in ms.
     pub deadline_ms: u64,
-    /// The most tokens of an answer.
+    /// Maximum number of tokens in the answer.
     pub max_output_tokens: u64,
-    /// The model, if account or template name one.
+    /// Model, if the account or the template names one.
     pub model: Option<String>,
-    /// The adapter, if account or template name one.
+    /// Adapter, if the account or the template names one.
     pub adapter: Option<String>,
-    /// Whether a second try is allowed.
+    /// Whether a retry is allowed.
     pub repeatable: bool,
 }
 
 impl Effective {
-    /// Joins an account and a template.
+    /// Merges an account with a template; the account's values take precedence.
     pub fn of(account: &ClientAccount, template: &Template) -> Self {
         Self {
             priority: account.priority.unwrap_or(template.priority),
--- a/clayplank-settings/src/bounds.rs
+++ b/clayplank-settings/src/bounds.rs
@@ -1,40 +1,41 @@
 //! Times and limits that the operators of a deployment set.
 //!
-//! A deployment that runs at a share of its size has bounds with a fraction, such as 34.7 retries;
-//! and one that does not set a bound may write `null`. Where a whole number is needed, a fraction
-//! is rounded to the side on which the promise behind the bound still holds.
+//! A deployment that runs at a fraction of its full size has fractional bounds, such as
+//! 34.7 retries, and one that does not set a bound may write `null`. Where an integer is needed,
+//! a fraction is rounded in the direction in which the guarantee behind the bound still holds.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A day, in ms: no bound of the deployment is longer.
+/// One day in ms, the upper limit of all bounds in ms.
 const DAY_MS: u32 = 86_400_000;
 
-/// The same, in seconds.
+/// One day in seconds, the upper limit of all bounds in seconds.
 const DAY_S: u32 = 86_400;
 
-/// Far above what callers send in any window.
+/// Upper limit of both retry bounds, far above what callers send in any window.
 const MAX_RETRIES: u32 = 1_000_000_000;
 
-/// Times and limits, as they are in force.
+/// Times and limits in force, with defaults filled in and fractions rounded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(from = "WrittenBounds")]
 pub struct Bounds {
-    /// Between two heartbeats of an upstream.
+    /// Interval between two heartbeats of an upstream, in ms.
     pub heartbeat_ms: u64,
-    /// A change that was acknowledged must be in force everywhere after this time.
+    /// Time after which an acknowledged change must be in force on all hosts, in ms.
     pub apply_ms: u64,
-    /// A key that was taken away must be without effect everywhere after this time.
+    /// Time after which a revoked key must be rejected by all hosts, in ms.
     pub revoke_ms: u64,
-    /// Upstreams of a data centre under a cordon must get nothing after this time.
+    /// Time after which the upstreams of a cordoned data centre must receive no more requests,
+    /// in ms.
     pub cordon_ms: u64,
-    /// From a planned stop until the process is killed.
+    /// Time from a planned stop until the process is killed, in seconds.
     pub grace_s: f64,
-    /// Retries for each first try, over all hosts.
+    /// Retries allowed per first attempt, over all hosts.
     pub retry_ratio: f64,
-    /// Retries besides, over all hosts.
+    /// Retries allowed in addition to `retry_ratio`, per window and over all hosts.
     pub retry_extra: f64,
-    /// The window in which both are counted.
+    /// Window in which retries and first attempts are counted, in seconds.
     pub retry_window_s: f64,
 }
 
@@ -53,52 +54,53 @@
     }
 }
 
-/// Bounds as a settings file has them; what is missing or `null` has its usual value.
+/// Bounds as written in a settings file. A missing or `null` field takes its default.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 struct WrittenBounds {
-    /// Between two heartbeats of an upstream. A fraction is rounded up: an upstream is not
-    /// taken for silent too soon.
+    /// Interval between two heartbeats of an upstream, in ms. A fraction is rounded up, so that an
+    /// upstream is not considered unresponsive too early.
     #[schemars(range(min = 1, max = DAY_MS))]
     heartbeat_ms: Option<f64>,
-    /// A change that was acknowledged must be in force everywhere after this time. A fraction is rounded
-    /// down.
+    /// Time after which an acknowledged change must be in force on all hosts, in ms. A fraction is
+    /// rounded down.
     #[schemars(range(min = 100, max = DAY_MS))]
     apply_ms: Option<f64>,
-    /// A key that was taken away must be without effect everywhere after this time. A fraction
-    /// is rounded down: no host serves the key for longer.
+    /// Time after which a revoked key must be rejected by all hosts, in ms. A fraction is rounded
+    /// down, so that no host accepts the key for longer.
     #[schemars(range(min = 100, max = DAY_MS))]
     revoke_ms: Option<f64>,
-    /// Upstreams of a data centre under a cordon must get nothing after this time. A fraction is rounded
-    /// down.
+    /// Time after which the upstreams of a cordoned data centre must receive no more requests,
+    /// in ms. A fraction is rounded down.
     #[schemars(range(min = 100, max = DAY_MS))]
     cordon_ms: Option<f64>,
-    /// From a planned stop until the process is killed.
+    /// Time from a planned stop until the process is killed, in seconds.
     #[schemars(range(min = 0, max = DAY_S))]
     grace_s: Option<f64>,
-    /// Retries for each first try, over all hosts.
+    /// Retries allowed per first attempt, over all hosts.
     #[schemars(range(min = 0, max = MAX_RETRIES))]
     retry_ratio: Option<f64>,
-    /// Retries besides, over all hosts. Hosts share it, so that a fraction counts as it is.
+    /// Retries allowed in addition to `retry_ratio`, per window and over all hosts. It is divided
+    /// among the hosts, so a fraction is kept unrounded.
     #[schemars(range(min = 0, max = MAX_RETRIES))]
     retry_extra: Option<f64>,
-    /// The window in which both are counted.
+    /// Window in which retries and first attempts are counted, in seconds.
     #[schemars(range(min = 0.001, max = DAY_S))]
     retry_window_s: Option<f64>,
 }
 
 impl From<WrittenBounds> for Bounds {
     fn from(written: WrittenBounds) -> Self {
-        let usual = Self::default();
+        let defaults = Self::default();
         Self {
-            heartbeat_ms: written.heartbeat_ms.map_or(usual.heartbeat_ms, |ms| ms.ceil() as u64),
-            apply_ms: written.apply_ms.map_or(usual.apply_ms, |ms| ms.floor() as u64),
-            revoke_ms: written.revoke_ms.map_or(usual.revoke_ms, |ms| ms.floor() as u64),
-            cordon_ms: written.cordon_ms.map_or(usual.cordon_ms, |ms| ms.floor() as u64),
-            grace_s: written.grace_s.unwrap_or(usual.grace_s),
-            retry_ratio: written.retry_ratio.unwrap_or(usual.retry_ratio),
-            retry_extra: written.retry_extra.unwrap_or(usual.retry_extra),
-            retry_window_s: written.retry_window_s.unwrap_or(usual.retry_window_s),
+            heartbeat_ms: written.heartbeat_ms.map_or(defaults.heartbeat_ms, |ms| ms.ceil() as u64),
+            apply_ms: written.apply_ms.map_or(defaults.apply_ms, |ms| ms.floor() as u64),
+            revoke_ms: written.revoke_ms.map_or(defaults.revoke_ms, |ms| ms.floor() as u64),
+            cordon_ms: written.cordon_ms.map_or(defaults.cordon_ms, |ms| ms.floor() as u64),
+            grace_s: written.grace_s.unwrap_or(defaults.grace_s),
+            retry_ratio: written.retry_ratio.unwrap_or(defaults.retry_ratio),
+            retry_extra: written.retry_extra.unwrap_or(defaults.retry_extra),
+            retry_window_s: written.retry_window_s.unwrap_or(defaults.retry_window_s),
         }
     }
 }
--- a/clayplank-settings/src/check.rs
+++ b/clayplank-settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Reads JSON and reports every fault with its path.
+//! Parses JSON documents and reports every fault with its path.
 
 use std::fmt;
 
@@ -9,12 +9,12 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// One thing that is wrong in a document.
+/// One error in a document.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Fault {
-    /// The place, as a JSON pointer (RFC 6901); empty for the whole document.
+    /// JSON pointer (RFC 6901) to the faulty value; empty for the whole document.
     pub path: String,
-    /// What is wrong and what would be right.
+    /// Description of the error and of what is expected.
     pub message: String,
 }
 
@@ -25,29 +25,29 @@
     }
 }
 
-/// All faults of a document; never empty when returned as an error.
+/// All errors of a document; never empty when returned as an `Err`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Faults(Vec<Fault>);
 
 impl Faults {
-    /// Notes a fault.
+    /// Adds a fault.
     pub fn push(&mut self, path: impl Into<String>, message: impl Into<String>) {
         self.0.push(Fault { path: path.into(), message: message.into() });
     }
 
-    /// Notes a fault unless `right` holds.
-    pub fn require(&mut self, right: bool, path: &str, message: &str) {
-        if !right {
+    /// Adds a fault unless `condition` holds.
+    pub fn require(&mut self, condition: bool, path: &str, message: &str) {
+        if !condition {
             self.push(path, message);
         }
     }
 
-    /// The faults in the order of the document's checks.
+    /// Iterates over the faults in the order in which the checks found them.
     pub fn iter(&self) -> std::slice::Iter<'_, Fault> {
         self.0.iter()
     }
 
-    /// Whether nothing is wrong.
+    /// Whether no fault was found.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -67,16 +67,16 @@
 
 impl std::error::Error for Faults {}
 
-/// Rules that a schema cannot express.
+/// Validation rules that a JSON schema cannot express.
 pub trait Check {
-    /// Adds a fault for each rule that is broken; paths start with `at`.
+    /// Adds a fault for each violated rule; the paths of the faults start with `at`.
     fn check(&self, at: &str, faults: &mut Faults);
 }
 
-/// Reads a JSON text and checks it.
+/// Parses a JSON text and validates it.
 ///
 /// # Errors
-/// All faults of the text: of its syntax, or else of its shape and its values.
+/// The syntax error, or else all violations of the schema and of the [`Check`] rules.
 pub fn parse<T: DeserializeOwned + JsonSchema + Check>(text: &str) -> Result<T, Faults> {
     match serde_json::from_str(text) {
         Ok(value) => parse_value(value),
@@ -88,25 +88,26 @@
     }
 }
 
-/// Checks a JSON value; see [`parse`].
+/// Validates a JSON value; see [`parse`].
 ///
 /// # Errors
-/// All faults of its shape, or else of its values.
+/// All violations of the schema and, if the value could be deserialized, of the [`Check`] rules.
 pub fn parse_value<T: DeserializeOwned + JsonSchema + Check>(value: Value) -> Result<T, Faults> {
-    let mut faults = scan_shape::<T>(&value);
-    let read = serde_json::from_value::<T>(value);
-    match &read {
+    let mut faults = check_schema::<T>(&value);
+    let parsed = serde_json::from_value::<T>(value);
+    match &parsed {
         Ok(document) => document.check("", &mut faults),
         Err(error) if faults.is_empty() => faults.push("", error.to_string()),
         Err(_) => {}
     }
-    match read {
+    match parsed {
         Ok(document) if faults.is_empty() => Ok(document),
         Ok(_) | Err(_) => Err(faults),
     }
 }
 
-fn scan_shape<T: JsonSchema>(value: &Value) -> Faults {
+/// Validates a value against the JSON schema of its type.
+fn check_schema<T: JsonSchema>(value: &Value) -> Faults {
     let mut faults = Faults::default();
     let schema = SchemaSettings::draft2020_12().into_generator().into_root_schema_for::<T>();
     match jsonschema::validator_for(schema.as_value()) {
@@ -120,17 +121,19 @@
     faults
 }
 
-/// Notes an error of the schema; of alternatives, the faults of the one that was meant.
+/// Adds a schema error. If none of several alternatives matched, adds instead the errors of the
+/// alternative whose constants and enum values all match, as that is the one the author meant; of
+/// several such, the one with the fewest errors.
 fn push_error(faults: &mut Faults, error: &ValidationError<'_>) {
     let path = error.instance_path().to_string();
     match error.kind() {
         ValidationErrorKind::OneOfNotValid { context } | ValidationErrorKind::AnyOf { context } => {
             let names: Vec<_> = context.iter().flatten().filter_map(expected_name).collect();
             let is_meant = |branch: &&Vec<ValidationError<'_>>| {
-                branch.iter().all(|one| expected_name(one).is_none())
+                branch.iter().all(|nested| expected_name(nested).is_none())
             };
             match context.iter().filter(is_meant).min_by_key(|branch| branch.len()) {
-                Some(branch) => branch.iter().for_each(|one| push_error(faults, one)),
+                Some(branch) => branch.iter().for_each(|nested| push_error(faults, nested)),
                 None => faults.push(path, format!("must be one of {}", names.join(", "))),
             }
         }
@@ -141,7 +144,7 @@
     }
 }
 
-/// The names that an error would have accepted.
+/// The constant or enum values that would have been accepted, if the error is about those.
 fn expected_name(error: &ValidationError<'_>) -> Option<String> {
     match error.kind() {
         ValidationErrorKind::Constant { expected_value } => Some(expected_value.to_string()),
--- a/clayplank-settings/src/host.rs
+++ b/clayplank-settings/src/host.rs
@@ -1,4 +1,4 @@
-//! Settings of one host: addresses, roles, upstreams, limits and times.
+//! Settings of one host: addresses, roles, upstreams, limits and timing.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,54 +11,54 @@
 use crate::check::{Check, Faults};
 use crate::key::KeyDigest;
 
-/// What a daemon does.
+/// Role of a daemon.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes requests of callers and owns pools of engines.
+    /// Accepts requests from callers and owns pools of engines.
     Entry,
-    /// Holds a replica of the replicated state on its disk.
+    /// Stores a replica of the replicated state on its disk.
     Keeper,
 }
 
-/// Everything that one daemon has to know before it starts.
+/// Start-up settings of a daemon whose settings list all hosts and upstreams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct HostSettings {
-    /// This host's name; it must stand in `hosts`.
+    /// Name of the local host; must be in `hosts`.
     pub host: HostId,
-    /// What this host does.
+    /// Roles of the local host.
     #[schemars(length(min = 1))]
     pub roles: Vec<Role>,
-    /// Where a keeper stores its state.
+    /// Directory in which a keeper stores its state; required for keepers.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
-    /// The addresses on which this host listens.
+    /// Addresses on which the local host listens.
     pub listen: Listen,
-    /// All hosts, this one among them.
+    /// All hosts, including the local one.
     pub hosts: Vec<HostEntry>,
-    /// The platform's list of live and leaving hosts.
+    /// Source of the platform's list of live and leaving hosts, if there is one.
     #[serde(default)]
     pub platform: Option<PlatformSource>,
-    /// Engines and plain services.
+    /// Engines and plain services that run requests.
     pub upstreams: Vec<Upstream>,
-    /// Operators of the partners.
+    /// Operators of the partners, with their keys.
     pub operators: Vec<Operator>,
-    /// Length bands of prompts, for queues and figures.
+    /// Length bands of prompts, for queues and statistics.
     #[serde(default)]
     pub length_bands: LengthBands,
-    /// Bytes of prompt for one token.
+    /// Average number of prompt bytes per token.
     #[serde(default)]
     pub bytes_per_token: TokenRatio,
-    /// Limits at the doors.
+    /// Limits on connections and requests of callers.
     #[serde(default)]
     pub doors: Doors,
-    /// Times of the inner protocols.
+    /// Intervals and time-outs of the protocols between hosts and with engines.
     #[serde(default)]
     pub timing: Timing,
-    /// What is logged.
+    /// Log level and buffering.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -67,36 +67,36 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// Address for requests of callers.
     pub callers: SocketAddr,
-    /// For the other hosts.
+    /// Address for connections of the other hosts.
     pub inner: SocketAddr,
-    /// For operators.
+    /// Address for the operators' API.
     pub operators: SocketAddr,
 }
 
-/// One host as the others see it.
+/// Entry of one host in the list of all hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct HostEntry {
-    /// Its name.
+    /// Name of the host.
     pub host: HostId,
-    /// Where it stands.
+    /// Data centre in which the host runs.
     pub data_centre: DataCentre,
-    /// Where it listens for the other hosts.
+    /// Address on which it listens for the other hosts.
     pub inner: SocketAddr,
-    /// Whether it holds a replica of the state from the start.
+    /// Whether it stores a replica of the replicated state from the first start on.
     #[serde(default)]
     pub keeper: bool,
 }
 
-/// The platform's list of hosts.
+/// Source of the platform's list of hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSource {
-    /// Where `GET /hosts` is answered.
+    /// Address that answers `GET /hosts`.
     pub address: SocketAddr,
-    /// How often it is asked.
+    /// Polling interval, in ms.
     #[serde(default = "default_poll_interval")]
     #[schemars(range(min = 50))]
     pub poll_interval_ms: u64,
@@ -106,7 +106,7 @@
     1_000
 }
 
-/// What runs requests.
+/// An upstream that runs requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", tag = "kind")]
 pub enum Upstream {
@@ -117,7 +117,7 @@
 }
 
 impl Upstream {
-    /// The upstream's name.
+    /// Returns the name of the upstream.
     pub fn id(&self) -> &UpstreamId {
         match self {
             Self::Engine(engine) => &engine.id,
@@ -126,53 +126,55 @@
     }
 }
 
-/// A model engine.
+/// Settings of a model engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct EngineSettings {
-    /// Its name.
+    /// Name of the upstream.
     pub id: UpstreamId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre in which it runs.
     pub data_centre: DataCentre,
-    /// Engines of a pool share one queue and can pass KV cache to each other.
+    /// Pool of the engine. Engines of a pool share one queue and can transfer KV cache to each
+    /// other.
     pub pool: PoolId,
-    /// Tokens of KV cache that it holds; its own report corrects this.
+    /// Capacity of its KV cache, in tokens; replaced by the value in the engine's load report.
     #[schemars(range(min = 1))]
     pub memory_tokens: u64,
     /// Models that it serves.
     #[schemars(length(min = 1))]
     pub models: Vec<String>,
-    /// Who guards its orders.
+    /// Protection against commands of a former owner.
     #[serde(default)]
     pub fence: FenceCheck,
 }
 
-/// Whether an upstream refuses orders with an old fencing token.
+/// Protection of an upstream against commands that carry an outdated fencing token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum FenceCheck {
-    /// It checks the token itself.
+    /// The upstream checks the token and rejects an outdated one.
     #[default]
     Upstream,
-    /// It checks nothing: whoever gives orders first waits out the former lease.
+    /// The upstream checks nothing; a new sender of commands first waits until the former lease
+    /// has expired.
     Lease,
 }
 
-/// A plain service.
+/// Settings of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSettings {
-    /// Its name.
+    /// Name of the upstream.
     pub id: UpstreamId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre in which it runs.
     pub data_centre: DataCentre,
-    /// Requests whose path starts with this go to it; workers may share a prefix.
+    /// Path prefix of the requests that are routed to the service; several services may share one.
     pub path_prefix: String,
-    /// Requests that one entry host keeps open to it.
+    /// Maximum number of requests in flight to it from one entry host.
     #[serde(default = "default_service_in_flight")]
     #[schemars(range(min = 1))]
     pub max_in_flight: u64,
@@ -182,31 +184,31 @@
     64
 }
 
-/// An operator of a partner.
+/// An operator of a partner, authenticated by a bearer key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// The partner whose settings it may change.
+    /// Partner whose settings the operator may change.
     pub partner: Partner,
-    /// A name for logs.
+    /// Name of the operator in logs; must be unique.
     pub name: String,
-    /// Digest of the operator's key.
+    /// SHA-256 digest of the operator's bearer key.
     pub key_sha256: KeyDigest,
 }
 
-/// Limits at the doors.
+/// Limits on connections and requests of callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Doors {
-    /// The largest body of a request.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// The largest head of a request.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: u64,
-    /// Open connections of callers.
+    /// Maximum number of open connections from callers.
     pub max_connections: u64,
-    /// Requests that wait or run on this host.
+    /// Maximum number of requests that wait or run on the local host.
     pub max_in_progress: u64,
-    /// Time for a caller to send its head, and then its body.
+    /// Time-out for reading a request head, and again for reading its body, in ms.
     pub read_timeout_ms: u64,
 }
 
@@ -222,37 +224,38 @@
     }
 }
 
-/// Times of the inner protocols.
+/// Intervals and time-outs of the protocols between hosts and with engines, in ms.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// Between two probes of a host.
+    /// Interval between two liveness probes of a host.
     #[schemars(range(min = 10))]
     pub probe_interval_ms: u64,
-    /// From a first missed probe until a host counts as gone.
+    /// Time from the first missed probe of a host until it is declared dead.
     pub suspect_ms: u64,
-    /// Between two load reports asked of an engine.
+    /// Interval between two requests for an engine's load report.
     #[schemars(range(min = 10))]
     pub load_interval_ms: u64,
-    /// A grant that is not renewed for this long lapses.
+    /// Lease duration of a grant; a grant that is not renewed within it expires.
     #[schemars(range(min = 500))]
     pub grant_lease_ms: u64,
-    /// The oldest confirmation of settings under which a host takes requests.
+    /// Maximum age of the last confirmation of settings with which a host still accepts requests.
     #[schemars(range(min = 2_000, max = 14_000))]
     pub settings_lease_ms: u64,
-    /// Keepers: a follower that hears nothing for this long asks for an election.
+    /// Keepers: election time-out of a follower that receives nothing from its leader.
     pub election_ms: u64,
-    /// Keepers: between two heartbeats of the leader.
+    /// Keepers: interval between two heartbeats of the leader.
     #[schemars(range(min = 1))]
     pub heartbeat_ms: u64,
-    /// How long the outcome of a claim is kept; longer than any deadline.
+    /// Retention of the outcome of a claim; must exceed the longest possible deadline (one day).
     #[schemars(range(min = 86_400_001))]
     pub claim_keep_ms: u64,
-    /// How long a host that stops still takes requests, while the balancer turns away.
+    /// Time for which a stopping host still accepts requests, until the load balancer has stopped
+    /// routing to it.
     pub leave_grace_ms: u64,
-    /// How long a planned stop waits for requests in progress.
+    /// Maximum time for which a planned stop waits for requests in progress.
     pub drain_ms: u64,
-    /// The longest silence of an upstream within an answer.
+    /// Maximum time between two events of an upstream's answer.
     pub upstream_silence_ms: u64,
 }
 
@@ -274,19 +277,20 @@
     }
 }
 
-/// What is logged.
+/// Settings of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The least severe lines that are written.
+    /// Minimum severity of the lines that are written.
     pub level: LogLevel,
-    /// Lines that wait for a reader that is slow; more are dropped, and their count is told.
+    /// Maximum number of lines buffered for a slow reader of the log. Further lines are dropped,
+    /// and their count is logged.
     #[schemars(range(min = 1))]
     pub buffered_lines: usize,
 }
 
 impl Default for LogSettings {
-    /// About a megabyte of lines: some seconds of a busy host.
+    /// Buffers about 1 MB of lines, some seconds of output of a busy host.
     fn default() -> Self {
         Self { level: LogLevel::default(), buffered_lines: 4_096 }
     }
@@ -305,17 +309,17 @@
 }
 
 impl HostSettings {
-    /// This host's own entry.
+    /// Returns the entry of the local host in `hosts`.
     pub fn own_entry(&self) -> Option<&HostEntry> {
         self.hosts.iter().find(|entry| entry.host == self.host)
     }
 
-    /// Whether this host has a role.
+    /// Whether the local host has a role.
     pub fn has_role(&self, role: Role) -> bool {
         self.roles.contains(&role)
     }
 
-    /// The engines among the upstreams.
+    /// Iterates over the engines among the upstreams.
     pub fn engines(&self) -> impl Iterator<Item = &EngineSettings> {
         self.upstreams.iter().filter_map(|upstream| match upstream {
             Upstream::Engine(engine) => Some(engine),
@@ -323,7 +327,7 @@
         })
     }
 
-    /// The plain services among the upstreams.
+    /// Iterates over the plain services among the upstreams.
     pub fn services(&self) -> impl Iterator<Item = &ServiceSettings> {
         self.upstreams.iter().filter_map(|upstream| match upstream {
             Upstream::Service(service) => Some(service),
@@ -343,17 +347,17 @@
 
 impl HostSettings {
     fn check_roles(&self, at: &str, faults: &mut Faults) {
-        let stored = !self.has_role(Role::Keeper) || self.data_dir.is_some();
-        faults.require(stored, &format!("{at}/data_dir"), "a keeper must have a data folder");
+        let has_required_dir = !self.has_role(Role::Keeper) || self.data_dir.is_some();
+        faults.require(has_required_dir, &format!("{at}/data_dir"), "a keeper must have a data folder");
         let keepers = self.hosts.iter().filter(|entry| entry.keeper).count();
         faults.require(
             keepers % 2 == 1,
             &format!("{at}/hosts"),
             "an odd number of hosts must be keepers",
         );
-        let own = self.own_entry();
-        faults.require(own.is_some(), &format!("{at}/host"), "must be the name of one of `hosts`");
-        let agrees = own.is_none_or(|entry| entry.keeper == self.has_role(Role::Keeper));
+        let local_entry = self.own_entry();
+        faults.require(local_entry.is_some(), &format!("{at}/host"), "must be the name of one of `hosts`");
+        let agrees = local_entry.is_none_or(|entry| entry.keeper == self.has_role(Role::Keeper));
         faults.require(
             agrees,
             &format!("{at}/roles"),
@@ -373,10 +377,10 @@
     fn check_upstreams(&self, at: &str, faults: &mut Faults) {
         for (position, upstream) in self.upstreams.iter().enumerate() {
             if let Upstream::Service(service) = upstream {
-                let rooted = service.path_prefix.starts_with('/')
+                let is_valid_prefix = service.path_prefix.starts_with('/')
                     && !service.path_prefix.starts_with("/v1/");
                 let place = format!("{at}/upstreams/{position}/path_prefix");
-                faults.require(rooted, &place, "must start with `/`, and not with `/v1/`");
+                faults.require(is_valid_prefix, &place, "must start with `/`, and not with `/v1/`");
             }
         }
     }
@@ -398,13 +402,13 @@
 
 impl Check for Timing {
     fn check(&self, at: &str, faults: &mut Faults) {
-        let quick = self.heartbeat_ms * 3 <= self.election_ms;
+        let is_frequent_enough = self.heartbeat_ms * 3 <= self.election_ms;
         faults.require(
-            quick,
+            is_frequent_enough,
             &format!("{at}/heartbeat_ms"),
             "must be at most a third of `election_ms`",
         );
-        let probed = self.probe_interval_ms <= self.suspect_ms;
-        faults.require(probed, &format!("{at}/probe_interval_ms"), "must be at most `suspect_ms`");
+        let is_probed_in_time = self.probe_interval_ms <= self.suspect_ms;
+        faults.require(is_probed_in_time, &format!("{at}/probe_interval_ms"), "must be at most `suspect_ms`");
     }
 }
--- a/clayplank-settings/src/key.rs
+++ b/clayplank-settings/src/key.rs
@@ -1,4 +1,4 @@
-//! Secret keys are kept and compared only as digests.
+//! Digests of secret keys; the keys themselves are neither stored nor compared.
 
 use std::fmt;
 
@@ -9,13 +9,13 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// The SHA-256 digest of a bearer key, in unpadded URL-safe base 64.
+/// SHA-256 digest of a bearer key, serialized as unpadded URL-safe base 64.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(try_from = "String", into = "String")]
 #[schemars(with = "String", extend("pattern" = "^[A-Za-z0-9_-]{43}$"))]
 pub struct KeyDigest([u8; 32]);
 
-/// A text that is not a digest.
+/// Error for a text that is not a valid [`KeyDigest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a key digest is 43 characters of unpadded URL-safe base 64; `clayplank digest` makes one")]
 pub struct MalformedDigest;
@@ -26,7 +26,7 @@
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// Compares in a time that does not depend on where two digests differ.
+    /// Compares two digests in constant time, whatever the position of their first difference.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
--- a/clayplank-settings/src/lib.rs
+++ b/clayplank-settings/src/lib.rs
@@ -1,14 +1,14 @@
 //! Settings of hosts, templates and client accounts.
 //!
-//! Every text is checked as a whole: [`parse`] returns all faults at once,
-//! each with its place in the document and what would be right there.
+//! A document is validated completely: [`parse`] returns all faults at once, each with its path
+//! in the document and what is expected there.
 //!
 //! ```
 //! use clayplank_settings::{Template, parse};
 //!
 //! let faults = parse::<Template>(r#"{"deadline_ms": 0, "priority": "urgent"}"#).unwrap_err();
-//! let places: Vec<_> = faults.iter().map(|fault| fault.path.as_str()).collect();
-//! assert!(places.contains(&"/priority") && places.contains(&"/deadline_ms"));
+//! let paths: Vec<_> = faults.iter().map(|fault| fault.path.as_str()).collect();
+//! assert!(paths.contains(&"/priority") && paths.contains(&"/deadline_ms"));
 //! ```
 
 mod account;
--- a/clayplank-settings/tests/faults.rs
+++ b/clayplank-settings/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Every fault of a document is told at once, with its place.
+//! Tests that all faults of a document are reported at once, each with its path.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn good_settings_pass() {
+fn valid_settings_are_accepted() {
     assert!(parse::<HostSettings>(&host_settings().to_string()).is_ok());
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
+fn all_faults_are_reported_at_once() {
     let mut settings = host_settings();
     settings["roles"] = json!(["entry", "cook"]);
     settings["upstreams"][0]["memory_tokens"] = json!(0);
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn rules_between_fields_are_told_too() {
+fn rules_between_fields_are_checked_too() {
     let mut settings = host_settings();
     settings["host"] = json!("h9");
     settings["data_dir"] = Value::Null;
     settings["hosts"][0]["keeper"] = json!(false);
     settings["timing"] = json!({ "heartbeat_ms": 500, "election_ms": 600 });
-    let again = settings["upstreams"][0].clone();
-    settings["upstreams"].as_array_mut().unwrap().push(again);
+    let duplicate = settings["upstreams"][0].clone();
+    settings["upstreams"].as_array_mut().unwrap().push(duplicate);
     let faults = parse::<HostSettings>(&settings.to_string()).unwrap_err();
     insta::assert_json_snapshot!(faults);
 }
@@ -55,12 +55,12 @@
 #[case::unknown_field(r#"{ "deadline_ms": 1, "color": 1 }"#)]
 #[case::bad_priority(r#"{ "deadline_ms": 1, "priority": "urgent" }"#)]
 #[case::too_long(r#"{ "deadline_ms": 86400001 }"#)]
-fn wrong_templates_are_refused(#[case] text: &str) {
+fn invalid_templates_are_rejected(#[case] text: &str) {
     assert!(parse::<Template>(text).is_err());
 }
 
 #[test]
-fn an_account_s_own_values_go_before_the_template_s() {
+fn account_values_override_template_values() {
     let template: Template =
         parse(r#"{ "deadline_ms": 9, "priority": "low", "model": "a" }"#).unwrap();
     let account = json!({ "key_sha256": String::from(KeyDigest::of("k")), "template": "t", "deadline_ms": 5 });
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn a_key_is_known_by_its_digest_alone() {
+fn keys_are_compared_by_digest_and_not_printed() {
     let digest = KeyDigest::of("secret");
     assert!(digest.matches(&KeyDigest::of("secret")) && !digest.matches(&KeyDigest::of("Secret")));
-    assert_eq!(format!("{digest:?}"), "KeyDigest(..)", "nothing of it gets into logs");
+    assert_eq!(format!("{digest:?}"), "KeyDigest(..)", "the digest must not appear in logs");
 }
--- a/clayplank-settings/tests/seeded.rs
+++ b/clayplank-settings/tests/seeded.rs
@@ -1,4 +1,5 @@
-//! Settings of seeded hosts, with figures as a platform may write them.
+//! Tests of the settings of hosts with bootstrap addresses: fractional, missing and out-of-range
+//! numbers, as a platform may write them.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -25,25 +26,27 @@
     })
 }
 
-/// What becomes of a field with this value: the value that is in force, or the faults.
+/// Parses the settings with `field` set to `value`, and describes the resulting value or the
+/// faults.
 fn outcome(field: &str, value: &Value) -> String {
     let mut settings = settings();
-    let place = if field == "tolerated_losses" { "/tolerated_losses" } else { "/bounds" };
-    match place {
+    let path = if field == "tolerated_losses" { "/tolerated_losses" } else { "/bounds" };
+    match path {
         "/bounds" => settings["bounds"][field] = value.clone(),
         _ => settings[field] = value.clone(),
     }
     match parse::<SeededSettings>(&settings.to_string()) {
-        Ok(read) => {
-            let read = serde_json::to_value(&read).unwrap();
-            let held = if place == "/bounds" { &read["bounds"][field] } else { &read[field] };
-            format!("{value} is read as {held}")
+        Ok(parsed) => {
+            let parsed = serde_json::to_value(&parsed).unwrap();
+            let result = if path == "/bounds" { &parsed["bounds"][field] } else { &parsed[field] };
+            format!("{value} is read as {result}")
         }
         Err(faults) => format!("{value} is refused: {faults}"),
     }
 }
 
-/// A fraction, zero, a large value, nothing, and what is no number or out of range.
+/// Each number is tried with fractions, zero, a large value, `null`, a value out of range and a
+/// string.
 #[rstest]
 #[case::heartbeat_ms("heartbeat_ms")]
 #[case::apply_ms("apply_ms")]
@@ -53,7 +56,7 @@
 #[case::retry_extra("retry_extra")]
 #[case::retry_window_s("retry_window_s")]
 #[case::tolerated_losses("tolerated_losses")]
-fn each_figure_is_read_or_refused_with_its_place(#[case] field: &str) {
+fn each_number_is_accepted_or_rejected_with_its_path(#[case] field: &str) {
     let values = [
         json!(34.736_842_105_263_16),
         json!(1_200.5),
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn missing_bounds_have_their_usual_values() {
+fn missing_bounds_have_their_default_values() {
     let mut settings = settings();
     settings["bounds"] = json!({});
     settings.as_object_mut().unwrap().remove("tolerated_losses");
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn many_seeds_are_taken_and_none_is_a_fault() {
+fn many_seeds_are_accepted_and_an_empty_list_is_rejected() {
     let mut settings = settings();
     let many: Vec<_> = (1..1_000).map(|port| format!("127.0.0.1:{port}")).collect();
     settings["seeds"] = json!(many);
