--- a/clayplank-ctl/src/explain.rs
+++ b/clayplank-ctl/src/explain.rs
@@ -8,7 +8,7 @@
 use crate::log_line::LogLine;
 use crate::options::Subject;
 
-/// Messages that tell how a host regards the keepers, the plan and the settings.
+/// Messages about a host's view of the keepers, the plan and the settings.
 const HOST_STATE_MESSAGES: [&str; 7] = [
     "A plan is in force",
     "The plan is not confirmed",
@@ -22,10 +22,11 @@
 /// Message of a host that has received the current list of cordoned data centres.
 const CORDONS_MESSAGE: &str = "Cordons are in force";
 
-/// Message about a status that an upstream reported, or that was inferred as it did not respond.
+/// Message about a changed status of an upstream: reported by it, or inferred from missing
+/// heartbeats.
 const STATUS_MESSAGE: &str = "An upstream's standing changed";
 
-/// Fields that are left out of the events, as they do not help to understand them.
+/// Fields that are left out of the events, as they do not help to explain them.
 const OMITTED_FIELDS: [&str; 2] = ["level", "part"];
 
 /// One logged event of a subject, or the last known state of a host or upstream it depended on.
@@ -171,12 +172,12 @@
 /// the data centre, and at the end of the logs. They show whether requests were still sent there
 /// after a command.
 fn find_last_requests<'a>(lines: &'a [LogLine], data_centre: &str) -> Vec<&'a LogLine> {
-    let is_status_there = |line: &&LogLine| {
+    let is_status_of_data_centre = |line: &&LogLine| {
         line.message == STATUS_MESSAGE && line.has_value("data_centre", data_centre)
     };
     let upstreams: BTreeSet<_> = lines
         .iter()
-        .filter(is_status_there)
+        .filter(is_status_of_data_centre)
         .filter_map(|line| line.fields.get("upstream")?.as_str())
         .collect();
     let is_request = |line: &LogLine| {
--- a/clayplank-ctl/src/losses.rs
+++ b/clayplank-ctl/src/losses.rs
@@ -33,9 +33,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Cause {
-    /// It was rejected immediately, to be retried later.
+    /// It was rejected immediately; the caller was told to retry later.
     RefusedAtOnce,
-    /// It was rejected after a wait, to be retried later.
+    /// It was rejected after a wait; the caller was told to retry later.
     RefusedLate,
     /// It was a retry of a rejected request, and was rejected as well.
     RefusedAgain,
@@ -111,7 +111,7 @@
     pub(crate) losses: Vec<Loss>,
 }
 
-/// Adds up the losses of the requests whose end the lines tell.
+/// Adds up the losses of all requests that ended according to the log lines.
 pub(crate) fn summarize_losses(lines: &[LogLine]) -> LossReport {
     let mut report = LossReport::default();
     let mut total_weight = 0.0;
@@ -174,8 +174,8 @@
     Lost(Cause),
 }
 
-/// Returns the result of the request of a line. `None` if the line does not tell the end of a
-/// request, or the system is not accountable for it, as when the caller left.
+/// Returns the result of the request that a line is about. Returns `None` if the line is not about
+/// the end of a request, or if the system did not cause that end, as when the caller left.
 fn outcome_of(line: &LogLine, limits: &BTreeMap<&str, u64>) -> Option<Outcome> {
     match line.message.as_str() {
         "A stream ended" => match text(line, "outcome") {
--- a/clayplank-settings/src/check.rs
+++ b/clayplank-settings/src/check.rs
@@ -121,9 +121,9 @@
     faults
 }
 
-/// Adds a schema error. If none of several alternatives matched, adds instead the errors of the
-/// alternative whose constants and enum values all match, as that is the one the author meant; of
-/// several such, the one with the fewest errors.
+/// Adds a schema error. If a value matches none of several alternatives, adds the errors of the
+/// one that was most likely meant: among those whose constants and enum values all match, the one
+/// with the fewest errors.
 fn push_error(faults: &mut Faults, error: &ValidationError<'_>) {
     let path = error.instance_path().to_string();
     match error.kind() {
@@ -144,7 +144,7 @@
     }
 }
 
-/// The constant or enum values that would have been accepted, if the error is about those.
+/// Returns the accepted values if the error is about a constant or an enum value.
 fn expected_name(error: &ValidationError<'_>) -> Option<String> {
     match error.kind() {
         ValidationErrorKind::Constant { expected_value } => Some(expected_value.to_string()),
--- a/clayplank-upstream/src/answer.rs
+++ b/clayplank-upstream/src/answer.rs
@@ -15,7 +15,7 @@
 use hyper::body::Incoming;
 use serde::Deserialize;
 
-use crate::assemble::{Assembler, Chunk, Finish, OrderError};
+use crate::assemble::{Assembler, Chunk, ChunkOrderError, Finish};
 use crate::client::EdgeError;
 use crate::engine::EngineEdge;
 
@@ -50,7 +50,7 @@
     },
     /// The offsets of the chunks are not those of one answer.
     #[error("the chunks do not make one answer")]
-    Order(#[from] OrderError),
+    Order(#[from] ChunkOrderError),
     /// A chunk carries the id of another attempt.
     #[error("a chunk of attempt {found} came in the answer of {wanted}")]
     WrongAttempt {
@@ -142,7 +142,7 @@
             if let Some(chunk) = self.ready.pop_front() {
                 return Ok(Some(chunk));
             }
-            if self.assembler.is_whole() {
+            if self.assembler.is_complete() {
                 return Ok(None);
             }
             match clayplank_clock::timeout(self.options.silence, self.events.next()).await {
@@ -191,7 +191,7 @@
         let resumed =
             self.edge.resume(self.engine, self.attempt_id, offset, self.options.silence).await;
         let response = resumed.map_err(|source| RelayError::Broken { offset, source })?;
-        self.assembler.restart();
+        self.assembler.discard_buffered();
         self.events = read_events(response);
         Ok(())
     }
--- a/clayplank-upstream/src/assemble.rs
+++ b/clayplank-upstream/src/assemble.rs
@@ -31,7 +31,7 @@
 
 /// Error for chunks whose offsets are not those of one answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum OrderError {
+pub enum ChunkOrderError {
     /// A chunk lies after the final one.
     #[error("chunk {offset} lies after the end at {end}")]
     AfterEnd {
@@ -63,7 +63,7 @@
     }
 
     /// Whether all chunks, including the final one, were returned by [`Self::apply`].
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.end.is_some_and(|end| self.next_offset > end)
     }
 
@@ -71,26 +71,26 @@
     ///
     /// # Errors
     /// The offsets are not those of one answer.
-    pub fn apply(&mut self, chunk: Chunk) -> Result<Vec<Chunk>, OrderError> {
+    pub fn apply(&mut self, chunk: Chunk) -> Result<Vec<Chunk>, ChunkOrderError> {
         let offset = chunk.offset;
         if offset < self.next_offset {
             return Ok(Vec::new());
         }
         if let Some(end) = self.end.filter(|&end| offset > end) {
-            return Err(OrderError::AfterEnd { offset, end });
+            return Err(ChunkOrderError::AfterEnd { offset, end });
         }
         if chunk.finish.is_some() {
             self.end = Some(offset);
         }
         self.early.insert(offset, chunk);
         if self.early.len() > MAX_EARLY_CHUNKS {
-            return Err(OrderError::Missing { missing: self.next_offset });
+            return Err(ChunkOrderError::Missing { missing: self.next_offset });
         }
         Ok(self.take_ready())
     }
 
     /// Drops the buffered chunks. Called before a resumed stream delivers them again.
-    pub fn restart(&mut self) {
+    pub fn discard_buffered(&mut self) {
         self.early.clear();
         self.end = None;
     }
--- a/clayplank-upstream/src/client.rs
+++ b/clayplank-upstream/src/client.rs
@@ -29,7 +29,7 @@
         /// Address of the upstream.
         address: SocketAddr,
     },
-    /// The upstream rejected the request and reported that it started_at nothing.
+    /// The upstream rejected the request and reported that it started nothing.
     #[error("{address} refused, and began nothing")]
     NotBegun {
         /// Address of the upstream.
@@ -66,7 +66,7 @@
 }
 
 impl EdgeError {
-    /// Whether the upstream has certainly not started_at the request.
+    /// Whether the upstream has certainly not started the request.
     pub fn proves_not_begun(&self) -> bool {
         match self {
             Self::NotSent { .. } | Self::NotBegun { .. } | Self::Malformed { .. } => true,
--- a/clayplank-upstream/src/engine.rs
+++ b/clayplank-upstream/src/engine.rs
@@ -157,7 +157,7 @@
         &'a self,
         engine: SocketAddr,
         fence: u64,
-        order: &'a Order,
+        command: &'a Order,
     ) -> BoxFuture<'a, Result<(), EdgeError>>;
 }
 
@@ -179,13 +179,13 @@
         &self,
         engine: SocketAddr,
         path: &str,
-        part: CompletionRef<'_>,
+        completion: CompletionRef<'_>,
         timeout: Duration,
     ) -> Result<Response<Incoming>, EdgeError> {
-        let body =
-            serde_json::to_vec(&part).map_err(|_| EdgeError::Malformed { address: engine })?;
+        let body = serde_json::to_vec(&completion)
+            .map_err(|_| EdgeError::Malformed { address: engine })?;
         let request = request_to(Method::POST, engine, path)
-            .header(ATTEMPT_HEADER, part.attempt_id.to_string())
+            .header(ATTEMPT_HEADER, completion.attempt_id.to_string())
             .header(http::header::CONTENT_TYPE, "application/json");
         let response = self.client.send(engine, request, Bytes::from(body), timeout).await?;
         check_accepted(engine, response)
@@ -304,10 +304,10 @@
         &'a self,
         engine: SocketAddr,
         fence: u64,
-        order: &'a Order,
+        command: &'a Order,
     ) -> BoxFuture<'a, Result<(), EdgeError>> {
         Box::pin(async move {
-            let body = serde_json::to_vec(&FencedCommand { fence, order });
+            let body = serde_json::to_vec(&FencedCommand { fence, order: command });
             let body = body.map_err(|_| EdgeError::Malformed { address: engine })?;
             self.send_control(engine, Method::POST, "/orders", Bytes::from(body)).await
         })
--- a/clayplank-upstream/src/lib.rs
+++ b/clayplank-upstream/src/lib.rs
@@ -24,7 +24,7 @@
 mod service;
 
 pub use answer::{AnswerStream, RelayError, RelayOptions};
-pub use assemble::{Assembler, Chunk, Finish, OrderError};
+pub use assemble::{Assembler, Chunk, ChunkOrderError, Finish};
 pub use client::{EdgeError, HttpClient};
 pub use engine::{CacheEvent, CompletionRef, EngineEdge, HttpEngines, KvHandle, LoadReport, Order};
 pub use platform::{HostState, fetch_platform_hosts};
--- a/clayplank-upstream/tests/assemble.rs
+++ b/clayplank-upstream/tests/assemble.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use clayplank_upstream::{Assembler, Chunk, Finish, OrderError};
+use clayplank_upstream::{Assembler, Chunk, ChunkOrderError, Finish};
 use proptest::prelude::*;
 
 fn chunk(offset: u64, end: u64) -> Chunk {
@@ -26,7 +26,7 @@
         for offset in offsets {
             returned.extend(assembler.apply(chunk(offset, end)).unwrap().into_iter().map(|chunk| chunk.offset));
         }
-        prop_assert!(assembler.is_whole());
+        prop_assert!(assembler.is_complete());
         prop_assert_eq!(returned, (0..=end).collect::<Vec<_>>());
     }
 
@@ -37,7 +37,7 @@
         for offset in (0..=end).filter(|&offset| offset != missing) {
             assembler.apply(chunk(offset, end)).unwrap();
         }
-        prop_assert!(!assembler.is_whole());
+        prop_assert!(!assembler.is_complete());
         prop_assert_eq!(assembler.next_offset(), missing);
     }
 }
@@ -46,14 +46,14 @@
 fn a_chunk_after_the_end_is_an_error() {
     let mut assembler = Assembler::default();
     assembler.apply(chunk(1, 1)).unwrap();
-    assert_eq!(assembler.apply(chunk(5, 9)), Err(OrderError::AfterEnd { offset: 5, end: 1 }));
+    assert_eq!(assembler.apply(chunk(5, 9)), Err(ChunkOrderError::AfterEnd { offset: 5, end: 1 }));
 }
 
 #[test]
 fn a_lasting_gap_is_an_error() {
     let mut assembler = Assembler::default();
     let found = (1..200).find_map(|offset| assembler.apply(chunk(offset, 1_000)).err());
-    assert_eq!(found, Some(OrderError::Missing { missing: 0 }));
+    assert_eq!(found, Some(ChunkOrderError::Missing { missing: 0 }));
 }
 
 #[test]
@@ -61,9 +61,9 @@
     let mut assembler = Assembler::default();
     assembler.apply(chunk(0, 3)).unwrap();
     assembler.apply(chunk(2, 3)).unwrap();
-    assembler.restart();
+    assembler.discard_buffered();
     let resumed: Vec<_> =
         (1..=3).flat_map(|offset| assembler.apply(chunk(offset, 3)).unwrap()).collect();
     assert_eq!(resumed.iter().map(|chunk| chunk.offset).collect::<Vec<_>>(), vec![1, 2, 3]);
-    assert!(assembler.is_whole());
+    assert!(assembler.is_complete());
 }
