--- a/clayplankd/src/fleet.rs
+++ b/clayplankd/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The fleet of seeded hosts: its engines, where prompts are placed, and what hosts tell of them.
+//! State and tasks of hosts that find each other by bootstrap addresses: known engines, placement
+//! of prompts on them, and the reports that hosts exchange about engines and upstreams.
 
 pub(crate) mod engine_watch;
 pub(crate) mod fleet_engines;
@@ -9,5 +10,5 @@
 pub(crate) mod mirror;
 pub(crate) mod sightings;
 pub(crate) mod spread;
-pub(crate) mod unreached;
+pub(crate) mod unreachable;
 pub(crate) mod upstream_memory;
--- a/clayplankd/src/fleet/engine_watch.rs
+++ b/clayplankd/src/fleet/engine_watch.rs
@@ -1,5 +1,6 @@
-//! Asks engines whose first tokens are late how slow they are, and those that broke off or could
-//! not be reached whether they live.
+//! Requests load reports from suspect engines: those whose first tokens are late, to learn how slow
+//! they are, and those that broke off a response or refused a connection, to learn whether they are
+//! alive.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,60 +13,64 @@
 use crate::fleet::fleet_keeper::FleetKeeper;
 use crate::process::logging::part;
 
-/// Between two looks at what is late.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval between two checks for suspect engines.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for an engine to answer, with its connection, which is given up after 400 ms. One that is
-/// silent is found out by those that wait for it.
-const PATIENCE: Duration = Duration::from_millis(450);
+/// Time-out of a load report request, including its connection attempt, which alone times out after
+/// 400 ms. An engine that accepts connections but does not answer is detected by the requests that
+/// wait for it.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Asks engines that are suspect of being slow or dead; only a keeper that places prompts knows any.
+/// Queries engines suspected to be slow or dead. Only a keeper that places prompts has suspects.
 pub(crate) async fn run_engine_watch(fleet: Arc<FleetKeeper>) {
     loop {
-        clayplank_clock::sleep(LOOK_EVERY).await;
+        clayplank_clock::sleep(CHECK_INTERVAL).await;
         for (id, address) in fleet.take_suspects() {
             let fleet = Arc::clone(&fleet);
-            tokio::spawn(async move { ask(&fleet, &id, address).await });
+            tokio::spawn(async move { query(&fleet, &id, address).await });
         }
     }
 }
 
-async fn ask(fleet: &FleetKeeper, id: &UpstreamId, address: SocketAddr) {
-    match ask_report(fleet, address).await {
+async fn query(fleet: &FleetKeeper, id: &UpstreamId, address: SocketAddr) {
+    match request_report(fleet, address).await {
         Ok(report) => {
             log::info!(target: part::KEEPER,
                 upstream = id.as_str(), pace = report.pace, running = report.running,
                 waiting = report.waiting, used_tokens = report.used_tokens;
-                "An engine told its load");
+                "An engine reported its load");
             fleet.note_report(id, &report);
         }
         Err(error) => {
-            log::info!(target: part::KEEPER, upstream = id.as_str(), cause:% = error; "An engine told nothing of itself");
-            if error.is_unreached() {
-                fleet.note_unreached(id);
+            log::info!(target: part::KEEPER, upstream = id.as_str(), cause:% = error; "An engine did not answer a load report request");
+            if error.is_connect_failure() {
+                fleet.record_unreachable(id);
             }
         }
     }
 }
 
-/// Why an engine's load is not known.
+/// Failure of a load report request.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
     #[error(transparent)]
     Call(#[from] CallError),
-    #[error("its report cannot be read: {0}")]
+    #[error("cannot parse the load report: {0}")]
     Unreadable(#[from] serde_json::Error),
 }
 
 impl ReportError {
-    /// Whether no connection could be had.
-    fn is_unreached(&self) -> bool {
+    /// Whether no connection to the engine could be established.
+    fn is_connect_failure(&self) -> bool {
         matches!(self, Self::Call(CallError::Exchange(ExchangeError::Connect(_))))
     }
 }
 
-async fn ask_report(fleet: &FleetKeeper, address: SocketAddr) -> Result<EngineReport, ReportError> {
+async fn request_report(
+    fleet: &FleetKeeper,
+    address: SocketAddr,
+) -> Result<EngineReport, ReportError> {
     let contract = fleet.contract();
-    let (_, body) = call_whole(address, contract.report_request(), PATIENCE).await?;
+    let (_, body) = call_whole(address, contract.report_request(), REPORT_TIMEOUT).await?;
     Ok(contract.scan_report(&body)?)
 }
--- a/clayplankd/src/fleet/fleet_engines.rs
+++ b/clayplankd/src/fleet/fleet_engines.rs
@@ -1,4 +1,4 @@
-//! Engines of a fleet, as the plan and the registered upstreams have them.
+//! Updates the engines of a [`Fleet`] from the serving plan and the registered upstreams.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -9,16 +9,18 @@
 
 use crate::process::clock::fleet_now_ms;
 
-/// Sets the engines of a fleet from the plan and all registered upstreams.
+/// Sets the engines of a fleet from the plan and all registered upstreams, and removes those that
+/// are not registered.
 pub(crate) fn set_engines(fleet: &mut Fleet, plan: &PlanIndex, records: &[Record]) {
-    change_engines(fleet, plan, records);
-    // A set: with thousands of upstreams, a search through the list for each takes seconds.
+    update_engines(fleet, plan, records);
+    // A set, because with thousands of upstreams a linear search for each engine takes seconds.
     let known: HashSet<&UpstreamId> = records.iter().map(|record| &record.heartbeat.id).collect();
     fleet.retain_engines(|id| known.contains(id));
 }
 
-/// Changes the engines of a fleet whose records are new or have changed, and leaves the others.
-pub(crate) fn change_engines(fleet: &mut Fleet, plan: &PlanIndex, records: &[Record]) {
+/// Adds or updates the engines in `records`, which are new or have changed. Other engines are
+/// unaffected.
+pub(crate) fn update_engines(fleet: &mut Fleet, plan: &PlanIndex, records: &[Record]) {
     for record in records {
         let heartbeat = &record.heartbeat;
         let Some(model) = plan.engine_model(&heartbeat.service) else {
@@ -32,14 +34,15 @@
         fleet.set_engine(heartbeat.id.clone(), spec, heartbeat.standing == Standing::Ready);
         fleet.set_silent(&heartbeat.id, record.is_silent);
         if let Some(start) = plan.cold_start(&heartbeat.service) {
-            let left_ms = heartbeat.cold_left_ms as f64;
-            fleet.set_cold(fleet_now_ms(), &heartbeat.id, left_ms, start.requests_per_s);
+            let remaining_ms = heartbeat.cold_left_ms as f64;
+            fleet.set_cold(fleet_now_ms(), &heartbeat.id, remaining_ms, start.requests_per_s);
         }
     }
 }
 
-/// Sends nothing new to the engines of some data centres. Those that get something again pass for cold
-/// as long as after a start: they may have turned cold meanwhile, and their next heartbeat comes later.
+/// Places nothing new on the engines of cordoned data centres. Engines whose cordon was lifted
+/// count as cold for as long as after a start: they may have become cold meanwhile, and their next
+/// heartbeat, which would say so, comes later.
 pub(crate) fn set_cordoned(fleet: &mut Fleet, plan: &PlanIndex, cordoned: &BTreeSet<DataCentre>) {
     for id in fleet.set_cordoned(cordoned.clone()) {
         let start = fleet.pool_of(&id).and_then(|pool| plan.cold_start(pool));
--- a/clayplankd/src/fleet/fleet_keeper.rs
+++ b/clayplankd/src/fleet/fleet_keeper.rs
@@ -1,4 +1,7 @@
-//! A keeper's soft state: registered upstreams, and the load of the engines.
+//! Soft state of a keeper: registered upstreams, their rate limits, and the load of the engines.
+//!
+//! It is rebuilt from heartbeats and reports after a restart, unlike the replicated state of the
+//! keepers.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -17,9 +20,9 @@
 use tokio::sync::watch;
 
 use crate::doors::contract::{EngineReport, SharedContract};
-use crate::fleet::fleet_engines::{change_engines, set_cordoned, set_engines};
+use crate::fleet::fleet_engines::{set_cordoned, set_engines, update_engines};
 use crate::fleet::host_counts::HostCounts;
-use crate::fleet::mirror::{Mirror, News as MirrorNews};
+use crate::fleet::mirror::{PlacementMirror, PlacementUpdates};
 use crate::follow::news_pages::NewsPages;
 use crate::follow::plan_edits::PlanEdits;
 use crate::follow::relay::Renewals;
@@ -29,31 +32,34 @@
 use crate::process::lock::lock;
 use crate::process::logging::part;
 
-/// Heartbeats that may be missing before an upstream counts as silent.
-const MISSED_HEARTBEATS: u64 = 3;
+/// Number of missing heartbeats after which an upstream counts as unresponsive.
+const MAX_MISSED_HEARTBEATS: u64 = 3;
 
-/// What a late heartbeat may be late by, in ms, beside those that are missing.
-const LATE_HEARTBEAT_MS: u64 = 1_500;
+/// Allowance for a delayed heartbeat, in ms, in addition to the missing ones.
+const MAX_HEARTBEAT_DELAY_MS: u64 = 1_500;
 
-/// Hosts that are asked between two looks what they know of upstreams.
-const MAX_ASKED_HOSTS: u64 = 4;
+/// Maximum number of hosts that are queried for their known upstreams between two checks of record
+/// ages.
+const MAX_QUERIED_HOSTS: u64 = 4;
 
-/// Between two looks at the age of records, in ms.
-const AGE_EVERY_MS: u64 = 200;
+/// Interval between two checks of record ages, in ms.
+const CHECK_INTERVAL_MS: u64 = 200;
 
-/// What a keeper tells a follower of upstreams.
+/// Update about upstreams for one follower.
 #[derive(Debug, Default)]
 pub(crate) struct News {
-    /// What the follower lacks, packed.
+    /// Packed [`Changes`] that the follower does not have yet.
     pub(crate) changes: Vec<u8>,
-    /// Whether it has to tell first what it knows.
+    /// Whether the follower must first send a digest of the upstreams it knows.
     pub(crate) asks_digest: bool,
-    /// Where it may know more.
+    /// Digest buckets in which the follower may know more than this keeper; it is to send its
+    /// records.
     pub(crate) asks_known: Buckets,
 }
 
 impl News {
-    /// None for now: a follower that knows something tells what it is when it asks again.
+    /// An update without changes. A follower that already knows upstreams is told to send a digest
+    /// with its next request.
     pub(crate) fn later(cursor: Cursor) -> Result<Self, PackError> {
         let changes = pack(&Changes { cursor, records: Vec::new() })?;
         Ok(Self { changes, asks_digest: cursor.life != 0, ..Self::default() })
@@ -66,25 +72,26 @@
     keepers: KeeperClient,
     heartbeat_ms: u64,
     started_ms: u64,
-    /// Whether an entry host follows that knows upstreams from another keeper's registry.
-    is_told_more: AtomicBool,
-    /// Whether an entry host has told which upstreams it knows.
-    has_learned: AtomicBool,
-    /// Hosts that were asked since the last look at the age of records.
-    asked_hosts: AtomicU64,
+    /// Whether a follower knows upstreams, learned from another keeper, that are missing here.
+    has_better_informed_follower: AtomicBool,
+    /// Whether an entry host has sent the upstreams that it knows.
+    has_received_follower_records: AtomicBool,
+    /// Number of hosts queried since the last check of record ages.
+    queried_hosts: AtomicU64,
     registry: Mutex<Registry>,
-    /// Whether the registry holds news that followers were not told.
-    has_news: AtomicBool,
-    news_pages: Mutex<NewsPages>,
+    /// Whether the registry has changes that followers were not notified of.
+    has_unsent_updates: AtomicBool,
+    update_pages: Mutex<NewsPages>,
     limits: Mutex<Limits>,
-    /// Turns at upstreams without engines that name a limit.
-    turns: Mutex<HashMap<UpstreamId, RateLimit>>,
-    /// The registry's newest change.
+    /// Send permits for rate-limited upstreams of plain services, which the fleet does not place
+    /// on.
+    permits: Mutex<HashMap<UpstreamId, RateLimit>>,
+    /// Cursor of the registry's newest change.
     changed: watch::Sender<Cursor>,
     fleet: Mutex<Fleet>,
-    mirror: Mutex<Mirror>,
-    /// Up to which change of the registry the fleet has the engines.
-    engines_at: Mutex<Cursor>,
+    mirror: Mutex<PlacementMirror>,
+    /// Cursor of the last registry change that was applied to the fleet.
+    engines_cursor: Mutex<Cursor>,
     plan: ArcSwapOption<PlanIndex>,
     edits: Mutex<PlanEdits>,
     entry_hosts: Mutex<HostCounts>,
@@ -97,25 +104,25 @@
             keepers,
             heartbeat_ms,
             started_ms: now_ms(),
-            is_told_more: AtomicBool::new(false),
-            has_learned: AtomicBool::new(false),
-            asked_hosts: AtomicU64::new(0),
+            has_better_informed_follower: AtomicBool::new(false),
+            has_received_follower_records: AtomicBool::new(false),
+            queried_hosts: AtomicU64::new(0),
             registry: Mutex::new(Registry::new(rand::random())),
-            has_news: AtomicBool::new(false),
-            news_pages: Mutex::default(),
+            has_unsent_updates: AtomicBool::new(false),
+            update_pages: Mutex::default(),
             limits: Mutex::new(Limits::new(rand::random())),
-            turns: Mutex::default(),
+            permits: Mutex::default(),
             changed: watch::Sender::new(Cursor::default()),
             fleet: Mutex::default(),
             mirror: Mutex::default(),
-            engines_at: Mutex::default(),
+            engines_cursor: Mutex::default(),
             plan: ArcSwapOption::empty(),
             edits: Mutex::default(),
             entry_hosts: Mutex::default(),
         }
     }
 
-    /// Takes heartbeats in, from upstreams or from other keepers.
+    /// Applies heartbeats, from upstreams or from other keepers.
     pub(crate) fn apply(&self, heartbeats: &[Heartbeat]) {
         self.note_heartbeats(heartbeats);
         let now_ms = now_ms();
@@ -123,19 +130,20 @@
         let mut is_urgent = false;
         for heartbeat in heartbeats {
             if registry.apply(now_ms, heartbeat) {
-                // Who takes no new work must get none at once; who is new may wait for others.
+                // An upstream that accepts no new work must get none from now on. A new upstream
+                // can wait for the next batch.
                 is_urgent |= heartbeat.standing != Standing::Ready;
-                self.has_news.store(true, Ordering::SeqCst);
-                log_standing(heartbeat);
+                self.has_unsent_updates.store(true, Ordering::SeqCst);
+                log_status(heartbeat);
             }
         }
         drop(registry);
         if is_urgent {
-            self.tell_news();
+            self.notify_followers();
         }
     }
 
-    /// Engines that could not be reached are asked again once they are heard of.
+    /// Records the heartbeats in the fleet, which then probes unreachable engines again.
     fn note_heartbeats(&self, heartbeats: &[Heartbeat]) {
         let mut fleet = lock(&self.fleet);
         for heartbeat in heartbeats {
@@ -143,14 +151,14 @@
         }
     }
 
-    /// Takes in the upstreams that this keeper knew before it ended.
+    /// Restores the upstreams that this keeper knew before its restart.
     pub(crate) fn remember(&self, known: &[Heartbeat]) {
         lock(&self.registry).remember(now_ms(), known);
-        self.tell_news();
+        self.notify_followers();
     }
 
-    /// The upstreams that are worth remembering, and the change up to which they count;
-    /// `None` if nothing has changed since then.
+    /// Returns the upstreams to save, without the departed ones, and the cursor of the newest
+    /// change they include. `None` if nothing has changed since the cursor `saved`.
     pub(crate) fn upstreams_after(&self, saved: Cursor) -> Option<(Cursor, Vec<Heartbeat>)> {
         let registry = lock(&self.registry);
         let cursor = registry.cursor();
@@ -162,33 +170,33 @@
         Some((cursor, known.cloned().collect()))
     }
 
-    /// Takes in what an entry host knows, which it tells to a keeper that knows less.
+    /// Applies the upstreams that an entry host sent because this keeper knows fewer.
     pub(crate) fn learn(&self, known: &[Heartbeat]) {
         if !known.is_empty() {
             self.apply(known);
-            self.has_learned.store(true, Ordering::SeqCst);
+            self.has_received_follower_records.store(true, Ordering::SeqCst);
         }
     }
 
-    /// Notes that an upstream left; returns what the other keepers have to know.
-    pub(crate) fn leave(&self, gone: &Heartbeat) -> Heartbeat {
-        let gone = lock(&self.registry).leave(now_ms(), gone);
-        log_standing(&gone);
-        self.tell_news();
-        gone
+    /// Records that an upstream has departed. Returns the heartbeat to relay to the other keepers.
+    pub(crate) fn leave(&self, departed: &Heartbeat) -> Heartbeat {
+        let departed = lock(&self.registry).leave(now_ms(), departed);
+        log_status(&departed);
+        self.notify_followers();
+        departed
     }
 
-    /// Tells all followers what is new, in one answer for each.
-    fn tell_news(&self) {
-        self.has_news.store(false, Ordering::SeqCst);
-        self.change_engines();
+    /// Notifies all followers of the unsent changes, which each of them gets in one response.
+    fn notify_followers(&self) {
+        self.has_unsent_updates.store(false, Ordering::SeqCst);
+        self.update_engines();
         let cursor = lock(&self.registry).cursor();
         self.changed.send_replace(cursor);
     }
 
-    /// Sets all engines anew.
+    /// Replaces all engines of the fleet, from the plan and the whole registry.
     fn set_engines(&self) {
-        *lock(&self.engines_at) = Cursor::default();
+        *lock(&self.engines_cursor) = Cursor::default();
         let Some(plan) = self.plan.load_full() else {
             return;
         };
@@ -197,34 +205,34 @@
             (registry.records().cloned().collect::<Vec<_>>(), registry.cursor())
         };
         set_engines(&mut lock(&self.fleet), &plan, &records);
-        self.set_named_limits();
-        *lock(&self.engines_at) = cursor;
+        self.restore_named_limits();
+        *lock(&self.engines_cursor) = cursor;
     }
 
-    /// Changes the engines of which there is news: a look costs by what has changed, and not by
-    /// how many upstreams there are.
-    fn change_engines(&self) {
+    /// Updates the engines whose records have changed. The cost grows with the number of changes,
+    /// not with the number of upstreams.
+    fn update_engines(&self) {
         let Some(plan) = self.plan.load_full() else {
             return;
         };
-        let mut engines_at = lock(&self.engines_at);
+        let mut engines_cursor = lock(&self.engines_cursor);
         loop {
             let (changes, newest) = {
                 let registry = lock(&self.registry);
-                (registry.changes_after(*engines_at), registry.cursor())
+                (registry.changes_after(*engines_cursor), registry.cursor())
             };
-            change_engines(&mut lock(&self.fleet), &plan, &changes.records);
-            *engines_at = changes.cursor;
+            update_engines(&mut lock(&self.fleet), &plan, &changes.records);
+            *engines_cursor = changes.cursor;
             if changes.cursor == newest {
                 return;
             }
         }
     }
 
-    /// Takes a plan in, unless it is the one that is held.
+    /// Applies a plan, unless its version is the current one.
     fn set_plan(&self, document: &PlanDocument) {
-        let held = self.plan.load().as_ref().map(|plan| plan.plan().version);
-        if held == Some(document.version) {
+        let current = self.plan.load().as_ref().map(|plan| plan.plan().version);
+        if current == Some(document.version) {
             return;
         }
         lock(&self.edits).note(document);
@@ -234,41 +242,42 @@
                 self.set_engines();
             }
             Err(faults) => {
-                log::error!(target: part::KEEPER, "Plan {} cannot be read: {faults}", document.version);
+                log::error!(target: part::KEEPER, "Cannot parse plan {}: {faults}", document.version);
             }
         }
     }
 
-    /// Takes in which data centres are to get nothing.
+    /// Applies the set of cordoned data centres, which get no new placements.
     fn set_cordoned(&self, cordoned: &BTreeSet<DataCentre>) {
         if let Some(plan) = self.plan.load_full() {
             set_cordoned(&mut lock(&self.fleet), &plan, cordoned);
         }
     }
 
-    /// Marks upstreams that are silent for this long, drops what was lost, and tells what is
-    /// new: one answer for each follower and look, not one for each upstream that registers.
-    fn age(&self, silent_ms: u64) {
-        self.asked_hosts.store(0, Ordering::SeqCst);
+    /// Marks upstreams without a heartbeat for `unresponsive_after_ms` as unresponsive, removes old records and
+    /// placements of failed hosts, and notifies followers of changes. Each follower thus gets one
+    /// response per check, not one per upstream that registers.
+    fn expire_records(&self, unresponsive_after_ms: u64) {
+        self.queried_hosts.store(0, Ordering::SeqCst);
         lock(&self.fleet).drop_lost(fleet_now_ms());
-        let (has_aged, has_forgotten) = {
+        let (has_changed, has_removed) = {
             let now_ms = now_ms();
             let mut registry = lock(&self.registry);
             let before = registry.cursor();
-            let has_forgotten = registry.age(now_ms, silent_ms);
+            let has_removed = registry.age(now_ms, unresponsive_after_ms);
             registry.doubt_remembered(now_ms, 2 * self.heartbeat_ms);
-            (registry.cursor() != before, has_forgotten)
+            (registry.cursor() != before, has_removed)
         };
-        if has_forgotten {
-            self.forget_limits();
+        if has_removed {
+            self.remove_unknown_limits();
             self.set_engines();
         }
-        if has_aged || self.has_news.load(Ordering::SeqCst) {
-            self.tell_news();
+        if has_changed || self.has_unsent_updates.load(Ordering::SeqCst) {
+            self.notify_followers();
         }
     }
 
-    /// Chooses engines; `None` while too little is known of them.
+    /// Places a prompt on engines. `None` while there is no plan or too few upstreams are known.
     pub(crate) fn place(&self, ask: &Ask) -> Option<Placed> {
         if self.lacks_upstreams() || self.plan.load().is_none() {
             return None;
@@ -276,54 +285,55 @@
         let mut fleet = lock(&self.fleet);
         let placed = fleet.place(fleet_now_ms(), ask);
         if let Placed::At(assignment) = &placed {
-            lock(&self.mirror).note_placed(ask, assignment);
+            lock(&self.mirror).record_placement(ask, assignment);
         }
         if let Placed::Full { retry_after_ms } = placed {
             let since_ms = fleet.since_first_try_ms(ask);
-            log_refused(ask, since_ms, retry_after_ms, &fleet.outlook(fleet_now_ms(), &ask.pool));
+            log_rejection(ask, since_ms, retry_after_ms, &fleet.outlook(fleet_now_ms(), &ask.pool));
         }
         Some(placed)
     }
 
-    /// Whether hosts know upstreams that this keeper has not heard of: it would send all to a
-    /// few. Where no host knows more, as after a loss of power, this keeper chooses from the
-    /// first moment on; hosts that choose alone would all take the few engines heard first.
+    /// Whether this keeper started recently and followers know upstreams that it has not received
+    /// yet. It would then send all prompts to the few engines it knows. Where no follower knows
+    /// more, as after a power failure, this keeper places from its start on: hosts that place by
+    /// themselves would all choose the few engines heard first.
     fn lacks_upstreams(&self) -> bool {
-        let is_young = now_ms() < self.started_ms + 2 * self.heartbeat_ms;
-        is_young
-            && self.is_told_more.load(Ordering::SeqCst)
-            && !self.has_learned.load(Ordering::SeqCst)
+        let is_recently_started = now_ms() < self.started_ms + 2 * self.heartbeat_ms;
+        is_recently_started
+            && self.has_better_informed_follower.load(Ordering::SeqCst)
+            && !self.has_received_follower_records.load(Ordering::SeqCst)
     }
 
-    /// Takes in what became of placements.
+    /// Records events of placements.
     pub(crate) fn note(&self, events: &[(PlacementId, Event)]) {
-        lock(&self.mirror).note(events);
+        lock(&self.mirror).record_events(events);
         let mut fleet = lock(&self.fleet);
         for (id, event) in events {
             fleet.note(fleet_now_ms(), *id, *event);
         }
     }
 
-    /// Takes in what upstreams said of their limits; returns it by the clock of this host.
-    pub(crate) fn note_limits(&self, told: Vec<AgedLimit>) -> Vec<ObservedLimit> {
+    /// Records the limits that upstreams named. Returns them with timestamps of the local clock.
+    pub(crate) fn note_limits(&self, limits: Vec<AgedLimit>) -> Vec<ObservedLimit> {
         let now_ms = now_ms();
-        let told: Vec<_> = told.into_iter().map(|limit| limit.into_observed(now_ms)).collect();
-        for observed in &told {
+        let named: Vec<_> = limits.into_iter().map(|limit| limit.into_observed(now_ms)).collect();
+        for observed in &named {
             if lock(&self.limits).learn(observed) == Noted::Changed {
                 log_limit(observed);
                 lock(&self.fleet).set_named_limit(&observed.upstream, observed.requests_per_s);
             }
         }
-        told
+        named
     }
 
-    /// What a follower lacks of the limits that upstreams name.
+    /// Limits of upstreams that changed after `cursor`, for a follower.
     pub(crate) fn limit_changes(&self, cursor: Cursor) -> LimitChanges {
         lock(&self.limits).changes_after(now_ms(), cursor)
     }
 
-    /// Sets the limits of engines that were added anew.
-    fn set_named_limits(&self) {
+    /// Applies the known limits again after all engines were replaced.
+    fn restore_named_limits(&self) {
         let limits = lock(&self.limits);
         let mut fleet = lock(&self.fleet);
         for (id, per_s) in limits.limited() {
@@ -331,56 +341,57 @@
         }
     }
 
-    /// Takes a turn at an upstream for a request that waits no longer than `patience_ms`. `Ok` with the time
-    /// until its turn, in ms.
+    /// Takes a permit to send to a rate-limited upstream, for a request that waits at most
+    /// `max_wait_ms`. Returns the time until the permit is valid, in ms.
     ///
     /// # Errors
-    /// The time until there is a turn, in ms.
-    pub(crate) fn take_turn(&self, limit: AgedLimit, patience_ms: u64) -> Result<u64, u64> {
+    /// No permit becomes available in time: the time until there is one, in ms.
+    pub(crate) fn take_turn(&self, limit: AgedLimit, max_wait_ms: u64) -> Result<u64, u64> {
         let id = limit.upstream.clone();
-        // The host may have heard of the limit just now.
+        // The host that requests the permit may have learned of the limit before this keeper.
         self.note_limits(vec![limit]);
         let limit_per_s = lock(&self.limits).limit_per_s(&id);
-        let mut turns = lock(&self.turns);
-        let turn = turns.entry(id).or_default();
-        turn.set_named_limit(limit_per_s);
-        let taken = turn.take_turn(fleet_now_ms(), patience_ms as f64);
+        let mut permits = lock(&self.permits);
+        let permit = permits.entry(id).or_default();
+        permit.set_named_limit(limit_per_s);
+        let taken = permit.take_turn(fleet_now_ms(), max_wait_ms as f64);
         taken.map(|wait_ms| wait_ms.ceil() as u64).map_err(|wait_ms| wait_ms.ceil() as u64)
     }
 
-    /// Forgets limits of upstreams that this keeper does not know any more.
-    fn forget_limits(&self) {
+    /// Removes limits of upstreams that are no longer registered.
+    fn remove_unknown_limits(&self) {
         let registry = lock(&self.registry);
         let is_known = |id: &UpstreamId| registry.record(id).is_some();
         lock(&self.limits).forget(now_ms(), is_known);
-        lock(&self.turns).retain(|id, _| is_known(id));
+        lock(&self.permits).retain(|id, _| is_known(id));
     }
 
-    /// Takes over placements that another keeper made.
+    /// Adds placements that another keeper made.
     pub(crate) fn take_over(&self, placed: Vec<Renewed>) {
         lock(&self.fleet).take_over(fleet_now_ms(), &placed);
         lock(&self.mirror).take_over(placed);
     }
 
-    /// Takes out the placements that are known here, for a keeper that leads now.
-    pub(crate) fn hand_over(&self) -> MirrorNews {
+    /// Removes and returns the placements known here, for the new leader.
+    pub(crate) fn take_placements(&self) -> PlacementUpdates {
         lock(&self.fleet).forget_placements();
-        lock(&self.mirror).take_held()
+        lock(&self.mirror).take_all()
     }
 
-    /// Forgets placements of which nothing was told lately, on a keeper that does not lead.
-    pub(crate) fn forget_stale(&self) {
-        if !lock(&self.mirror).is_fresh() {
-            self.hand_over();
+    /// Removes all placements if no update arrived recently. Called on keepers that do not lead.
+    pub(crate) fn clear_stale_placements(&self) {
+        if !lock(&self.mirror).is_current() {
+            self.take_placements();
         }
     }
 
-    /// Placements and events for the keeper that may have to place next.
-    pub(crate) fn mirror(&self) -> &Mutex<Mirror> {
+    /// Placements and events to replicate to the keeper that may have to place prompts next.
+    pub(crate) fn mirror(&self) -> &Mutex<PlacementMirror> {
         &self.mirror
     }
 
-    /// Engines that should be asked of themselves, and where they are.
+    /// Removes and returns the engines that should be queried for a load report, with their
+    /// addresses.
     pub(crate) fn take_suspects(&self) -> Vec<(UpstreamId, SocketAddr)> {
         let suspects = lock(&self.fleet).take_suspects(fleet_now_ms());
         let registry = lock(&self.registry);
@@ -388,20 +399,20 @@
         suspects.into_iter().filter_map(|id| Some((id.clone(), address(&id)?))).collect()
     }
 
-    /// Takes in what an engine told of itself, unless another life of it answered.
+    /// Records the load report of an engine, unless a different incarnation of the engine answered.
     pub(crate) fn note_report(&self, id: &UpstreamId, report: &EngineReport) {
         if !lock(&self.registry).confirm_life(now_ms(), id, report.born_ms) {
             log::info!(target: part::KEEPER,
                 upstream = id.as_str(), answered_born_ms = report.born_ms;
-                "Another life of an upstream answered");
-            self.tell_news();
+                "A different incarnation of an upstream answered");
+            self.notify_followers();
             return;
         }
         lock(&self.fleet).note_pace(fleet_now_ms(), id, report.pace);
     }
 
-    /// Notes that no connection to an engine could be had.
-    pub(crate) fn note_unreached(&self, id: &UpstreamId) {
+    /// Records that a connection to an engine could not be established.
+    pub(crate) fn record_unreachable(&self, id: &UpstreamId) {
         lock(&self.fleet).note_unreached(fleet_now_ms(), id);
     }
 
@@ -413,16 +424,17 @@
         &self.keepers
     }
 
-    /// The registry's newest change, and those to come.
+    /// Subscribes to the cursor of the registry's newest change.
     pub(crate) fn subscribe(&self) -> watch::Receiver<Cursor> {
         self.changed.subscribe()
     }
 
-    /// What a follower lacks that knows a registry up to a cursor. One that followed another
-    /// registry tells a digest of what it knows, and only what differs crosses, both ways.
+    /// Returns the update for a follower that knows a registry up to `cursor`. A follower of
+    /// another keeper's registry sends a digest of what it knows, and only differences are
+    /// transferred, in both directions.
     ///
     /// # Errors
-    /// The news cannot be packed.
+    /// Packing the update failed.
     pub(crate) fn news_for(
         &self,
         cursor: Cursor,
@@ -432,7 +444,7 @@
         let newest = registry.cursor();
         if cursor.life == 0 || cursor.life == newest.life {
             let read = || registry.changes_after(cursor);
-            let changes = lock(&self.news_pages).packed(newest, cursor, read)?;
+            let changes = lock(&self.update_pages).packed(newest, cursor, read)?;
             return Ok(News { changes, ..News::default() });
         }
         let Some(digest) = digest else {
@@ -440,41 +452,45 @@
         };
         let (changes, buckets) = registry.changes_from(digest);
         let changes = pack(&changes)?;
-        if buckets.is_empty() || !self.may_ask_host() {
+        if buckets.is_empty() || !self.may_query_host() {
             return Ok(News { changes, ..News::default() });
         }
-        self.is_told_more.store(true, Ordering::SeqCst);
+        self.has_better_informed_follower.store(true, Ordering::SeqCst);
         Ok(News { changes, asks_known: buckets, ..News::default() })
     }
 
-    /// Whether one more host should tell what it knows. Hosts know nearly the same, and heartbeats
-    /// bring the rest: asking all of them would bring 295 times the same records.
-    fn may_ask_host(&self) -> bool {
-        let asked = self.asked_hosts.fetch_add(1, Ordering::SeqCst);
-        asked < MAX_ASKED_HOSTS
+    /// Whether one more host should be queried for the upstreams it knows. Hosts know nearly the
+    /// same upstreams, and heartbeats supply the rest: with 295 hosts, querying all of them would
+    /// transfer the same records 295 times.
+    fn may_query_host(&self) -> bool {
+        let queried = self.queried_hosts.fetch_add(1, Ordering::SeqCst);
+        queried < MAX_QUERIED_HOSTS
     }
 
-    /// Takes over the placements that lives of entry hosts run.
+    /// Replaces the placements of each entry host incarnation in `renewals` by those it still runs.
     pub(crate) fn renew_all(&self, renewals: &Renewals) {
         let mut fleet = lock(&self.fleet);
-        for (life, renewed) in renewals {
-            fleet.renew(fleet_now_ms(), *life, renewed);
+        for (incarnation, renewed) in renewals {
+            fleet.renew(fleet_now_ms(), *incarnation, renewed);
         }
     }
 
-    /// What is known of upstreams, in a few numbers.
+    /// Digest of the registry: a few numbers that followers and keepers compare to find
+    /// differences.
     pub(crate) fn digest(&self) -> Digest {
         lock(&self.registry).digest()
     }
 
-    /// The heartbeats of upstreams in some buckets of the digest.
+    /// Newest heartbeats of the upstreams in the given buckets of the digest.
     pub(crate) fn heartbeats_in(&self, buckets: Buckets) -> Vec<Heartbeat> {
         let registry = lock(&self.registry);
         let heartbeats = registry.records().map(|record| &record.heartbeat);
         heartbeats.filter(|one| buckets.contains(&one.id)).cloned().collect()
     }
 
-    /// Takes the plan out of a delta, packed: an edit, or all of it. Empty if there is none.
+    /// Takes the plan out of `delta` and returns it packed: as an edit of the version `plan_version`,
+    /// which the follower has, or complete if that version is no longer known here. Returns an empty
+    /// vector and leaves `delta` unchanged if it has no plan or its plan is not the newest.
     pub(crate) fn take_edit(&self, delta: &mut Delta, plan_version: u64) -> Vec<u8> {
         let Some(document) = &delta.plan else {
             return Vec::new();
@@ -488,32 +504,32 @@
         edit.unwrap_or_default()
     }
 
-    /// Notes that an entry host follows this keeper now.
+    /// Records a follow request of an entry host.
     pub(crate) fn note_entry_host(&self, host: HostId) {
-        lock(&self.entry_hosts).note_own(now_ms(), host);
+        lock(&self.entry_hosts).record_local(now_ms(), host);
     }
 
-    /// Notes how many follow another keeper.
+    /// Records the number of entry hosts that follow another keeper, as that keeper reported it.
     pub(crate) fn note_relayed_hosts(&self, keeper: HostId, hosts: u64) {
-        lock(&self.entry_hosts).note_relayed(now_ms(), keeper, hosts);
+        lock(&self.entry_hosts).record_peer(now_ms(), keeper, hosts);
     }
 
-    /// Takes in how many hosts there are, as the leader told.
+    /// Records the total number of entry hosts that the leader reported.
     pub(crate) fn set_told_hosts(&self, hosts: u64) {
-        lock(&self.entry_hosts).note_told(now_ms(), hosts);
+        lock(&self.entry_hosts).record_leader_count(now_ms(), hosts);
     }
 
-    /// How many entry hosts follow this keeper.
+    /// Number of entry hosts that follow this keeper.
     pub(crate) fn count_own_hosts(&self) -> u64 {
-        lock(&self.entry_hosts).own(now_ms())
+        lock(&self.entry_hosts).count_local(now_ms())
     }
 
-    /// How many entry hosts follow any keeper, as far as it is known here.
+    /// Number of entry hosts that follow any keeper, as far as this keeper knows.
     pub(crate) fn count_entry_hosts(&self) -> u64 {
-        lock(&self.entry_hosts).all(now_ms())
+        lock(&self.entry_hosts).count_all(now_ms())
     }
 
-    /// Figures in the Prometheus text format.
+    /// Metrics in the Prometheus text format.
     pub(crate) fn to_text(&self) -> String {
         let upstreams = lock(&self.registry).records().count();
         let placed = lock(&self.fleet).placed_count();
@@ -526,17 +542,17 @@
     }
 }
 
-fn log_refused(ask: &Ask, since_first_try_ms: f64, retry_after_ms: u64, outlook: &Outlook) {
+fn log_rejection(ask: &Ask, since_first_try_ms: f64, retry_after_ms: u64, outlook: &Outlook) {
     log::info!(target: part::KEEPER,
         prompt_tokens = ask.prompt_tokens, since_first_try_ms = since_first_try_ms as u64,
         retry_after_ms = retry_after_ms, engines = outlook.engines,
         taken_slots = outlook.taken_slots, helped_parts = outlook.helped_parts,
         queued_ms = outlook.queued_ms as u64, slowness = outlook.slowness,
         avoided = outlook.avoided, unreached = outlook.unreached, doubtful = outlook.doubtful;
-        "Refused a prompt");
+        "Rejected a prompt: the pool has no capacity");
 }
 
-fn log_standing(heartbeat: &Heartbeat) {
+fn log_status(heartbeat: &Heartbeat) {
     log::info!(target: part::KEEPER,
         upstream = heartbeat.id.as_str(), standing:? = heartbeat.standing,
         sequence = heartbeat.sequence, address:% = heartbeat.address,
@@ -550,23 +566,23 @@
         "An upstream's limit changed");
 }
 
-/// Ages records, and follows what is in force.
+/// Expires records at a fixed interval, and applies the plan and cordons in force.
 pub(crate) async fn run_fleet(fleet: Arc<FleetKeeper>, mut applied: watch::Receiver<Applied>) {
-    let silent_ms = MISSED_HEARTBEATS * fleet.heartbeat_ms + LATE_HEARTBEAT_MS;
+    let unresponsive_after_ms = MAX_MISSED_HEARTBEATS * fleet.heartbeat_ms + MAX_HEARTBEAT_DELAY_MS;
     loop {
         let now = applied.borrow_and_update().clone();
         if let Some(document) = &now.plan {
             fleet.set_plan(document);
         }
         fleet.set_cordoned(&now.cordoned);
-        fleet.age(silent_ms);
+        fleet.expire_records(unresponsive_after_ms);
         tokio::select! {
             changed = applied.changed() => {
                 if changed.is_err() {
                     return;
                 }
             }
-            () = clayplank_clock::sleep(millis(AGE_EVERY_MS)) => {}
+            () = clayplank_clock::sleep(millis(CHECK_INTERVAL_MS)) => {}
         }
     }
 }
--- a/clayplankd/src/fleet/fleet_link.rs
+++ b/clayplankd/src/fleet/fleet_link.rs
@@ -1,5 +1,5 @@
-//! An entry host's placements: chosen by the leading keeper, by another one while it is silent, or
-//! here if none answers.
+//! Placement of prompts for an entry host: by the leader of the keepers, by its deputy while the
+//! leader is unresponsive, or locally if neither answers.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,98 +15,102 @@
 use clayplank_wire::{PlaceRequest, ReportRequest, TakeTurnReply, TakeTurnRequest};
 use tokio::sync::mpsc;
 
-use crate::fleet::fleet_engines::{change_engines, set_cordoned, set_engines};
-use crate::fleet::unreached::Unreached;
+use crate::fleet::fleet_engines::{set_cordoned, set_engines, update_engines};
+use crate::fleet::unreachable::Unreachable;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::{fleet_now_ms, millis, now_ms};
 use crate::process::lock::lock;
 use crate::process::logging::part;
 use crate::process::peers::Peers;
 
-/// Time for the leader to choose engines; a host that hears nothing chooses by itself.
-const PLACE_PATIENCE: Duration = Duration::from_millis(50);
+/// Time-out of a placement or permit request to a keeper. Without an answer, the host decides by
+/// itself.
+const PLACE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A keeper that did not answer is not asked for this long, in ms, or until another leader is
-/// found: elections are over within about half a second.
-const SILENT_MS: u64 = 400;
+/// Time for which a keeper that did not answer is not queried, in ms. It ends early when another
+/// leader is found: elections take about half a second.
+const KEEPER_BACKOFF_MS: u64 = 400;
 
-/// Events of placements are collected for this long: one call for all that came.
-const COLLECT: Duration = Duration::from_millis(15);
+/// Time for which events of placements are collected into one call.
+const BATCH_DELAY: Duration = Duration::from_millis(15);
 
-/// Time for the leader to take events; lost ones are made up for by the next renewal.
-const REPORT_PATIENCE: Duration = Duration::from_millis(300);
+/// Time-out of a report of events to a keeper. The next renewal makes up for lost ones.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a link has the keepers told.
+/// Receiving ends of the queues of a link, whose contents are reported to the keepers.
 #[derive(Debug)]
 pub(crate) struct Reports {
     pub(crate) events: mpsc::UnboundedReceiver<(PlacementId, Event)>,
     pub(crate) limits: mpsc::UnboundedReceiver<ObservedLimit>,
 }
 
-/// The link, shared by all requests of the host.
+/// Link of an entry host to the keepers that place its prompts, shared by all its requests.
 pub(crate) struct FleetLink {
-    /// This life of the host, in the ids of its placements.
-    life: u64,
-    next: AtomicU64,
+    /// Incarnation of the host in the ids of its placements: a random number chosen at its start.
+    incarnation: u64,
+    next_number: AtomicU64,
     peers: Peers,
     keepers: KeeperClient,
-    /// The fleet as far as this host sees it, for times without a leader.
-    local: Mutex<Fleet>,
-    /// Placements of this host that have not ended.
+    /// Engines as known to this host, for placements while no keeper answers.
+    local_fleet: Mutex<Fleet>,
+    /// Placements of this host that are still running.
     active: Mutex<HashMap<PlacementId, Renewed>>,
     events: mpsc::UnboundedSender<(PlacementId, Event)>,
     limits: mpsc::UnboundedSender<ObservedLimit>,
-    leader_silent_until_ms: AtomicU64,
-    deputy_silent_until_ms: AtomicU64,
-    unreached: Mutex<Unreached>,
+    leader_unresponsive_until_ms: AtomicU64,
+    deputy_unresponsive_until_ms: AtomicU64,
+    unreachable: Mutex<Unreachable>,
 }
 
 impl FleetLink {
     pub(crate) fn new(peers: Peers, keepers: KeeperClient) -> (Self, Reports) {
-        let (events, told_events) = mpsc::unbounded_channel();
-        let (limits, told_limits) = mpsc::unbounded_channel();
+        let (events, event_receiver) = mpsc::unbounded_channel();
+        let (limits, limit_receiver) = mpsc::unbounded_channel();
         let link = Self {
-            life: rand::random(),
-            next: AtomicU64::new(0),
+            incarnation: rand::random(),
+            next_number: AtomicU64::new(0),
             peers,
             keepers,
-            local: Mutex::new(Fleet::alone(rand::random())),
+            local_fleet: Mutex::new(Fleet::alone(rand::random())),
             active: Mutex::default(),
             events,
             limits,
-            leader_silent_until_ms: AtomicU64::new(0),
-            deputy_silent_until_ms: AtomicU64::new(0),
-            unreached: Mutex::default(),
+            leader_unresponsive_until_ms: AtomicU64::new(0),
+            deputy_unresponsive_until_ms: AtomicU64::new(0),
+            unreachable: Mutex::default(),
         };
-        (link, Reports { events: told_events, limits: told_limits })
+        (link, Reports { events: event_receiver, limits: limit_receiver })
     }
 
-    /// Asks the leader, and its deputy while the leader is silent; `None` if neither answers.
-    async fn place_at_keeper(&self, ask: &Ask) -> Option<Placed> {
+    /// Sends a placement request to the leader, then to its deputy if the leader does not answer.
+    /// `None` if neither answers.
+    async fn place_at_leader_or_deputy(&self, ask: &Ask) -> Option<Placed> {
         if let Some(leader) = self.keepers.leader()
-            && let Some(placed) = self.place_at(&leader, &self.leader_silent_until_ms, ask).await
+            && let Some(placed) =
+                self.place_at(&leader, &self.leader_unresponsive_until_ms, ask).await
         {
             return Some(placed);
         }
         self.keepers.doubt_leader();
         let deputy = self.keepers.deputy()?;
-        self.place_at(&deputy, &self.deputy_silent_until_ms, ask).await
+        self.place_at(&deputy, &self.deputy_unresponsive_until_ms, ask).await
     }
 
-    /// Asks a keeper; `None` if it does not answer, and for a while after that.
+    /// Sends a placement request to one keeper. `None` if it does not answer, and until the end of
+    /// its backoff.
     async fn place_at(
         &self,
         keeper: &HostId,
-        silent_until_ms: &AtomicU64,
+        unresponsive_until_ms: &AtomicU64,
         ask: &Ask,
     ) -> Option<Placed> {
-        if now_ms() < silent_until_ms.load(Ordering::SeqCst) {
+        if now_ms() < unresponsive_until_ms.load(Ordering::SeqCst) {
             return None;
         }
         let request = PlaceRequest { ask: encode(ask).ok()? };
         let placed = self
             .peers
-            .call(keeper, PLACE_PATIENCE, |mut client| async move { client.place(request).await })
+            .call(keeper, PLACE_TIMEOUT, |mut client| async move { client.place(request).await })
             .await;
         match placed {
             Ok(reply) => decode(&reply.placed).ok(),
@@ -114,24 +118,25 @@
                 log::info!(target: part::MEMBERS,
                     keeper = keeper.as_str(), cause:% = error;
                     "A keeper does not choose engines");
-                silent_until_ms.store(now_ms() + SILENT_MS, Ordering::SeqCst);
+                unresponsive_until_ms.store(now_ms() + KEEPER_BACKOFF_MS, Ordering::SeqCst);
                 None
             }
         }
     }
 
-    /// Asks the leader for a turn, or its deputy while the leader is silent.
-    async fn take_turn_at_keeper(
+    /// Requests a permit to send to a rate-limited upstream, from the keeper that places prompts.
+    /// `None` if it does not answer.
+    async fn request_permit(
         &self,
         limit: &ObservedLimit,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Option<TakeTurnReply> {
         let request = TakeTurnRequest {
             limit: encode(&limit.to_aged(now_ms())).ok()?,
-            patience_ms: patience.as_millis() as u64,
+            patience_ms: max_wait.as_millis() as u64,
         };
         let keeper = self.placing_keeper()?;
-        let call = self.peers.call(&keeper, PLACE_PATIENCE, |mut client| async move {
+        let call = self.peers.call(&keeper, PLACE_TIMEOUT, |mut client| async move {
             client.take_turn(request).await
         });
         match call.await {
@@ -139,41 +144,42 @@
             Err(error) => {
                 log::info!(target: part::MEMBERS,
                     keeper = keeper.as_str(), cause:% = error;
-                    "A keeper gives no turn");
+                    "A keeper did not answer a request for a permit");
                 None
             }
         }
     }
 
-    /// The keeper that places now: the deputy while the leader is silent. Without the events of
-    /// that time, the deputy would be as far off as a host that chooses alone.
+    /// The keeper that places prompts now: the leader, or its deputy while the leader is
+    /// unresponsive. Events go to it too: without them, the deputy would know as little of the load
+    /// as a host that places by itself.
     pub(crate) fn placing_keeper(&self) -> Option<HostId> {
-        let is_silent = now_ms() < self.leader_silent_until_ms.load(Ordering::SeqCst);
-        if is_silent { self.keepers.deputy() } else { self.keepers.leader() }
+        let is_unresponsive = now_ms() < self.leader_unresponsive_until_ms.load(Ordering::SeqCst);
+        if is_unresponsive { self.keepers.deputy() } else { self.keepers.leader() }
     }
 
-    fn place_alone(&self, ask: &Ask) -> Placed {
+    fn place_locally(&self, ask: &Ask) -> Placed {
         log::info!(target: part::MEMBERS, prompt_tokens = ask.prompt_tokens; "Chooses engines by itself");
-        lock(&self.local).place(fleet_now_ms(), ask)
+        lock(&self.local_fleet).place(fleet_now_ms(), ask)
     }
 
-    /// The question with the engines left out that this host could not reach lately.
-    fn without_unreached(&self, ask: &Ask) -> Ask {
+    /// Returns the request with the engines that this host failed to connect to recently excluded.
+    fn without_unreachable(&self, ask: &Ask) -> Ask {
         let mut ask = ask.clone();
-        ask.avoid.extend(lock(&self.unreached).ids(now_ms()).cloned());
+        ask.avoid.extend(lock(&self.unreachable).ids(now_ms()).cloned());
         ask
     }
 
-    /// Sends nothing more to the engine of a placement for a while.
-    fn note_unreached(&self, id: PlacementId) {
+    /// Avoids the engine of a placement for a while, after a failed connection.
+    fn avoid_engine(&self, id: PlacementId) {
         let active = lock(&self.active);
         if let Some(renewed) = active.get(&id) {
-            lock(&self.unreached).note(now_ms(), renewed.assignment.engine.clone());
+            lock(&self.unreachable).insert(now_ms(), renewed.assignment.engine.clone());
         }
     }
 
-    /// Keeps a placement until it ends, so that a new leader can take it over.
-    fn note_placed(&self, ask: &Ask, placed: &Placed) {
+    /// Records a placement until it ends, so that a new leader can be told of it.
+    fn record_placement(&self, ask: &Ask, placed: &Placed) {
         let Placed::At(assignment) = placed else {
             return;
         };
@@ -182,71 +188,71 @@
         lock(&self.active).insert(ask.id, renewed);
     }
 
-    /// The number that this life of the host has in the ids of its placements.
+    /// Incarnation of this host in the ids of its placements.
     pub(crate) fn life(&self) -> u64 {
-        self.life
+        self.incarnation
     }
 
-    /// The placements that still run, for the leader to take over.
+    /// Placements that are still running, for the periodic renewal at the leader.
     pub(crate) fn renewed(&self) -> Vec<Renewed> {
         lock(&self.active).values().cloned().collect()
     }
 
-    /// Changes some of the engines that this host may choose by itself.
+    /// Adds or updates some of the engines for local placement.
     pub(crate) fn change_engines(&self, plan: &PlanIndex, records: &[Record]) {
-        change_engines(&mut lock(&self.local), plan, records);
+        update_engines(&mut lock(&self.local_fleet), plan, records);
     }
 
     pub(crate) fn peers(&self) -> &Peers {
         &self.peers
     }
 
-    /// Takes in what this host may send by itself to an engine that names a limit, or named one.
+    /// Applies the rate limit that an engine named, or its lifting, to local placement.
     pub(crate) fn set_named_limit(&self, observed: &ObservedLimit) {
-        lock(&self.local).set_named_limit(&observed.upstream, observed.requests_per_s);
+        lock(&self.local_fleet).set_named_limit(&observed.upstream, observed.requests_per_s);
     }
 
-    /// Has the keeper that places told of a limit.
+    /// Queues a limit for the report to the keeper that places prompts.
     pub(crate) fn tell_limit(&self, observed: ObservedLimit) {
         self.limits.send(observed).ok();
     }
 
-    /// Chooses no engines by itself in some data centres.
+    /// Excludes the engines of cordoned data centres from local placement.
     pub(crate) fn set_cordoned(&self, plan: &PlanIndex, cordoned: &BTreeSet<DataCentre>) {
-        set_cordoned(&mut lock(&self.local), plan, cordoned);
+        set_cordoned(&mut lock(&self.local_fleet), plan, cordoned);
     }
 
-    /// Takes in how many hosts there are that may choose by themselves.
+    /// Sets the number of hosts that may place locally at the same time.
     pub(crate) fn set_hosts(&self, hosts: u64) {
-        lock(&self.local).set_hosts(hosts);
+        lock(&self.local_fleet).set_hosts(hosts);
     }
 
-    /// Sets the engines that this host may choose by itself.
+    /// Replaces the engines for local placement.
     pub(crate) fn set_engines(&self, plan: &PlanIndex, records: &[Record]) {
-        set_engines(&mut lock(&self.local), plan, records);
+        set_engines(&mut lock(&self.local_fleet), plan, records);
     }
 }
 
 impl Placer for FleetLink {
     fn place<'a>(&'a self, ask: &'a Ask) -> BoxFuture<'a, Placed> {
         Box::pin(async move {
-            let ask = self.without_unreached(ask);
-            let placed = match self.place_at_keeper(&ask).await {
+            let ask = self.without_unreachable(ask);
+            let placed = match self.place_at_leader_or_deputy(&ask).await {
                 Some(placed) => placed,
-                None => self.place_alone(&ask),
+                None => self.place_locally(&ask),
             };
-            self.note_placed(&ask, &placed);
-            let own = self.renewed();
-            lock(&self.local).renew(fleet_now_ms(), self.life, &own);
+            self.record_placement(&ask, &placed);
+            let running = self.renewed();
+            lock(&self.local_fleet).renew(fleet_now_ms(), self.incarnation, &running);
             placed
         })
     }
 
     fn note(&self, id: PlacementId, event: Event) {
         if event == Event::Unreached {
-            self.note_unreached(id);
+            self.avoid_engine(id);
         }
-        lock(&self.local).note(fleet_now_ms(), id, own_event(event));
+        lock(&self.local_fleet).note(fleet_now_ms(), id, local_event(event));
         match event {
             Event::Started { .. } => {
                 if let Some(renewed) = lock(&self.active).get_mut(&id) {
@@ -272,10 +278,10 @@
     fn take_turn<'a>(
         &'a self,
         limit: &'a ObservedLimit,
-        patience: Duration,
+        max_wait: Duration,
     ) -> BoxFuture<'a, Turn> {
         Box::pin(async move {
-            match self.take_turn_at_keeper(limit, patience).await {
+            match self.request_permit(limit, max_wait).await {
                 Some(reply) if reply.is_taken => Turn::After(millis(reply.wait_ms)),
                 Some(reply) => Turn::NotBefore(millis(reply.wait_ms)),
                 None => Turn::Unknown,
@@ -284,36 +290,36 @@
     }
 
     fn next_id(&self) -> PlacementId {
-        let number = self.next.fetch_add(1, Ordering::SeqCst);
-        PlacementId { host: self.life, number }
+        let number = self.next_number.fetch_add(1, Ordering::SeqCst);
+        PlacementId { host: self.incarnation, number }
     }
 }
 
-/// What a host that chooses alone learns of an event: it asks no engine for a sign of life, and
-/// so keeps those that it did not reach out by [`Unreached`], for a time.
-fn own_event(event: Event) -> Event {
+/// Converts an event for local placement. A host does not probe engines, so a lost engine counts as
+/// a plain failure there; [`Unreachable`] excludes unreachable engines for a while instead.
+fn local_event(event: Event) -> Event {
     match event {
         Event::Unreached | Event::Broken => Event::Failed,
         Event::Started { .. } | Event::Ended | Event::Failed | Event::HelperFailed { .. } => event,
     }
 }
 
-/// Asks the leader again as soon as another one is found.
+/// Ends the backoff of both keepers as soon as another leader is found.
 pub(crate) async fn run_return_to_leader(link: Arc<FleetLink>) {
-    let mut found = link.keepers.subscribe();
-    while found.changed().await.is_ok() {
-        link.leader_silent_until_ms.store(0, Ordering::SeqCst);
-        link.deputy_silent_until_ms.store(0, Ordering::SeqCst);
+    let mut leader_changes = link.keepers.subscribe();
+    while leader_changes.changed().await.is_ok() {
+        link.leader_unresponsive_until_ms.store(0, Ordering::SeqCst);
+        link.deputy_unresponsive_until_ms.store(0, Ordering::SeqCst);
     }
 }
 
-/// Tells the keeper that places what became of placements.
+/// Reports events of placements to the keeper that places prompts.
 pub(crate) async fn run_reports(
     link: Arc<FleetLink>,
     mut events: mpsc::UnboundedReceiver<(PlacementId, Event)>,
 ) {
     while let Some(first) = events.recv().await {
-        clayplank_clock::sleep(COLLECT).await;
+        clayplank_clock::sleep(BATCH_DELAY).await;
         let mut batch = vec![first];
         while let Ok(event) = events.try_recv() {
             batch.push(event);
@@ -322,16 +328,12 @@
             continue;
         };
         let request = ReportRequest { events, ..ReportRequest::default() };
-        let told = link
+        let sent = link
             .peers
-            .call(
-                &keeper,
-                REPORT_PATIENCE,
-                |mut client| async move { client.report(request).await },
-            )
+            .call(&keeper, REPORT_TIMEOUT, |mut client| async move { client.report(request).await })
             .await;
-        if let Err(error) = told {
-            log::debug!(target: part::MEMBERS, "Events of placements were lost: {error}.");
+        if let Err(error) = sent {
+            log::debug!(target: part::MEMBERS, "Failed to report events of placements to {keeper}: {error}.");
         }
     }
 }
--- a/clayplankd/src/fleet/host_counts.rs
+++ b/clayplankd/src/fleet/host_counts.rs
@@ -1,49 +1,52 @@
-//! How many entry hosts there are: what all of them share is divided by their number.
+//! Number of entry hosts. Limits that all entry hosts share are divided by it.
 
 use std::collections::HashMap;
 
 use clayplank_types::HostId;
 
-/// A host that did not follow for this long, in ms, counts no more, and neither does what another keeper
-/// told that long ago.
-const GONE_MS: u64 = 5_000;
+/// Time after which an entry host that sent no follow request, or a count reported by another
+/// keeper, is no longer counted, in ms.
+const EXPIRY_MS: u64 = 5_000;
 
-/// Entry hosts that follow this keeper, and those that follow others.
+/// Entry hosts that follow this keeper (receive its updates), and counts of those that follow other
+/// keepers.
 #[derive(Debug, Default)]
 pub(crate) struct HostCounts {
-    /// When each host last followed this keeper, in ms.
-    own: HashMap<HostId, u64>,
-    /// How many follow each of the others, and when it told so.
-    relayed: HashMap<HostId, (u64, u64)>,
-    /// What the leader told, and when: one that has just begun to lead knows only some of them.
-    told: (u64, u64),
+    /// Time of the last follow request of each host that follows this keeper, in ms.
+    local: HashMap<HostId, u64>,
+    /// Number of followers of each peer keeper, and the time of its report in ms.
+    peers: HashMap<HostId, (u64, u64)>,
+    /// Total reported by the leader, and the time of its report in ms. A leader that was elected
+    /// recently knows only some of the hosts.
+    leader_count: (u64, u64),
 }
 
 impl HostCounts {
-    pub(crate) fn note_own(&mut self, now_ms: u64, host: HostId) {
-        self.own.insert(host, now_ms);
+    pub(crate) fn record_local(&mut self, now_ms: u64, host: HostId) {
+        self.local.insert(host, now_ms);
     }
 
-    pub(crate) fn note_relayed(&mut self, now_ms: u64, keeper: HostId, hosts: u64) {
-        self.relayed.insert(keeper, (hosts, now_ms));
+    pub(crate) fn record_peer(&mut self, now_ms: u64, keeper: HostId, hosts: u64) {
+        self.peers.insert(keeper, (hosts, now_ms));
     }
 
-    pub(crate) fn note_told(&mut self, now_ms: u64, hosts: u64) {
-        self.told = (hosts, now_ms);
+    pub(crate) fn record_leader_count(&mut self, now_ms: u64, hosts: u64) {
+        self.leader_count = (hosts, now_ms);
     }
 
-    /// Hosts that follow this keeper.
-    pub(crate) fn own(&mut self, now_ms: u64) -> u64 {
-        self.own.retain(|_, heard_ms| now_ms < *heard_ms + GONE_MS);
-        self.own.len() as u64
+    /// Number of hosts that follow this keeper.
+    pub(crate) fn count_local(&mut self, now_ms: u64) -> u64 {
+        self.local.retain(|_, received_ms| now_ms < *received_ms + EXPIRY_MS);
+        self.local.len() as u64
     }
 
-    /// All hosts, as far as it is known here.
-    pub(crate) fn all(&mut self, now_ms: u64) -> u64 {
-        self.relayed.retain(|_, (_, told_ms)| now_ms < *told_ms + GONE_MS);
-        let relayed: u64 = self.relayed.values().map(|(hosts, _)| hosts).sum();
-        let (told, told_ms) = self.told;
-        let told = if now_ms < told_ms + GONE_MS { told } else { 0 };
-        (self.own(now_ms) + relayed).max(told)
+    /// Number of all entry hosts, as far as this keeper knows: the larger of its own sum and the
+    /// leader's total.
+    pub(crate) fn count_all(&mut self, now_ms: u64) -> u64 {
+        self.peers.retain(|_, (_, received_ms)| now_ms < *received_ms + EXPIRY_MS);
+        let at_peers: u64 = self.peers.values().map(|(hosts, _)| hosts).sum();
+        let (leader_count, received_ms) = self.leader_count;
+        let leader_count = if now_ms < received_ms + EXPIRY_MS { leader_count } else { 0 };
+        (self.count_local(now_ms) + at_peers).max(leader_count)
     }
 }
--- a/clayplankd/src/fleet/limit_reports.rs
+++ b/clayplankd/src/fleet/limit_reports.rs
@@ -1,4 +1,4 @@
-//! Tells the keeper that places what upstreams said of their limits.
+//! Reports the rate limits that upstreams name in their answers to the keeper that places prompts.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,47 +15,48 @@
 use crate::process::clock::now_ms;
 use crate::process::logging::part;
 
-/// Limits are collected for this long: one call for all that were named.
-const COLLECT: Duration = Duration::from_millis(15);
+/// Time for which limits are collected into one call.
+const BATCH_DELAY: Duration = Duration::from_millis(15);
 
-/// Time for the keeper to take limits.
-const PATIENCE: Duration = Duration::from_millis(300);
+/// Time-out of a report to the keeper.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Limits that no keeper took are told again after this time.
-const RETRY_EVERY: Duration = Duration::from_millis(200);
+/// Delay before limits that no keeper accepted are reported again.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The newest limits that no keeper took yet.
-type Waiting = BTreeMap<UpstreamId, ObservedLimit>;
+/// Newest limit of each upstream that no keeper has accepted yet.
+type PendingLimits = BTreeMap<UpstreamId, ObservedLimit>;
 
-/// Tells limits until a keeper takes them: that one was lifted may be told by one answer alone.
+/// Reports limits, and repeats them until a keeper accepts them: a single answer of the upstream
+/// may be the only one that shows that a limit was lifted.
 pub(crate) async fn run_limit_reports(
     link: Arc<FleetLink>,
     mut observed: mpsc::UnboundedReceiver<ObservedLimit>,
 ) {
-    let mut waiting = Waiting::new();
+    let mut pending = PendingLimits::new();
     loop {
-        if waiting.is_empty() {
+        if pending.is_empty() {
             let Some(first) = observed.recv().await else {
                 return;
             };
-            waiting.insert(first.upstream.clone(), first);
+            pending.insert(first.upstream.clone(), first);
         }
-        clayplank_clock::sleep(COLLECT).await;
+        clayplank_clock::sleep(BATCH_DELAY).await;
         while let Ok(next) = observed.try_recv() {
-            waiting.insert(next.upstream.clone(), next);
+            pending.insert(next.upstream.clone(), next);
         }
-        if tell(&link, &waiting).await {
-            waiting.clear();
+        if report(&link, &pending).await {
+            pending.clear();
         } else {
-            clayplank_clock::sleep(RETRY_EVERY).await;
+            clayplank_clock::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Whether the keeper that places took them.
-async fn tell(link: &FleetLink, waiting: &Waiting) -> bool {
+/// Sends the limits to the keeper that places prompts. Returns whether it accepted them.
+async fn report(link: &FleetLink, pending: &PendingLimits) -> bool {
     let now_ms = now_ms();
-    let limits: Vec<AgedLimit> = waiting.values().map(|one| one.to_aged(now_ms)).collect();
+    let limits: Vec<AgedLimit> = pending.values().map(|one| one.to_aged(now_ms)).collect();
     let no_events: Vec<(PlacementId, Event)> = Vec::new();
     let (Some(keeper), Ok(events), Ok(limits)) =
         (link.placing_keeper(), encode(&no_events), encode(&limits))
@@ -63,12 +64,12 @@
         return false;
     };
     let request = ReportRequest { events, limits, ..ReportRequest::default() };
-    let told = link
+    let sent = link
         .peers()
-        .call(&keeper, PATIENCE, |mut client| async move { client.report(request).await })
+        .call(&keeper, REPORT_TIMEOUT, |mut client| async move { client.report(request).await })
         .await;
-    if let Err(error) = &told {
-        log::debug!(target: part::MEMBERS, "Limits are told again: {error}.");
+    if let Err(error) = &sent {
+        log::debug!(target: part::MEMBERS, "Failed to report limits of upstreams, retries: {error}.");
     }
-    told.is_ok()
+    sent.is_ok()
 }
--- a/clayplankd/src/fleet/mirror.rs
+++ b/clayplankd/src/fleet/mirror.rs
@@ -1,7 +1,8 @@
-//! Passes placements and what became of them on to the keeper that places next.
+//! Replicates placements and their events to the keeper that may have to place prompts next.
 //!
-//! The leader tells its deputy, which the hosts ask as soon as the leader is silent. Once another
-//! keeper leads, whoever holds placements hands them over.
+//! The leader sends them to its deputy, the keeper that entry hosts query while the leader is
+//! unresponsive. When another keeper becomes leader, each keeper that knows placements sends them
+//! to it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,78 +22,82 @@
 use crate::process::logging::part;
 use crate::process::peers::Peers;
 
-/// News are collected for this long: one call for all that came.
-const COLLECT: Duration = Duration::from_millis(20);
+/// Interval at which collected updates are sent, in one call.
+const BATCH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time for a keeper to take news; a deputy that lost some places a little worse.
-const PATIENCE: Duration = Duration::from_millis(150);
+/// Time-out of a call with updates. They are not repeated: a deputy that lacks some makes slightly
+/// worse placements.
+const CALL_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// News that wait while no keeper leads; what comes beyond is not told.
-const MAX_NEWS: usize = 4_096;
+/// Maximum number of placements, and of events, that are queued while there is no leader. Those
+/// beyond it are not sent.
+const MAX_PENDING_UPDATES: usize = 4_096;
 
-/// What is held counts for this long, in ms, after the last news: a keeper that hears no more,
-/// since another one is the deputy now or since it was cut off, does not learn what has ended.
-const FRESH_MS: u64 = 1_500;
+/// Time after the last update for which the known placements count as current, in ms. A keeper that
+/// gets no more updates, because another one became deputy or because it is partitioned, does not
+/// learn which placements have ended.
+const MAX_UPDATE_AGE_MS: u64 = 1_500;
 
-/// A placement is forgotten after this time, in ms, though nothing was told of its end: its host has
-/// died, or the news was lost. No caller waits as long.
-const MAX_HELD_MS: u64 = 60_000;
+/// Age at which a placement is removed although its end was not reported, in ms: its host has
+/// failed, or the event was lost. No caller waits as long.
+const MAX_PLACEMENT_AGE_MS: u64 = 60_000;
 
-/// Between two looks for such placements, in ms.
-const PRUNE_EVERY_MS: u64 = 1_000;
+/// Interval between two removals of such placements, in ms.
+const PRUNE_INTERVAL_MS: u64 = 1_000;
 
-/// A placement, and when it became known.
+/// A placement, and the time at which this keeper learned of it.
 #[derive(Debug)]
-struct Held {
+struct KnownPlacement {
     renewed: Renewed,
     since_ms: u64,
 }
 
-/// Placements that this keeper knows, and what is new of them.
+/// Placements that this keeper knows, and the updates that were not sent yet.
 #[derive(Debug, Default)]
-pub(crate) struct Mirror {
-    held: HashMap<PlacementId, Held>,
+pub(crate) struct PlacementMirror {
+    known: HashMap<PlacementId, KnownPlacement>,
     next_prune_ms: u64,
-    /// When something was last told, or placed here.
+    /// Time of the last update that was received or made here, in ms.
     updated_ms: u64,
     placed: Vec<Renewed>,
     events: Vec<(PlacementId, Event)>,
 }
 
-impl Mirror {
-    /// Notes a placement of this keeper.
-    pub(crate) fn note_placed(&mut self, ask: &Ask, assignment: &Assignment) {
+impl PlacementMirror {
+    /// Records a placement that this keeper made.
+    pub(crate) fn record_placement(&mut self, ask: &Ask, assignment: &Assignment) {
         let renewed =
             Renewed { ask: ask.clone(), assignment: assignment.clone(), is_started: false };
-        if self.placed.len() < MAX_NEWS {
+        if self.placed.len() < MAX_PENDING_UPDATES {
             self.placed.push(renewed.clone());
         }
-        self.hold(renewed);
+        self.insert(renewed);
     }
 
-    /// Notes placements of another keeper.
+    /// Adds placements that another keeper made.
     pub(crate) fn take_over(&mut self, placed: Vec<Renewed>) {
-        placed.into_iter().for_each(|renewed| self.hold(renewed));
+        placed.into_iter().for_each(|renewed| self.insert(renewed));
     }
 
-    fn hold(&mut self, renewed: Renewed) {
+    fn insert(&mut self, renewed: Renewed) {
         let since_ms = now_ms();
         self.updated_ms = since_ms;
-        self.held.insert(renewed.ask.id, Held { renewed, since_ms });
+        self.known.insert(renewed.ask.id, KnownPlacement { renewed, since_ms });
     }
 
-    pub(crate) fn is_fresh(&self) -> bool {
-        now_ms() < self.updated_ms + FRESH_MS
+    /// Whether the known placements are current enough to be used.
+    pub(crate) fn is_current(&self) -> bool {
+        now_ms() < self.updated_ms + MAX_UPDATE_AGE_MS
     }
 
-    /// Notes what became of placements.
-    pub(crate) fn note(&mut self, events: &[(PlacementId, Event)]) {
+    /// Records events of placements.
+    pub(crate) fn record_events(&mut self, events: &[(PlacementId, Event)]) {
         self.updated_ms = now_ms();
         for (id, event) in events {
             match event {
                 Event::Started { .. } => {
-                    if let Some(held) = self.held.get_mut(id) {
-                        held.renewed.is_started = true;
+                    if let Some(placement) = self.known.get_mut(id) {
+                        placement.renewed.is_started = true;
                     }
                 }
                 Event::Ended
@@ -100,108 +105,115 @@
                 | Event::Broken
                 | Event::Unreached
                 | Event::HelperFailed { .. } => {
-                    self.held.remove(id);
+                    self.known.remove(id);
                 }
             }
         }
-        let room = MAX_NEWS.saturating_sub(self.events.len());
+        let room = MAX_PENDING_UPDATES.saturating_sub(self.events.len());
         self.events.extend(events.iter().take(room));
     }
 
-    /// Takes out what is new, for the deputy.
-    fn take_news(&mut self) -> News {
+    /// Removes and returns the updates that were not sent yet, for the deputy.
+    fn take_updates(&mut self) -> PlacementUpdates {
         self.prune();
-        News { placed: std::mem::take(&mut self.placed), events: std::mem::take(&mut self.events) }
+        PlacementUpdates {
+            placed: std::mem::take(&mut self.placed),
+            events: std::mem::take(&mut self.events),
+        }
     }
 
-    /// All that is held, for a deputy that was told nothing yet.
-    fn all_held(&mut self) -> News {
-        self.take_news();
-        News {
-            placed: self.held.values().map(|held| held.renewed.clone()).collect(),
+    /// Returns all known placements, for a new deputy, and clears the unsent updates, which they
+    /// include.
+    fn all_as_updates(&mut self) -> PlacementUpdates {
+        self.take_updates();
+        PlacementUpdates {
+            placed: self.known.values().map(|placement| placement.renewed.clone()).collect(),
             events: Vec::new(),
         }
     }
 
-    /// Forgets placements whose end was never told.
+    /// Removes placements whose end was never reported.
     fn prune(&mut self) {
         let now_ms = now_ms();
         if now_ms >= self.next_prune_ms {
-            self.next_prune_ms = now_ms + PRUNE_EVERY_MS;
-            self.held.retain(|_, held| now_ms < held.since_ms + MAX_HELD_MS);
+            self.next_prune_ms = now_ms + PRUNE_INTERVAL_MS;
+            self.known.retain(|_, placement| now_ms < placement.since_ms + MAX_PLACEMENT_AGE_MS);
         }
     }
 
-    /// Takes out all placements that are held, for a new leader.
-    pub(crate) fn take_held(&mut self) -> News {
-        self.take_news();
-        let is_fresh = self.is_fresh();
-        let held = self.held.drain().map(|(_, held)| held.renewed).filter(|_| is_fresh);
-        News { placed: held.collect(), events: Vec::new() }
+    /// Removes and returns all known placements, for a new leader. Returns none if they are not
+    /// current.
+    pub(crate) fn take_all(&mut self) -> PlacementUpdates {
+        self.take_updates();
+        let is_current = self.is_current();
+        let known =
+            self.known.drain().map(|(_, placement)| placement.renewed).filter(|_| is_current);
+        PlacementUpdates { placed: known.collect(), events: Vec::new() }
     }
 }
 
-/// What one keeper tells another.
-pub(crate) struct News {
+/// Placements and events that one keeper sends to another.
+pub(crate) struct PlacementUpdates {
     placed: Vec<Renewed>,
     events: Vec<(PlacementId, Event)>,
 }
 
-impl News {
+impl PlacementUpdates {
     fn is_empty(&self) -> bool {
         self.placed.is_empty() && self.events.is_empty()
     }
 }
 
-/// Tells the deputy while this keeper leads, and hands over to another one that does.
+/// Sends updates to the deputy while this keeper leads, and all known placements to a new leader.
 pub(crate) async fn run_mirror(
-    own: HostId,
+    local_host: HostId,
     keeper: Address<Keeper>,
     fleet: Arc<FleetKeeper>,
     peers: Peers,
 ) {
-    // The other keeper that leads and was given what is held here.
-    let mut followed = None;
-    // The deputy that was given what is held here, while this keeper leads.
-    let mut told_deputy = None;
+    // Another keeper that leads, to which the placements known here were sent.
+    let mut informed_leader = None;
+    // The deputy to which the placements known here were sent, while this keeper leads.
+    let mut informed_deputy = None;
     loop {
-        clayplank_clock::sleep(COLLECT).await;
+        clayplank_clock::sleep(BATCH_INTERVAL).await;
         let Ok(placing) = keeper.send(WhoPlaces).await else {
             return;
         };
         let Some(Placing { leader, deputy }) = placing else {
             continue;
         };
-        let (to, news) = if leader == own {
-            followed = None;
+        let (to, updates) = if leader == local_host {
+            informed_leader = None;
             fleet.keepers().set_deputy(deputy.clone());
-            let is_new = deputy.is_some() && told_deputy != deputy;
-            told_deputy.clone_from(&deputy);
+            let is_new = deputy.is_some() && informed_deputy != deputy;
+            informed_deputy.clone_from(&deputy);
             let mut mirror = lock(fleet.mirror());
-            (deputy, if is_new { mirror.all_held() } else { mirror.take_news() })
-        } else if followed.as_ref() != Some(&leader) {
-            told_deputy = None;
-            followed = Some(leader.clone());
-            (Some(leader), fleet.hand_over())
+            (deputy, if is_new { mirror.all_as_updates() } else { mirror.take_updates() })
+        } else if informed_leader.as_ref() != Some(&leader) {
+            informed_deputy = None;
+            informed_leader = Some(leader.clone());
+            (Some(leader), fleet.take_placements())
         } else {
-            fleet.forget_stale();
-            (None, lock(fleet.mirror()).take_news())
+            fleet.clear_stale_placements();
+            (None, lock(fleet.mirror()).take_updates())
         };
-        if let Some(to) = to.filter(|_| !news.is_empty()) {
-            tokio::spawn(send(peers.clone(), to, news));
+        if let Some(to) = to.filter(|_| !updates.is_empty()) {
+            tokio::spawn(send(peers.clone(), to, updates));
         }
     }
 }
 
-async fn send(peers: Peers, to: HostId, news: News) {
-    let (Ok(placed), Ok(events)) = (encode(&news.placed), encode(&news.events)) else {
-        log::error!(target: part::KEEPER, "Placements cannot be told.");
+async fn send(peers: Peers, to: HostId, updates: PlacementUpdates) {
+    let (Ok(placed), Ok(events)) = (encode(&updates.placed), encode(&updates.events)) else {
+        log::error!(target: part::KEEPER, "Failed to encode placements for another keeper.");
         return;
     };
     let request = ReportRequest { events, placed, ..ReportRequest::default() };
-    let sent =
-        peers.call(&to, PATIENCE, |mut client| async move { client.report(request).await }).await;
+    let sent = peers
+        .call(&to, CALL_TIMEOUT, |mut client| async move { client.report(request).await })
+        .await;
     if let Err(error) = sent {
-        log::debug!(target: part::KEEPER, "Placements were not told: {error}.");
+        log::debug!(target: part::KEEPER, "Failed to send placements to {to}: {error}.");
     }
 }
--- a/clayplankd/src/fleet/sightings.rs
+++ b/clayplankd/src/fleet/sightings.rs
@@ -1,4 +1,8 @@
-//! Tells the keepers of requests under which upstreams ended, and asks them for trials.
+//! Reports to the keepers which requests were running when an upstream terminated, and claims
+//! trials.
+//!
+//! A request that terminates several upstreams in succession is quarantined by the keepers. A trial
+//! is the permission to run such a request once more.
 
 use std::time::Duration;
 
@@ -10,35 +14,36 @@
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::logging::part;
 
-/// Observations are collected for this long: an upstream that ends has up to a few tens of requests.
-const COLLECT: Duration = Duration::from_millis(5);
+/// Time for which observations are collected into one command: an upstream that terminates runs up
+/// to a few tens of requests, each of which yields an observation.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// Observations in one command.
-const MAX_BATCH: usize = 256;
+/// Maximum number of observations in one command.
+const MAX_BATCH_OBSERVATIONS: usize = 256;
 
-/// Time for the keepers to take a command: beyond an election.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Time-out of a command to the keepers. It is longer than a leader election.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for the keepers to grant a trial, while the caller waits.
-const TRIAL_PATIENCE: Duration = Duration::from_millis(500);
+/// Time-out of a trial claim. The caller waits meanwhile.
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the keepers did not take in this time is not told any more: by then the request was
-/// seen elsewhere, or comes no more.
-const MAX_AGE: Duration = Duration::from_secs(60);
+/// Age at which an observation that the keepers did not accept is discarded: by then the request
+/// was observed on another host, or it is not sent again.
+const MAX_OBSERVATION_AGE: Duration = Duration::from_secs(60);
 
-/// Observations that wait for the keepers; what comes beyond is not told.
-const MAX_WAITING: usize = 4_096;
+/// Capacity of the queue of observations for the keepers. Observations beyond it are discarded.
+const MAX_QUEUED_OBSERVATIONS: usize = 4_096;
 
-/// What the requests of a host tell the keepers.
+/// Connects the requests of a host to the keepers: queues their observations and claims trials.
 pub(crate) struct SightingLink {
     keepers: KeeperClient,
     observations: mpsc::Sender<Observation>,
 }
 
 impl SightingLink {
-    /// A link, and the observations for [`run_sightings`].
+    /// Returns the link and the receiving end of its queue, for [`run_sightings`].
     pub(crate) fn new(keepers: KeeperClient) -> (Self, mpsc::Receiver<Observation>) {
-        let (observations, receiver) = mpsc::channel(MAX_WAITING);
+        let (observations, receiver) = mpsc::channel(MAX_QUEUED_OBSERVATIONS);
         (Self { keepers, observations }, receiver)
     }
 }
@@ -46,17 +51,17 @@
 impl Judge for SightingLink {
     fn tell(&self, observation: Observation) {
         if let Err(error) = self.observations.try_send(observation) {
-            log::warn!(target: part::KEEPER, cause:% = error; "An observation is not told");
+            log::warn!(target: part::KEEPER, cause:% = error; "Discarded an observation of a request before it was reported to the keepers");
         }
     }
 
     fn claim_trial(&self, fingerprint: RequestFingerprint) -> BoxFuture<'_, bool> {
         Box::pin(async move {
-            match self.keepers.execute(&Body::ClaimTrial(fingerprint), TRIAL_PATIENCE).await {
+            match self.keepers.execute(&Body::ClaimTrial(fingerprint), TRIAL_TIMEOUT).await {
                 Ok(Reply::Trial(Trial::Granted | Trial::NotNeeded)) => true,
                 Ok(_) => false,
                 Err(error) => {
-                    log::info!(target: part::KEEPER, cause:% = error; "No keeper grants a trial");
+                    log::info!(target: part::KEEPER, cause:% = error; "The keepers did not answer a trial claim");
                     false
                 }
             }
@@ -64,60 +69,61 @@
     }
 }
 
-/// Tells the keepers what was observed, until the host stops.
+/// Reports observations to the keepers until the host stops.
 pub(crate) async fn run_sightings(
     keepers: KeeperClient,
     mut observations: mpsc::Receiver<Observation>,
 ) {
-    let life = rand::random();
+    let incarnation = rand::random();
     while let Some(first) = observations.recv().await {
-        clayplank_clock::sleep(COLLECT).await;
+        clayplank_clock::sleep(BATCH_DELAY).await;
         let mut batch = vec![first];
-        while batch.len() < MAX_BATCH
+        while batch.len() < MAX_BATCH_OBSERVATIONS
             && let Ok(next) = observations.try_recv()
         {
             batch.push(next);
         }
-        tell(&keepers, life, batch).await;
+        report(&keepers, incarnation, batch).await;
     }
 }
 
-/// Tells one batch, again and again while no keeper takes it.
-async fn tell(keepers: &KeeperClient, life: u64, mut batch: Vec<Observation>) {
+/// Reports one batch. Repeats it until a keeper accepts it or all observations have expired.
+async fn report(keepers: &KeeperClient, incarnation: u64, mut batch: Vec<Observation>) {
     loop {
-        batch.retain(|observation| observation.at.elapsed() < MAX_AGE);
+        batch.retain(|observation| observation.at.elapsed() < MAX_OBSERVATION_AGE);
         if batch.is_empty() {
             return;
         }
-        // Keepers take each of them once, however often it is told.
-        let sightings = batch.iter().map(|one| to_sighting(life, one)).collect();
-        match keepers.execute(&Body::NoteSightings(sightings), PATIENCE).await {
+        // Repeating is safe: keepers count each sighting once, by its incarnation and time.
+        let sightings = batch.iter().map(|one| to_sighting(incarnation, one)).collect();
+        match keepers.execute(&Body::NoteSightings(sightings), COMMAND_TIMEOUT).await {
             Ok(Reply::Noted(verdicts)) => {
                 log_verdicts(&verdicts);
                 return;
             }
             Ok(_) => {
-                log::error!(target: part::KEEPER, "Keepers gave an answer of another kind.");
+                log::error!(target: part::KEEPER, "The keepers answered a report of observations with a reply of another type.");
                 return;
             }
             Err(error) => {
                 log::info!(target: part::KEEPER,
                     cause:% = error, observations = batch.len();
-                    "Keepers were not told of requests under which upstreams ended");
+                    "Could not report the requests of terminated upstreams to the keepers; retries");
             }
         }
     }
 }
 
-fn to_sighting(life: u64, observation: &Observation) -> Sighting {
+/// Converts an observation to its form in keeper commands. `incarnation` is that of this task.
+fn to_sighting(incarnation: u64, observation: &Observation) -> Sighting {
     let ago_ms = observation.at.elapsed().as_millis() as u64;
-    let seen = HostMoment { life, at_ms: now_ms().saturating_sub(ago_ms) };
+    let observed = HostMoment { life: incarnation, at_ms: now_ms().saturating_sub(ago_ms) };
     Sighting {
         fingerprint: observation.fingerprint,
         caller: observation.caller.clone(),
         outcome: observation.outcome.clone(),
         ago_ms,
-        seen: Some(seen),
+        seen: Some(observed),
     }
 }
 
@@ -126,11 +132,11 @@
         let ended: Vec<_> = ended.iter().map(ToString::to_string).collect();
         log::warn!(target: part::KEEPER,
             fingerprint:% = fingerprint, caller = caller, ended = ended.join(" ");
-            "A request has ended upstreams one after the other and is held back");
+            "A request terminated several upstreams in succession and is quarantined");
     }
     for fingerprint in &verdicts.lifted {
         log::info!(target: part::KEEPER,
             fingerprint:% = fingerprint;
-            "A request that was held back is cleared");
+            "The quarantine of a request was lifted");
     }
 }
--- a/clayplankd/src/fleet/spread.rs
+++ b/clayplankd/src/fleet/spread.rs
@@ -1,5 +1,5 @@
-//! Passes heartbeats of upstreams, and the limits that they name, from the keeper that heard of them to
-//! the others.
+//! Relays heartbeats of upstreams, and the rate limits that upstreams name, from the host that
+//! received them to the other keepers.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -17,148 +17,150 @@
 use crate::process::logging::part;
 use crate::process::peers::Peers;
 
-/// Heartbeats are collected for this long: one call for all that came.
-const COLLECT: Duration = Duration::from_millis(150);
+/// Interval at which a keeper sends the collected heartbeats, in one call to each other keeper.
+const BATCH_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The same on a host without a disk, of which there are hundreds: an upstream counts as silent
-/// only after several heartbeats.
-const COLLECT_TO_ONE: Duration = Duration::from_millis(250);
+/// The same interval on a host without a disk. It is longer because there are hundreds of such
+/// hosts; an upstream counts as unresponsive only after several missing heartbeats, so the delay is
+/// harmless.
+const DISKLESS_BATCH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for another keeper to take heartbeats; what is lost comes again with the next heartbeat.
-const PATIENCE: Duration = Duration::from_millis(600);
+/// Time-out of a call that relays heartbeats. The next heartbeat makes up for a lost one.
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time for the leader to take what must not be acknowledged before: upstreams wait a second.
-const URGENT_PATIENCE: Duration = Duration::from_millis(700);
+/// Time-out of an urgent call to the leader. Its success precedes the acknowledgement to the
+/// upstream, which waits for one second.
+const URGENT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Heartbeats on their way to the other keepers.
+/// Queue of heartbeats and limits for the other keepers.
 #[derive(Clone, Debug)]
 pub(crate) struct Spread {
-    own: HostId,
+    local_host: HostId,
     peers: Peers,
     keepers: KeeperClient,
-    waiting: Arc<Mutex<Vec<Heartbeat>>>,
-    waiting_limits: Arc<Mutex<BTreeMap<UpstreamId, ObservedLimit>>>,
+    pending: Arc<Mutex<Vec<Heartbeat>>>,
+    pending_limits: Arc<Mutex<BTreeMap<UpstreamId, ObservedLimit>>>,
 }
 
 impl Spread {
-    pub(crate) fn new(own: HostId, peers: Peers, keepers: KeeperClient) -> Self {
-        Self { own, peers, keepers, waiting: Arc::default(), waiting_limits: Arc::default() }
+    pub(crate) fn new(local_host: HostId, peers: Peers, keepers: KeeperClient) -> Self {
+        Self { local_host, peers, keepers, pending: Arc::default(), pending_limits: Arc::default() }
     }
 
-    fn take_waiting(&self) -> Vec<Heartbeat> {
-        std::mem::take(&mut *lock(&self.waiting))
+    fn take_pending(&self) -> Vec<Heartbeat> {
+        std::mem::take(&mut *lock(&self.pending))
     }
 
-    /// Sends heartbeats to one keeper, in an order of chance, until one takes them.
-    async fn send_to_one(&self, heartbeats: &[Heartbeat]) {
-        let mut hosts = self.others();
+    /// Tries the keepers in random order until one accepts the heartbeats.
+    async fn send_to_one_keeper(&self, heartbeats: &[Heartbeat]) {
+        let mut hosts = self.peer_keepers();
         hosts.shuffle(&mut rand::rng());
         for host in hosts {
-            if self.send_from_host(&host, heartbeats).await {
+            if self.send_for_relay(&host, heartbeats).await {
                 return;
             }
         }
-        log::warn!(target: part::KEEPER, heartbeats = heartbeats.len(); "No keeper takes heartbeats");
+        log::warn!(target: part::KEEPER, heartbeats = heartbeats.len(); "No keeper accepted the collected heartbeats");
     }
 
-    fn others(&self) -> Vec<HostId> {
+    fn peer_keepers(&self) -> Vec<HostId> {
         let mut hosts = self.keepers.hosts();
-        hosts.retain(|host| *host != self.own);
+        hosts.retain(|host| *host != self.local_host);
         hosts
     }
 
-    /// Passes a heartbeat on with the next call.
+    /// Queues a heartbeat for the next call.
     pub(crate) fn push(&self, heartbeat: Heartbeat) {
-        lock(&self.waiting).push(heartbeat);
+        lock(&self.pending).push(heartbeat);
     }
 
-    /// Passes a limit on with the next call.
+    /// Queues a limit for the next call. It replaces an earlier one of the same upstream.
     pub(crate) fn push_limit(&self, limit: ObservedLimit) {
-        lock(&self.waiting_limits).insert(limit.upstream.clone(), limit);
+        lock(&self.pending_limits).insert(limit.upstream.clone(), limit);
     }
 
-    fn take_waiting_limits(&self) -> Vec<AgedLimit> {
-        let limits = std::mem::take(&mut *lock(&self.waiting_limits));
+    fn take_pending_limits(&self) -> Vec<AgedLimit> {
+        let limits = std::mem::take(&mut *lock(&self.pending_limits));
         limits.values().map(|limit| limit.to_aged(now_ms())).collect()
     }
 
-    /// Passes on at once that an upstream takes no new work; returns whether the
-    /// leader knows, from which the entry hosts learn it.
+    /// Relays immediately that an upstream accepts no new work. Returns whether the leader knows
+    /// it, from which the entry hosts learn it.
     pub(crate) async fn push_urgent(&self, heartbeat: &Heartbeat, leader: Option<&HostId>) -> bool {
-        let others: Vec<_> =
-            self.others().into_iter().filter(|host| Some(host) != leader).collect();
-        for host in others {
+        let hosts: Vec<_> =
+            self.peer_keepers().into_iter().filter(|host| Some(host) != leader).collect();
+        for host in hosts {
             let spread = self.clone();
             let heartbeat = heartbeat.clone();
-            tokio::spawn(async move { spread.send(&host, &[heartbeat], PATIENCE).await });
+            tokio::spawn(async move { spread.send(&host, &[heartbeat], CALL_TIMEOUT).await });
         }
         match leader {
-            Some(leader) if *leader == self.own => true,
+            Some(leader) if *leader == self.local_host => true,
             Some(leader) => {
                 let heartbeats = std::slice::from_ref(heartbeat);
-                self.send(leader, heartbeats, URGENT_PATIENCE).await
+                self.send(leader, heartbeats, URGENT_TIMEOUT).await
             }
             None => false,
         }
     }
 
-    async fn send(&self, host: &HostId, heartbeats: &[Heartbeat], patience: Duration) -> bool {
+    async fn send(&self, host: &HostId, heartbeats: &[Heartbeat], timeout: Duration) -> bool {
         let Ok(heartbeats) = encode(&heartbeats) else {
             return false;
         };
         let request = SpreadRequest { heartbeats, ..SpreadRequest::default() };
-        self.call(host, request, patience).await
+        self.call(host, request, timeout).await
     }
 
-    /// Sends heartbeats to a keeper that passes them on to the others.
-    async fn send_from_host(&self, host: &HostId, heartbeats: &[Heartbeat]) -> bool {
+    /// Sends heartbeats to a keeper that relays them to the other keepers.
+    async fn send_for_relay(&self, host: &HostId, heartbeats: &[Heartbeat]) -> bool {
         let Ok(heartbeats) = encode(&heartbeats) else {
             return false;
         };
         let request = SpreadRequest { heartbeats, passes_on: true, ..SpreadRequest::default() };
-        self.call(host, request, PATIENCE).await
+        self.call(host, request, CALL_TIMEOUT).await
     }
 
-    async fn call(&self, host: &HostId, request: SpreadRequest, patience: Duration) -> bool {
+    async fn call(&self, host: &HostId, request: SpreadRequest, timeout: Duration) -> bool {
         let sent = self
             .peers
-            .call(host, patience, |mut client| async move { client.spread(request).await })
+            .call(host, timeout, |mut client| async move { client.spread(request).await })
             .await;
         if let Err(error) = &sent {
-            log::debug!(target: part::KEEPER, "Heartbeats were not passed on: {error}.");
+            log::debug!(target: part::KEEPER, "Failed to relay heartbeats to {host}: {error}.");
         }
         sent.is_ok()
     }
 }
 
-/// Passes on what a keeper collected to the other keepers, again and again.
+/// Relays what a keeper collected to all other keepers, at a fixed interval.
 pub(crate) async fn run_spread(spread: Spread) {
     loop {
-        clayplank_clock::sleep(COLLECT).await;
-        let (heartbeats, limits) = (spread.take_waiting(), spread.take_waiting_limits());
+        clayplank_clock::sleep(BATCH_INTERVAL).await;
+        let (heartbeats, limits) = (spread.take_pending(), spread.take_pending_limits());
         if heartbeats.is_empty() && limits.is_empty() {
             continue;
         }
         let (Ok(heartbeats), Ok(limits)) = (encode(&heartbeats), encode(&limits)) else {
-            log::error!(target: part::KEEPER, "What upstreams told cannot be passed on.");
+            log::error!(target: part::KEEPER, "Failed to encode heartbeats and limits for relaying.");
             continue;
         };
         let request = SpreadRequest { heartbeats, limits, passes_on: false };
-        for host in spread.others() {
+        for host in spread.peer_keepers() {
             let (spread, request) = (spread.clone(), request.clone());
-            tokio::spawn(async move { spread.call(&host, request, PATIENCE).await });
+            tokio::spawn(async move { spread.call(&host, request, CALL_TIMEOUT).await });
         }
     }
 }
 
-/// Passes on what a host without a disk collected, to one keeper, which passes it on.
+/// Sends what a host without a disk collected to one keeper, which relays it to the others.
 pub(crate) async fn run_spread_to_one(spread: Spread) {
     loop {
-        clayplank_clock::sleep(COLLECT_TO_ONE).await;
-        let collected = spread.take_waiting();
+        clayplank_clock::sleep(DISKLESS_BATCH_INTERVAL).await;
+        let collected = spread.take_pending();
         if !collected.is_empty() {
             let spread = spread.clone();
-            tokio::spawn(async move { spread.send_to_one(&collected).await });
+            tokio::spawn(async move { spread.send_to_one_keeper(&collected).await });
         }
     }
 }
--- a/clayplankd/src/fleet/upstream_memory.rs
+++ b/clayplankd/src/fleet/upstream_memory.rs
@@ -1,10 +1,11 @@
-//! What a keeper remembers of the registered upstreams over a restart.
+//! Saves the registered upstreams of a keeper on disk, and restores them after a restart.
 //!
-//! The registry itself is soft state. After a loss of power of all hosts, though, callers come
-//! back before half of the upstreams have sent a heartbeat, and all of them would go to the
-//! few engines heard first: on one day 16 requests each to four of 18 engines, with up to
-//! 1.6 s to read there, while others had none. What is remembered is replaced by the first
-//! heartbeat, and gets nothing new without one after two heartbeat times.
+//! The registry itself is soft state, rebuilt from heartbeats. After a power failure of all hosts,
+//! though, callers return before half of the upstreams have sent a heartbeat, and all requests
+//! would go to the few engines heard first. In one such failure, four of 18 engines got 16 requests
+//! each, with up to 1.6 s of prefill queued, while other engines had none. The first heartbeat of
+//! an upstream replaces its restored record; without one, the upstream gets no new requests after
+//! two heartbeat intervals.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,24 +16,24 @@
 use crate::fleet::fleet_keeper::FleetKeeper;
 use crate::process::logging::part;
 
-/// The note that holds them.
-const FILE: &str = "upstreams";
+/// Name of the stored note.
+const NOTE_NAME: &str = "upstreams";
 
-/// Between two looks for changes: upstreams come and go a few times a minute, and each save is
-/// three syncs.
-const SAVE_EVERY: Duration = Duration::from_millis(500);
+/// Interval between two checks for changes. Upstreams register and depart a few times a minute, and
+/// each save costs three disk syncs.
+const SAVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Takes in what was saved before this process started.
+/// Restores the upstreams that an earlier process saved.
 pub(crate) fn recall_upstreams(fleet: &FleetKeeper, notes: &Notes) {
-    match notes.load::<Vec<Heartbeat>>(FILE) {
+    match notes.load::<Vec<Heartbeat>>(NOTE_NAME) {
         Ok(Some(known)) => {
-            log::info!(target: part::KEEPER, upstreams = known.len(); "Remembers upstreams");
+            log::info!(target: part::KEEPER, upstreams = known.len(); "Restored the saved upstreams");
             fleet.remember(&known);
         }
         Ok(None) => {}
-        // Heartbeats bring all of it again.
+        // Not fatal: heartbeats rebuild the registry.
         Err(error) => {
-            log::warn!(target: part::KEEPER, cause:% = error; "Remembers no upstreams");
+            log::warn!(target: part::KEEPER, cause:% = error; "Failed to load the saved upstreams");
         }
     }
 }
@@ -41,28 +42,28 @@
 pub(crate) async fn run_upstream_memory(fleet: Arc<FleetKeeper>, notes: Notes) {
     let mut saved = Cursor::default();
     loop {
-        clayplank_clock::sleep(SAVE_EVERY).await;
+        clayplank_clock::sleep(SAVE_INTERVAL).await;
         let Some((cursor, known)) = fleet.upstreams_after(saved) else {
             continue;
         };
         if let Err(error) = save(notes.clone(), known).await {
-            log::warn!(target: part::KEEPER, cause:% = error; "The upstreams were not saved");
+            log::warn!(target: part::KEEPER, cause:% = error; "Failed to save the registered upstreams; retries");
             continue;
         }
         saved = cursor;
     }
 }
 
-/// Why upstreams were not saved.
+/// Failure of a save.
 #[derive(Debug, thiserror::Error)]
 enum SaveError {
     #[error(transparent)]
     Store(#[from] StoreError),
-    #[error("the save ended without a result: {0}")]
+    #[error("the save task panicked or was cancelled: {0}")]
     Ended(#[from] tokio::task::JoinError),
 }
 
-/// Writes off the runtime's threads.
+/// Writes on a blocking thread, so that the disk does not stall the async runtime.
 async fn save(notes: Notes, known: Vec<Heartbeat>) -> Result<(), SaveError> {
-    Ok(tokio::task::spawn_blocking(move || notes.save(FILE, &known)).await??)
+    Ok(tokio::task::spawn_blocking(move || notes.save(NOTE_NAME, &known)).await??)
 }
--- a/clayplankd/src/owners.rs
+++ b/clayplankd/src/owners.rs
@@ -1,6 +1,7 @@
-//! Owners of pools, and the grants that entry hosts ask them for.
+//! Pool ownership: the scheduler on the host that owns a pool, and the grants that entry hosts
+//! request from it.
 
-pub(crate) mod orders;
+pub(crate) mod commands;
 pub(crate) mod owner;
 pub(crate) mod pools;
 pub(crate) mod reserve;
--- a/clayplankd/src/owners/owner.rs
+++ b/clayplankd/src/owners/owner.rs
@@ -1,4 +1,7 @@
-//! The owner of pools: the schedulers of the pools that this host owns.
+//! Actor that runs the schedulers of the pools that this host owns.
+//!
+//! Membership assigns each pool to one host, its owner, which grants the engines of the pool to
+//! requests of all entry hosts.
 
 mod engine_poll;
 
@@ -19,31 +22,32 @@
 
 use self::engine_poll::EnginePoll;
 use crate::keepers::keeper_client::KeeperClient;
-use crate::owners::orders::{OrderPlan, load_adapter};
+use crate::owners::commands::{AdapterLoadPlan, load_adapter};
 use crate::owners::pools::PoolDirectory;
 use crate::owners::upstreams::UpstreamStates;
 use crate::process::clock::{millis, now_ms};
 use crate::process::logging::part;
 use crate::process::membership::MembersView;
 
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which the owner follows membership changes and advances its schedulers.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Engines of a pool that was taken over have reported within this time, in ms: some reports,
-/// also on a host that is busy with its start.
-const FIRST_REPORTS_MS: u64 = 2_000;
+/// Time within which the engines of a newly acquired pool have reported their load, in ms. It spans
+/// several reports, to allow for a host that is busy with its start.
+const INITIAL_REPORT_PERIOD_MS: u64 = 2_000;
 
-/// What became of an ask.
+/// Result of a reservation request.
 #[derive(Clone, Debug)]
 pub(crate) enum Reserved {
-    /// It may run.
+    /// The request may run on the engines of the grant.
     Granted { grant: Grant, owner: Incarnation },
-    /// It does not run.
+    /// The request is refused.
     Refused(Refusal),
-    /// This host does not own the pool; who does.
+    /// This host does not own the pool. Names the owner, if known.
     NotOwner(Option<HostId>),
 }
 
-/// An answer, and the wait in the pool.
+/// Reply to a reservation request, with the current wait in the pool in ms.
 #[derive(Clone, Debug)]
 pub(crate) struct ReserveAnswer {
     pub(crate) reserved: Reserved,
@@ -52,20 +56,22 @@
 
 struct OwnedPool {
     scheduler: Scheduler,
-    taken_at_ms: u64,
-    polls: Vec<tokio::task::JoinHandle<()>>,
+    acquired_at_ms: u64,
+    poll_tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
 impl OwnedPool {
-    /// Whether engines of the model may only not have reported yet to their new owner.
+    /// Whether no engine of the model is known only because the reports to the new owner are
+    /// outstanding.
     fn awaits_reports(&self, model: &str) -> bool {
-        now_ms() < self.taken_at_ms + FIRST_REPORTS_MS && !self.scheduler.has_engine(model)
+        now_ms() < self.acquired_at_ms + INITIAL_REPORT_PERIOD_MS
+            && !self.scheduler.has_engine(model)
     }
 }
 
 impl Drop for OwnedPool {
     fn drop(&mut self) {
-        self.polls.iter().for_each(tokio::task::JoinHandle::abort);
+        self.poll_tasks.iter().for_each(tokio::task::JoinHandle::abort);
     }
 }
 
@@ -75,7 +81,7 @@
     reply: oneshot::Sender<ReserveAnswer>,
 }
 
-/// The actor.
+/// Actor that owns pools and answers reservation requests for them.
 #[derive(xtra::Actor)]
 pub(crate) struct Owner {
     settings: Arc<HostSettings>,
@@ -88,8 +94,8 @@
     pools: BTreeMap<PoolId, OwnedPool>,
     waiters: HashMap<RequestId, Waiter>,
     next_request: u64,
-    /// The actor's own address, once it has started.
-    own: Option<Address<Self>>,
+    /// Address of this actor; `None` until its first tick.
+    self_address: Option<Address<Self>>,
 }
 
 impl Owner {
@@ -113,38 +119,38 @@
             pools: BTreeMap::new(),
             waiters: HashMap::new(),
             next_request: 0,
-            own: None,
+            self_address: None,
         }
     }
 
-    /// Takes pools over and gives pools up, as the membership says.
+    /// Acquires and releases pools according to the current membership.
     fn follow_membership(&mut self) {
         let directory = Arc::clone(&self.directory);
         for pool in directory.iter() {
             let is_owner = self.members.owner_of(pool).as_ref() == Some(&self.settings.host);
             match (is_owner, self.pools.contains_key(pool)) {
-                (true, false) => self.take_over(pool.clone()),
-                (false, true) => self.give_up(pool),
+                (true, false) => self.acquire(pool.clone()),
+                (false, true) => self.release(pool),
                 (true, true) | (false, false) => {}
             }
         }
     }
 
-    fn take_over(&mut self, pool: PoolId) {
-        let Some(address) = self.own.clone() else {
+    fn acquire(&mut self, pool: PoolId) {
+        let Some(address) = self.self_address.clone() else {
             return;
         };
         log::info!(target: part::OWNER, "Owns pool {pool}.");
         let lease_ms = self.settings.timing.grant_lease_ms;
         let policy = Policy::builder().grant_lease_ms(lease_ms).seed(self.incarnation.0).build();
-        // Each take-over is a life of its own, so that older grants are known as such.
+        // Each acquisition is a new incarnation, so that grants of earlier ones are recognized.
         self.incarnation.0 += 1;
         let mut scheduler = Scheduler::new(policy).with_incarnation(self.incarnation);
-        let mut polls = Vec::new();
+        let mut poll_tasks = Vec::new();
         for engine in self.settings.engines().filter(|engine| engine.pool == pool) {
             let models = engine.models.iter().map(String::as_str);
             scheduler.add_engine(EngineSpec::new(engine.id.clone(), engine.memory_tokens, models));
-            // It gets work once its report shows what it runs already.
+            // The engine gets work only after a report shows what it already runs.
             scheduler.note_silent(&engine.id);
             let poll = EnginePoll {
                 owner: address.clone(),
@@ -154,13 +160,14 @@
                 address: engine.address,
                 interval: millis(self.settings.timing.load_interval_ms),
             };
-            polls.push(tokio::spawn(poll.run()));
+            poll_tasks.push(tokio::spawn(poll.run()));
         }
-        self.pools.insert(pool, OwnedPool { scheduler, taken_at_ms: now_ms(), polls });
+        self.pools.insert(pool, OwnedPool { scheduler, acquired_at_ms: now_ms(), poll_tasks });
     }
 
-    /// Those that wait ask the new owner; grants are told to it by their holders.
-    fn give_up(&mut self, pool: &PoolId) {
+    /// Releases a pool. Waiting requests get the reply [`Reserved::NotOwner`] and are then sent to
+    /// the new owner. It learns of existing grants from their holders.
+    fn release(&mut self, pool: &PoolId) {
         log::info!(target: part::OWNER, "No longer owns pool {pool}.");
         self.pools.remove(pool);
         let owner = self.members.owner_of(pool);
@@ -170,8 +177,8 @@
         }
     }
 
-    /// Carries out what a pool's scheduler decided.
-    fn carry_out(&mut self, pool: &PoolId) {
+    /// Executes the decisions of a pool's scheduler until there are no more.
+    fn execute_decisions(&mut self, pool: &PoolId) {
         while let Some(owned) = self.pools.get_mut(pool) {
             let decisions = owned.scheduler.take_decisions();
             if decisions.is_empty() {
@@ -182,23 +189,23 @@
             for decision in decisions {
                 match decision {
                     Decision::Granted(grant) if grant.load_adapter.is_some() => {
-                        self.start_load(pool, grant, owner, pool_wait_ms);
+                        self.start_adapter_load(pool, grant, owner, pool_wait_ms);
                     }
                     Decision::Granted(grant) => {
                         let request_id = grant.request_id;
                         let grant_id = grant.grant_id;
-                        let answer = ReserveAnswer {
+                        let reply = ReserveAnswer {
                             reserved: Reserved::Granted { grant, owner },
                             pool_wait_ms,
                         };
-                        if !self.answer(request_id, answer) {
-                            self.drop_grant(pool, grant_id);
+                        if !self.reply(request_id, reply) {
+                            self.cancel_unused_grant(pool, grant_id);
                         }
                     }
                     Decision::Refused(request_id, refusal) => {
-                        let answer =
+                        let reply =
                             ReserveAnswer { reserved: Reserved::Refused(refusal), pool_wait_ms };
-                        self.answer(request_id, answer);
+                        self.reply(request_id, reply);
                     }
                     Decision::Cancel(engine, attempt_id) => self.start_cancel(&engine, attempt_id),
                 }
@@ -206,14 +213,21 @@
         }
     }
 
-    /// Has the adapter loaded by every engine of a grant, and gives the grant then.
-    fn start_load(&mut self, pool: &PoolId, grant: Grant, owner: Incarnation, pool_wait_ms: u64) {
+    /// Starts loading the adapter on every engine of a grant, and replies with the grant once it is
+    /// loaded.
+    fn start_adapter_load(
+        &mut self,
+        pool: &PoolId,
+        grant: Grant,
+        owner: Incarnation,
+        pool_wait_ms: u64,
+    ) {
         let (Some(waiter), Some(address)) =
-            (self.waiters.remove(&grant.request_id), self.own.clone())
+            (self.waiters.remove(&grant.request_id), self.self_address.clone())
         else {
-            return self.drop_grant(pool, grant.grant_id);
+            return self.cancel_unused_grant(pool, grant.grant_id);
         };
-        let plan = OrderPlan::new(&self.settings, &grant, &self.keepers, &self.engines);
+        let plan = AdapterLoadPlan::new(&self.settings, &grant, &self.keepers, &self.engines);
         let pool = pool.clone();
         tokio::spawn(async move {
             let loaded = load_adapter(&plan).await;
@@ -223,23 +237,23 @@
                 Err(refusal) => Reserved::Refused(refusal),
             };
             let is_received = waiter.reply.send(ReserveAnswer { reserved, pool_wait_ms }).is_ok();
-            let loaded = Loaded {
+            let loaded = AdapterLoaded {
                 pool,
                 plan,
                 is_loaded,
-                unused: (!is_loaded || !is_received).then_some(grant_id),
+                unused_grant: (!is_loaded || !is_received).then_some(grant_id),
             };
             address.send(loaded).await.ok();
         });
     }
 
-    /// Whether somebody still waited for the answer.
-    fn answer(&mut self, request_id: RequestId, answer: ReserveAnswer) -> bool {
-        self.waiters.remove(&request_id).is_some_and(|waiter| waiter.reply.send(answer).is_ok())
+    /// Replies to a waiting request. Returns whether its sender still waited.
+    fn reply(&mut self, request_id: RequestId, reply: ReserveAnswer) -> bool {
+        self.waiters.remove(&request_id).is_some_and(|waiter| waiter.reply.send(reply).is_ok())
     }
 
-    /// A grant that nobody received was never used.
-    fn drop_grant(&mut self, pool: &PoolId, grant_id: GrantId) {
+    /// Ends a grant that was never used because nobody received it.
+    fn cancel_unused_grant(&mut self, pool: &PoolId, grant_id: GrantId) {
         if let Some(owned) = self.pools.get_mut(pool) {
             owned.scheduler.finish(
                 now_ms(),
@@ -256,9 +270,10 @@
         let edge = Arc::clone(&self.engines);
         let engine = engine.clone();
         tokio::spawn(async move {
-            // If this fails, the memory comes back with the report that no longer lists the attempt.
+            // If this fails, the memory is released by the load report that no longer lists the
+            // attempt.
             if let Err(error) = edge.cancel(address, attempt_id).await {
-                log::warn!(target: part::OWNER, "Attempt {attempt_id} at {engine} was not cancelled: {error}.");
+                log::warn!(target: part::OWNER, "Failed to cancel attempt {attempt_id} at {engine}: {error}.");
             }
         });
     }
@@ -267,17 +282,18 @@
         self.settings.engines().find(|entry| entry.id == *engine).map(|entry| entry.address)
     }
 
-    /// Changes one pool's scheduler and carries out what follows.
+    /// Applies a change to the scheduler of an owned pool and executes the resulting decisions.
     fn with_pool(&mut self, pool: &PoolId, change: impl FnOnce(&mut Scheduler)) {
         if let Some(owned) = self.pools.get_mut(pool) {
             change(&mut owned.scheduler);
-            self.carry_out(pool);
+            self.execute_decisions(pool);
         }
     }
 
-    fn forget_absent_waiters(&mut self) {
+    /// Withdraws waiting requests whose sender no longer waits for a reply.
+    fn withdraw_closed_waiters(&mut self) {
         for (request_id, waiter) in self.waiters.extract_if(|_, waiter| waiter.reply.is_closed()) {
-            log::debug!(target: part::OWNER, "Attempt {} is no longer waited for.", waiter.attempt_id);
+            log::debug!(target: part::OWNER, "Withdrew attempt {}: its sender stopped waiting.", waiter.attempt_id);
             if let Some(owned) = self.pools.get_mut(&waiter.pool) {
                 owned.scheduler.withdraw(request_id);
             }
@@ -285,16 +301,16 @@
     }
 }
 
-/// Lets time pass.
+/// Periodic message that advances the schedulers to the current time.
 struct Tick;
 
 impl Handler<Tick> for Owner {
     type Return = ();
 
     async fn handle(&mut self, _: Tick, context: &mut Context<Self>) {
-        self.own = context.mailbox().address().try_upgrade();
+        self.self_address = context.mailbox().address().try_upgrade();
         self.follow_membership();
-        self.forget_absent_waiters();
+        self.withdraw_closed_waiters();
         let leaving = self.upstreams.leaving();
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             self.with_pool(&pool, |scheduler| {
@@ -305,11 +321,11 @@
     }
 }
 
-/// A request asks for engines of a pool.
+/// Message: a request for engines of a pool.
 pub(crate) struct Reserve {
     pub(crate) pool: PoolId,
     pub(crate) holder: Holder,
-    /// Its `request_id` is set by the owner, and its deadline is absolute here.
+    /// The owner sets its `request_id`. Its deadline is absolute, by the local clock.
     pub(crate) ask: Ask,
 }
 
@@ -319,7 +335,8 @@
     async fn handle(&mut self, reserve: Reserve, _: &mut Context<Self>) -> Self::Return {
         let Reserve { pool, holder, mut ask } = reserve;
         let (reply, receiver) = oneshot::channel();
-        // One that asks too soon after the pool was taken asks again, as in a hand-over.
+        // A request that arrives too soon after the acquisition is repeated by its sender, as after
+        // a change of the owner.
         if self.pools.get(&pool).is_none_or(|owned| owned.awaits_reports(&ask.model)) {
             let reserved = Reserved::NotOwner(self.members.owner_of(&pool));
             reply.send(ReserveAnswer { reserved, pool_wait_ms: 0 }).ok();
@@ -334,7 +351,7 @@
     }
 }
 
-/// The first token of a grant's answer was seen.
+/// Message: the first token under a grant was received.
 pub(crate) struct FirstToken {
     pub(crate) pool: PoolId,
     pub(crate) owner: Incarnation,
@@ -353,7 +370,7 @@
     }
 }
 
-/// A grant has ended.
+/// Message: a grant has ended.
 pub(crate) struct Finish {
     pub(crate) pool: PoolId,
     pub(crate) attempt_id: AttemptId,
@@ -370,7 +387,7 @@
     }
 }
 
-/// A host renews its grants, by pool.
+/// Message: a host renews its grants, which are listed by pool.
 pub(crate) struct Renew {
     pub(crate) holder: Holder,
     pub(crate) held: BTreeMap<PoolId, Vec<HeldGrant>>,
@@ -387,17 +404,17 @@
     }
 }
 
-/// An engine told of its load, or did not answer for too long.
-struct Reported {
+/// Message: the load report of an engine, or `None` if the engine is unresponsive.
+struct LoadReported {
     pool: PoolId,
     engine: UpstreamId,
     report: Option<LoadReport>,
 }
 
-impl Handler<Reported> for Owner {
+impl Handler<LoadReported> for Owner {
     type Return = ();
 
-    async fn handle(&mut self, reported: Reported, _: &mut Context<Self>) {
+    async fn handle(&mut self, reported: LoadReported, _: &mut Context<Self>) {
         self.with_pool(&reported.pool, |scheduler| match reported.report {
             Some(report) => {
                 let report = EngineReport {
@@ -414,7 +431,7 @@
     }
 }
 
-/// An engine told what its cache holds.
+/// Message: new cache events of an engine.
 struct CacheChanged {
     pool: PoolId,
     engine: UpstreamId,
@@ -437,31 +454,31 @@
     }
 }
 
-/// The engines of a grant were ordered to load an adapter.
-struct Loaded {
+/// Message: the adapter load for a grant has finished or failed.
+struct AdapterLoaded {
     pool: PoolId,
-    plan: OrderPlan,
+    plan: AdapterLoadPlan,
     is_loaded: bool,
-    /// The grant, if nobody uses it.
-    unused: Option<GrantId>,
+    /// The grant, if the load failed or nobody received the reply.
+    unused_grant: Option<GrantId>,
 }
 
-impl Handler<Loaded> for Owner {
+impl Handler<AdapterLoaded> for Owner {
     type Return = ();
 
-    async fn handle(&mut self, loaded: Loaded, _: &mut Context<Self>) {
+    async fn handle(&mut self, loaded: AdapterLoaded, _: &mut Context<Self>) {
         self.with_pool(&loaded.pool, |scheduler| {
             for engine in loaded.plan.engines().filter(|_| loaded.is_loaded) {
                 scheduler.note_adapter(engine, loaded.plan.adapter());
             }
         });
-        if let Some(grant_id) = loaded.unused {
-            self.drop_grant(&loaded.pool, grant_id);
+        if let Some(grant_id) = loaded.unused_grant {
+            self.cancel_unused_grant(&loaded.pool, grant_id);
         }
     }
 }
 
-/// Sums over the pools that this host owns.
+/// Message: returns the totals of each pool that this host owns.
 pub(crate) struct PoolTotals;
 
 impl Handler<PoolTotals> for Owner {
@@ -472,9 +489,9 @@
     }
 }
 
-/// Ticks until the actor is gone.
+/// Sends ticks until the actor has stopped.
 pub(crate) async fn run_owner(owner: Address<Owner>) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
--- a/clayplankd/src/owners/owner/engine_poll.rs
+++ b/clayplankd/src/owners/owner/engine_poll.rs
@@ -1,4 +1,4 @@
-//! Asks an engine of an owned pool for its load and its cache events.
+//! Polls an engine of an owned pool for its load and its cache events.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,15 +8,15 @@
 use clayplank_upstream::EngineEdge;
 use xtra::Address;
 
-use super::{CacheChanged, Owner, Reported};
+use super::{CacheChanged, LoadReported, Owner};
 
-/// Load reports that may fail in a row before an engine counts as silent.
+/// Number of consecutive failed load reports after which an engine counts as unresponsive.
 const MAX_MISSED_REPORTS: u32 = 3;
 
-/// Between two questions for cache events, in load reports.
+/// Number of load reports between two requests for cache events.
 const REPORTS_PER_CACHE_POLL: u32 = 4;
 
-/// Asks one engine for its load and its cache events.
+/// Polls one engine for its load and its cache events.
 pub(super) struct EnginePoll {
     pub(super) owner: Address<Owner>,
     pub(super) edge: Arc<dyn EngineEdge>,
@@ -28,27 +28,29 @@
 
 impl EnginePoll {
     pub(super) async fn run(self) {
-        let mut missed = 0;
-        let mut polls = 0_u32;
+        let mut failed_reports = 0;
+        let mut report_count = 0_u32;
         let mut last_event = 0;
         loop {
             let report = self.edge.load(self.address).await.ok();
-            missed = if report.is_some() { 0 } else { missed + 1 };
-            if report.is_some() || missed >= MAX_MISSED_REPORTS {
+            failed_reports = if report.is_some() { 0 } else { failed_reports + 1 };
+            if report.is_some() || failed_reports >= MAX_MISSED_REPORTS {
                 let reported =
-                    Reported { pool: self.pool.clone(), engine: self.engine.clone(), report };
+                    LoadReported { pool: self.pool.clone(), engine: self.engine.clone(), report };
                 if self.owner.send(reported).await.is_err() {
                     return;
                 }
             }
-            polls = polls.wrapping_add(1);
-            if polls.is_multiple_of(REPORTS_PER_CACHE_POLL) {
+            report_count = report_count.wrapping_add(1);
+            if report_count.is_multiple_of(REPORTS_PER_CACHE_POLL) {
                 last_event = self.poll_cache(last_event).await;
             }
             clayplank_clock::sleep(self.interval).await;
         }
     }
 
+    /// Sends the cache events after sequence number `after` to the owner. Returns the newest
+    /// sequence number.
     async fn poll_cache(&self, after: u64) -> u64 {
         let Ok(events) = self.edge.cache_events(self.address, after).await else {
             return after;
--- a/clayplankd/src/owners/pools.rs
+++ b/clayplankd/src/owners/pools.rs
@@ -1,15 +1,15 @@
-//! Which pools serve which models, looked up once from the settings.
+//! Directory of pools by model, built once from the settings.
 
 use std::collections::BTreeMap;
 
 use clayplank_settings::HostSettings;
 use clayplank_types::{DataCentre, PoolId};
 
-/// Pools by model, and where each pool stands.
+/// Pools that serve each model, and the data centre of each pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolDirectory {
     by_model: BTreeMap<String, Vec<PoolId>>,
-    /// A pool stands where its first engine does.
+    /// Data centre of the first engine of each pool.
     data_centres: BTreeMap<PoolId, DataCentre>,
 }
 
@@ -31,17 +31,17 @@
         directory
     }
 
-    /// The pools that serve a model.
+    /// Pools that serve `model`, in the order of the settings; empty for an unknown model.
     pub(crate) fn of_model(&self, model: &str) -> &[PoolId] {
         self.by_model.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Every model.
+    /// All models that some pool serves.
     pub(crate) fn models(&self) -> impl Iterator<Item = &String> {
         self.by_model.keys()
     }
 
-    /// Every pool.
+    /// All pools, in the order of their ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &PoolId> {
         self.data_centres.keys()
     }
--- a/clayplankd/src/owners/reserve.rs
+++ b/clayplankd/src/owners/reserve.rs
@@ -1,4 +1,4 @@
-//! Asks owners for grants, keeps them renewed, and ends them.
+//! Requests grants from the owners of pools, renews them, and reports their end.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,19 +20,20 @@
 use crate::process::logging::part;
 use crate::process::peers::PeerError;
 
-/// Between two asks while an owner cannot be reached or has just changed.
-const OWNER_RETRY: Duration = Duration::from_millis(100);
+/// Delay before a request is repeated while the owner cannot be reached or has just changed.
+const OWNER_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Time for a small message to an owner.
-const SHORT_PATIENCE: Duration = Duration::from_millis(1_000);
+/// Time-out of a notification or renewal sent to an owner.
+const OWNER_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// When no owner could be reached, one may be there after this time.
-const UNREACHABLE_RETRY_MS: u64 = 500;
+/// Retry hint for the caller when no owner could be reached, in ms.
+const OWNER_UNREACHABLE_RETRY_MS: u64 = 500;
 
-/// A pool in another data centre counts as this much further away.
-const FAR_POOL_MS: u64 = 3;
+/// Distance of a pool in another data centre, in ms. It is added to the wait when pools are
+/// compared.
+const REMOTE_POOL_DISTANCE_MS: u64 = 3;
 
-/// What an entry host remembers of a grant.
+/// A grant that this entry host holds.
 #[derive(Clone, Debug)]
 pub(crate) struct Held {
     pub(crate) pool: PoolId,
@@ -41,7 +42,7 @@
     pub(crate) engine_priority: EnginePriority,
 }
 
-/// Every grant that this host holds.
+/// All grants that this host holds, by attempt.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HeldGrants {
     grants: Arc<Mutex<HashMap<AttemptId, Held>>>,
@@ -64,7 +65,7 @@
     }
 }
 
-/// The wait in each pool, as its owner told last.
+/// Current wait in each pool, as its owner reported it last.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolWaits {
     waits_ms: Arc<Mutex<HashMap<PoolId, u64>>>,
@@ -80,49 +81,52 @@
     }
 }
 
-/// Asks for engines until a grant or a refusal comes, or the deadline is over.
+/// Requests engines until a grant or a refusal arrives, or the deadline has passed.
 pub(crate) async fn reserve(host: &Host, ask: &Ask, deadline: Instant) -> Result<Held, Refusal> {
     let pools = host.pools.of_model(&ask.model);
     let loads: Vec<_> = pools.iter().map(|pool| pool_load(host, pool)).collect();
     let Some(chosen) = choose_pool(&loads, &mut rand::rng()) else {
-        return Err(Refusal::new(RefusalReason::NoEngine, UNREACHABLE_RETRY_MS));
+        return Err(Refusal::new(RefusalReason::NoEngine, OWNER_UNREACHABLE_RETRY_MS));
     };
     let mut pool = chosen.pool.clone();
     loop {
-        let left = deadline.saturating_duration_since(Instant::now());
-        if left.is_zero() {
-            return Err(Refusal::new(RefusalReason::OwnerUnreachable, UNREACHABLE_RETRY_MS));
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
+            return Err(Refusal::new(RefusalReason::OwnerUnreachable, OWNER_UNREACHABLE_RETRY_MS));
         }
-        match reserve_in(host, &pool, ask, left).await {
-            Ok(Answer::Granted(held)) => {
+        match reserve_in(host, &pool, ask, remaining).await {
+            Ok(ReserveOutcome::Granted(held)) => {
                 host.held.insert(held.clone());
                 return Ok(held);
             }
-            Ok(Answer::Refused(refusal)) => match next_pool(pools, &pool, refusal) {
-                Some(other) => pool = other,
+            Ok(ReserveOutcome::Refused(refusal)) => match next_pool(pools, &pool, refusal) {
+                Some(next) => pool = next,
                 None => return Err(refusal),
             },
-            // Nothing was dispatched yet: asking again is safe.
-            Ok(Answer::NotOwner) | Err(_) => clayplank_clock::sleep(OWNER_RETRY.min(left)).await,
+            // Nothing was dispatched yet, so repeating the request is safe.
+            Ok(ReserveOutcome::NotOwner) | Err(_) => {
+                clayplank_clock::sleep(OWNER_RETRY_DELAY.min(remaining)).await
+            }
         }
     }
 }
 
-/// A pool without a live engine for the model is not the only one, perhaps.
+/// Returns the next pool of the model if the tried one has no live engine for it.
 fn next_pool(pools: &[PoolId], tried: &PoolId, refusal: Refusal) -> Option<PoolId> {
     let position = pools.iter().position(|pool| pool == tried)?;
-    let is_elsewhere = refusal.reason == RefusalReason::NoEngine && position + 1 < pools.len();
-    is_elsewhere.then(|| pools[position + 1].clone())
+    let has_next = refusal.reason == RefusalReason::NoEngine && position + 1 < pools.len();
+    has_next.then(|| pools[position + 1].clone())
 }
 
 fn pool_load(host: &Host, pool: &PoolId) -> PoolLoad {
-    let own = host.settings.own_entry().map(|entry| &entry.data_centre);
-    let is_near = host.pools.data_centre(pool) == own;
-    let distance_ms = if is_near { 0 } else { FAR_POOL_MS };
+    let local_data_centre = host.settings.own_entry().map(|entry| &entry.data_centre);
+    let is_local = host.pools.data_centre(pool) == local_data_centre;
+    let distance_ms = if is_local { 0 } else { REMOTE_POOL_DISTANCE_MS };
     PoolLoad { pool: pool.clone(), wait_ms: host.pool_waits.get(pool), distance_ms }
 }
 
-enum Answer {
+/// Result of one reservation request to an owner.
+enum ReserveOutcome {
     Granted(Held),
     Refused(Refusal),
     NotOwner,
@@ -132,21 +136,21 @@
     host: &Host,
     pool: &PoolId,
     ask: &Ask,
-    left: Duration,
-) -> Result<Answer, PeerError> {
+    remaining: Duration,
+) -> Result<ReserveOutcome, PeerError> {
     let Some(owner) = host.members.owner_of(pool) else {
-        return Ok(Answer::NotOwner);
+        return Ok(ReserveOutcome::NotOwner);
     };
-    let request = to_wire(host, pool, ask, left);
+    let request = to_wire(host, pool, ask, remaining);
     let reply = host
         .peers
-        .call(&owner, left, |mut client| async move { client.reserve(request).await })
+        .call(&owner, remaining, |mut client| async move { client.reserve(request).await })
         .await?;
     host.pool_waits.set(pool, reply.pool_wait_ms);
     Ok(from_wire(pool, ask, reply))
 }
 
-fn to_wire(host: &Host, pool: &PoolId, ask: &Ask, left: Duration) -> ReserveRequest {
+fn to_wire(host: &Host, pool: &PoolId, ask: &Ask, remaining: Duration) -> ReserveRequest {
     ReserveRequest {
         pool: pool.to_string(),
         from_host: host.settings.host.to_string(),
@@ -159,22 +163,22 @@
         adapter: ask.adapter.clone().unwrap_or_default(),
         prompt_tokens: ask.prompt_tokens,
         max_output_tokens: ask.max_output_tokens,
-        deadline_in_ms: left.as_millis() as u64,
+        deadline_in_ms: remaining.as_millis() as u64,
         prefix_hashes: ask.prefix_hashes.clone(),
         avoid_engines: ask.avoid.iter().map(ToString::to_string).collect(),
     }
 }
 
-fn from_wire(pool: &PoolId, ask: &Ask, reply: ReserveReply) -> Answer {
+fn from_wire(pool: &PoolId, ask: &Ask, reply: ReserveReply) -> ReserveOutcome {
     let granted = match reply.result {
         Some(reserve_reply::Result::Granted(granted)) => granted,
         Some(reserve_reply::Result::Refused(refused)) => {
-            return Answer::Refused(Refusal::new(
-                read_reason(&refused.reason),
+            return ReserveOutcome::Refused(Refusal::new(
+                parse_reason(&refused.reason),
                 refused.retry_after_ms,
             ));
         }
-        Some(reserve_reply::Result::NotOwner(_)) | None => return Answer::NotOwner,
+        Some(reserve_reply::Result::NotOwner(_)) | None => return ReserveOutcome::NotOwner,
     };
     let grant = HeldGrant {
         grant_id: GrantId(granted.grant_id),
@@ -184,7 +188,7 @@
     };
     let engine_priority =
         EnginePriority(u8::try_from(granted.engine_priority_rank).unwrap_or(u8::MAX));
-    Answer::Granted(Held {
+    ReserveOutcome::Granted(Held {
         pool: pool.clone(),
         account: ask.account.to_string(),
         grant,
@@ -208,13 +212,13 @@
     }
 }
 
-/// Reads what an owner wrote; one of a newer version may have other reasons.
-fn read_reason(text: &str) -> RefusalReason {
+/// Parses a refusal reason. An owner of a newer version may send reasons that are unknown here.
+fn parse_reason(text: &str) -> RefusalReason {
     serde_json::from_value(serde_json::Value::from(text))
         .unwrap_or(RefusalReason::DeadlineOutOfReach)
 }
 
-/// Tells the owner that the prompt was read.
+/// Notifies the owner that the first token arrived, which means that the prefill is complete.
 pub(crate) async fn tell_first_token(host: &Host, held: &Held) {
     let request = FirstTokenRequest {
         pool: held.pool.to_string(),
@@ -222,19 +226,18 @@
         owner_incarnation: held.grant.owner.0,
     };
     if let Some(owner) = host.members.owner_of(&held.pool) {
-        // If it is lost, the owner learns the same from the end of the grant.
+        // If the notification is lost, the end of the grant tells the owner the same.
         host.peers
-            .call(
-                &owner,
-                SHORT_PATIENCE,
-                |mut client| async move { client.first_token(request).await },
-            )
+            .call(&owner, OWNER_CALL_TIMEOUT, |mut client| async move {
+                client.first_token(request).await
+            })
             .await
             .ok();
     }
 }
 
-/// Ends a grant. If the owner does not hear of it, the grant lapses there.
+/// Ends a grant and notifies the owner. If the notification is lost, the grant expires at the
+/// owner.
 pub(crate) async fn finish(host: &Host, held: &Held, usage: Usage) {
     host.held.remove(held.grant.attempt_id);
     let request = FinishRequest {
@@ -252,13 +255,13 @@
     };
     let call = host
         .peers
-        .call(&owner, SHORT_PATIENCE, |mut client| async move { client.finish(request).await });
+        .call(&owner, OWNER_CALL_TIMEOUT, |mut client| async move { client.finish(request).await });
     if let Err(error) = call.await {
-        log::debug!(target: part::CALLERS, "The end of {} was not told: {error}.", held.grant.attempt_id);
+        log::debug!(target: part::CALLERS, "Failed to notify the owner of the end of attempt {}: {error}.", held.grant.attempt_id);
     }
 }
 
-/// Renews all grants, with one message for each owner.
+/// Renews all held grants periodically, with one message to each owner.
 pub(crate) async fn run_renewals(host: Arc<Host>) {
     let interval = millis(host.settings.timing.grant_lease_ms / 4);
     loop {
@@ -269,8 +272,8 @@
                 let call = |mut client: clayplank_wire::inner_client::InnerClient<_>| async move {
                     client.renew(request).await
                 };
-                if let Err(error) = host.peers.call(&owner, SHORT_PATIENCE, call).await {
-                    log::debug!(target: part::CALLERS, "Grants were not renewed: {error}.");
+                if let Err(error) = host.peers.call(&owner, OWNER_CALL_TIMEOUT, call).await {
+                    log::debug!(target: part::CALLERS, "Failed to renew grants at {owner}: {error}.");
                 }
             });
         }
@@ -300,7 +303,8 @@
     requests
 }
 
-/// An ask as the request itself knows it.
+/// Creates a reservation request. The owner assigns the request id, and the caller sets the
+/// deadline.
 pub(crate) fn new_ask(
     attempt_id: AttemptId,
     account: clayplank_types::AccountId,
--- a/clayplankd/src/owners/upstreams.rs
+++ b/clayplankd/src/owners/upstreams.rs
@@ -1,11 +1,11 @@
-//! Which upstreams are leaving, whoever said so first.
+//! Upstreams that are shutting down, as this host knows them.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, RwLock};
 
 use clayplank_types::UpstreamId;
 
-/// Upstreams that get no new work from this host.
+/// Set of upstreams that are shutting down and get no new work from this host.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpstreamStates {
     leaving: Arc<RwLock<BTreeSet<UpstreamId>>>,
@@ -16,7 +16,7 @@
         self.leaving.read().is_ok_and(|leaving| leaving.contains(id))
     }
 
-    /// Takes in the platform's newest list; one that is live again comes back.
+    /// Replaces the set by the newest one. An upstream that is no longer in it gets work again.
     pub(crate) fn set_leaving(&self, ids: BTreeSet<UpstreamId>) {
         if let Ok(mut leaving) = self.leaving.write() {
             *leaving = ids;
