--- a/clayplankd/src/fleet/fleet_keeper.rs
+++ b/clayplankd/src/fleet/fleet_keeper.rs
@@ -130,8 +130,8 @@
         let mut is_urgent = false;
         for heartbeat in heartbeats {
             if registry.apply(now_ms, heartbeat) {
-                // An upstream that accepts no new work must get none from now on. A new upstream
-                // can wait for the next batch.
+                // Followers must learn immediately of an upstream that accepts no new work. A new
+                // upstream can wait for the next check of record ages.
                 is_urgent |= heartbeat.standing != Standing::Ready;
                 self.has_unsent_updates.store(true, Ordering::SeqCst);
                 log_status(heartbeat);
@@ -254,9 +254,9 @@
         }
     }
 
-    /// Marks upstreams without a heartbeat for `unresponsive_after_ms` as unresponsive, removes old records and
-    /// placements of failed hosts, and notifies followers of changes. Each follower thus gets one
-    /// response per check, not one per upstream that registers.
+    /// Marks upstreams without a heartbeat for `unresponsive_after_ms` as unresponsive, removes old
+    /// records and placements of failed hosts, and notifies followers of changes. Each follower
+    /// thus gets one response per check, not one per upstream that registers.
     fn expire_records(&self, unresponsive_after_ms: u64) {
         self.queried_hosts.store(0, Ordering::SeqCst);
         lock(&self.fleet).drop_lost(fleet_now_ms());
@@ -488,9 +488,10 @@
         heartbeats.filter(|one| buckets.contains(&one.id)).cloned().collect()
     }
 
-    /// Takes the plan out of `delta` and returns it packed: as an edit of the version `plan_version`,
-    /// which the follower has, or complete if that version is no longer known here. Returns an empty
-    /// vector and leaves `delta` unchanged if it has no plan or its plan is not the newest.
+    /// Takes the plan out of `delta` and returns it packed: as an edit of the version
+    /// `plan_version`, which the follower has, or complete if that version is no longer known here.
+    /// Returns an empty vector and leaves `delta` unchanged if it has no plan or its plan is not
+    /// the newest.
     pub(crate) fn take_edit(&self, delta: &mut Delta, plan_version: u64) -> Vec<u8> {
         let Some(document) = &delta.plan else {
             return Vec::new();
--- a/clayplankd/src/fleet/mirror.rs
+++ b/clayplankd/src/fleet/mirror.rs
@@ -59,7 +59,9 @@
     next_prune_ms: u64,
     /// Time of the last update that was received or made here, in ms.
     updated_ms: u64,
+    /// Placements made here that were not sent yet.
     placed: Vec<Renewed>,
+    /// Events that were not sent yet.
     events: Vec<(PlacementId, Event)>,
 }
 
--- a/clayplankd/src/fleet/sightings.rs
+++ b/clayplankd/src/fleet/sightings.rs
@@ -1,8 +1,8 @@
 //! Reports to the keepers which requests were running when an upstream terminated, and claims
 //! trials.
 //!
-//! A request that terminates several upstreams in succession is quarantined by the keepers. A trial
-//! is the permission to run such a request once more.
+//! The keepers quarantine a request that terminates several upstreams in succession. A trial is the
+//! permission to run a quarantined request once, which shows whether upstreams survive it now.
 
 use std::time::Duration;
 
@@ -94,7 +94,7 @@
         if batch.is_empty() {
             return;
         }
-        // Repeating is safe: keepers count each sighting once, by its incarnation and time.
+        // Repeating is safe: for each request, the keepers count a terminated upstream only once.
         let sightings = batch.iter().map(|one| to_sighting(incarnation, one)).collect();
         match keepers.execute(&Body::NoteSightings(sightings), COMMAND_TIMEOUT).await {
             Ok(Reply::Noted(verdicts)) => {
--- a/clayplankd/src/fleet/spread.rs
+++ b/clayplankd/src/fleet/spread.rs
@@ -21,8 +21,8 @@
 const BATCH_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The same interval on a host without a disk. It is longer because there are hundreds of such
-/// hosts; an upstream counts as unresponsive only after several missing heartbeats, so the delay is
-/// harmless.
+/// hosts. The delay is tolerable, as an upstream counts as unresponsive only after several missing
+/// heartbeats.
 const DISKLESS_BATCH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time-out of a call that relays heartbeats. The next heartbeat makes up for a lost one.
--- a/clayplankd/src/owners/owner.rs
+++ b/clayplankd/src/owners/owner.rs
@@ -61,8 +61,7 @@
 }
 
 impl OwnedPool {
-    /// Whether no engine of the model is known only because the reports to the new owner are
-    /// outstanding.
+    /// Whether the model may lack engines only because they have not reported to the new owner yet.
     fn awaits_reports(&self, model: &str) -> bool {
         now_ms() < self.acquired_at_ms + INITIAL_REPORT_PERIOD_MS
             && !self.scheduler.has_engine(model)
--- a/clayplankd/src/owners/reserve.rs
+++ b/clayplankd/src/owners/reserve.rs
@@ -26,7 +26,7 @@
 /// Time-out of a notification or renewal sent to an owner.
 const OWNER_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Retry hint for the caller when no owner could be reached, in ms.
+/// Retry hint for the caller when no pool serves the model or no owner could be reached, in ms.
 const OWNER_UNREACHABLE_RETRY_MS: u64 = 500;
 
 /// Distance of a pool in another data centre, in ms. It is added to the wait when pools are
--- a/clayplankd/src/owners/upstreams.rs
+++ b/clayplankd/src/owners/upstreams.rs
@@ -1,4 +1,5 @@
-//! Upstreams that are shutting down, as this host knows them.
+//! Upstreams that are leaving (shutting down), shared by all tasks of this host, whichever of them
+//! learns it first.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, RwLock};
@@ -16,7 +17,8 @@
         self.leaving.read().is_ok_and(|leaving| leaving.contains(id))
     }
 
-    /// Replaces the set by the newest one. An upstream that is no longer in it gets work again.
+    /// Replaces the set by the platform's newest list. An upstream that is no longer listed gets
+    /// work again.
     pub(crate) fn set_leaving(&self, ids: BTreeSet<UpstreamId>) {
         if let Ok(mut leaving) = self.leaving.write() {
             *leaving = ids;
