--- a/clayplankd/tests/faults/answers.rs
+++ b/clayplankd/tests/faults/answers.rs
@@ -1,4 +1,4 @@
-//! Answers are whole, whatever becomes of engines.
+//! Callers get complete answers, and only their own, when engines fail.
 
 use clayplank_standin::FaultKind;
 use rstest::rstest;
--- a/clayplankd/tests/faults/capacity.rs
+++ b/clayplankd/tests/faults/capacity.rs
@@ -1,4 +1,4 @@
-//! What engines hold comes back, whoever fails.
+//! Capacity reserved at engines is released whichever process fails.
 
 use crate::common::{assert_whole, slow_engines, start_stream, streamed_text};
 use crate::harness::{Engine, HOSTS, System, wait_for};
--- a/clayplankd/tests/faults/claims.rs
+++ b/clayplankd/tests/faults/claims.rs
@@ -1,4 +1,4 @@
-//! What may run once runs once, and orders are fenced.
+//! Requests that may run once run at most once, and commands to engines carry a fencing token.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 use crate::common::quick_engines;
 use crate::harness::{ACCOUNT_KEY, DALA_KEY, Engine, HOSTS, System, bearer, wait_for};
 
-/// What callers were told of each post, by its key.
+/// Outcomes that callers received for each post, by idempotency key.
 #[derive(Default)]
 pub struct Told {
     outcomes: Mutex<BTreeMap<String, Vec<String>>>,
 }
 
 impl Told {
-    /// Sends the same post at two hosts, as a caller that lost its answer does.
+    /// Sends the same post to two hosts in turn, as a caller does whose first answer was lost.
     pub fn post_twice(
         &self,
         addresses: &[SocketAddr],
@@ -39,13 +39,14 @@
         }
     }
 
-    /// How many were answered so far.
+    /// Number of posts answered so far.
     fn answered(&self) -> usize {
         let outcomes = self.outcomes.lock().unwrap();
         outcomes.values().flatten().filter(|outcome| *outcome == "answered").count()
     }
 
-    /// Compares what was told with what the service ran; returns how many were answered.
+    /// Compares the reported outcomes with what the service ran, and returns how many posts were
+    /// answered.
     pub fn check(self, runs: &BTreeMap<String, u64>) -> usize {
         assert!(runs.values().all(|&count| count == 1), "{runs:?}");
         let told = self.outcomes.into_inner().unwrap();
@@ -62,8 +63,9 @@
     }
 }
 
-/// Posts that are answered before the next kill. Each lost answer holds a caller up for over a
-/// second: how many get through in a given time depends on what else the machine does.
+/// Posts that must be answered before the next host is killed. Each lost answer blocks a caller for
+/// more than a second, so the number that completes in a fixed time depends on the load of the
+/// machine.
 const ANSWERED_A_ROUND: usize = 3;
 
 #[test]
--- a/clayplankd/tests/faults/common.rs
+++ b/clayplankd/tests/faults/common.rs
@@ -1,4 +1,4 @@
-//! Engines, streams and texts that several tests use.
+//! Engines, streams and text helpers shared by several tests.
 
 use serde_json::{Value, json};
 
@@ -12,7 +12,7 @@
     vec![Engine::start(60, 40.0), Engine::start(60, 40.0)]
 }
 
-/// Starts a streamed answer and reads until its first bytes are there.
+/// Starts a streamed answer and returns once its first byte has arrived.
 pub fn start_stream(
     system: &System,
     host: usize,
@@ -31,7 +31,7 @@
     crate::harness::read_answer(stream).unwrap_or_default()
 }
 
-/// The texts of a streamed answer, joined.
+/// Concatenated text of the events of a streamed answer.
 pub fn streamed_text(answer: &Answer) -> String {
     let text = answer.text();
     let events = text
@@ -42,7 +42,7 @@
     texts.filter_map(|event| event["choices"][0]["text"].as_str().map(str::to_owned)).collect()
 }
 
-/// A whole answer of the stand-in counts its tokens from 0, without a gap.
+/// Checks for a complete answer: the stand-in engine numbers its tokens from 0 without a gap.
 pub fn assert_whole(text: &str, tokens: u64) {
     let offsets: Vec<_> =
         text.split_whitespace().map(|word| word.rsplit('-').next().unwrap().to_owned()).collect();
--- a/clayplankd/tests/faults/crashing.rs
+++ b/clayplankd/tests/faults/crashing.rs
@@ -1,5 +1,8 @@
-//! A prompt under which engines end, at the project's own doors: the same cause as on the users'
-//! platform, where each call of it began with all of its tries.
+//! A prompt that terminates every engine that runs it.
+//!
+//! Each call of the prompt used to start with a full retry budget, so that repeated calls
+//! terminated one engine after the other. The test sends such a prompt through hosts with a fixed
+//! configuration.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,18 +12,19 @@
 use crate::common::slow_engines;
 use crate::harness::{ACCOUNT_KEY, Engine, HOSTS, System, bearer, call, wait_for};
 
-/// Hosts learn of a verdict within milliseconds.
+/// Longer than hosts need to learn that a prompt is quarantined, which takes milliseconds.
 const VERDICT: Duration = Duration::from_millis(1_500);
 
-/// What a host logs once it has asked whether a broken engine listens, and it does not.
+/// Logged by a host once it has checked whether a failed engine still listens, and found that it
+/// does not.
 const NOTED: &str = "An upstream ended under requests";
 
 fn body(prompt: &str) -> String {
     json!({ "prompt": prompt, "max_tokens": 60 }).to_string()
 }
 
-/// Sends a prompt, and ends each engine that begins it, for as long as its caller waits; returns how
-/// many.
+/// Sends a prompt and terminates each engine that starts it until the call ends; returns the number
+/// of terminated engines.
 fn end_its_engines(system: &mut System, host: usize) -> usize {
     let known: BTreeSet<_> = system.engines.iter().flat_map(Engine::begun).collect();
     let address = system.hosts[host].callers;
@@ -35,7 +39,7 @@
     });
     let mut ended = 0;
     wait_for("the end of the call", || {
-        // What engines report lags: it may still tell of a prompt that came before.
+        // Reports of engines lag, and may still name attempts of earlier calls.
         let is_new = |engine: &Engine| !engine.begun().is_subset(&known);
         let busy = system.engines.iter().position(is_new);
         if let Some(busy) = busy {
@@ -63,7 +67,7 @@
     let mut ended = 0;
     for host in 0.. {
         ended += end_its_engines(&mut system, host % HOSTS);
-        // Engines that came back are used again by then.
+        // By then the restarted engines are in use again.
         std::thread::sleep(VERDICT);
         if ended >= 3 {
             break;
--- a/clayplankd/tests/faults/main.rs
+++ b/clayplankd/tests/faults/main.rs
@@ -1,4 +1,5 @@
-//! The promises, over real processes, under kills, freezes, cuts and lost disks.
+//! End-to-end tests of the guarantees with real processes: kills, freezes, network partitions and
+//! lost disks.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/clayplankd/tests/faults/pairs.rs
+++ b/clayplankd/tests/faults/pairs.rs
@@ -1,4 +1,4 @@
-//! Failures two at a time.
+//! Random pairs of simultaneous failures.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::common::{assert_whole, quick_engines, whole_text};
 use crate::harness::{ACCOUNT_KEY, HOSTS, System, bearer, wait_for};
 
-/// One thing that fails, and is mended later.
+/// A failure that is injected and later undone.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
     Kill(usize),
@@ -58,7 +58,8 @@
     }
 }
 
-/// Two failures hit different things, so that each can be begun and mended.
+/// Draws two failures with different targets, so that each can be injected and undone
+/// independently.
 fn draw_pair(rng: &mut SmallRng) -> [Failure; 2] {
     let target = |failure: Failure| match failure {
         Failure::Kill(host) | Failure::Freeze(host) | Failure::Cut(host) => host,
--- a/clayplankd/tests/faults/restarts.rs
+++ b/clayplankd/tests/faults/restarts.rs
@@ -44,7 +44,7 @@
                     if is_over.load(Ordering::SeqCst) {
                         return;
                     }
-                    // As the balancer does: what it knows of the hosts' health is up to half a second old.
+                    // As at a load balancer, knowledge of the hosts' health is up to 500 ms old.
                     if healthy.is_empty() || looked.elapsed() > Duration::from_millis(500) {
                         looked = std::time::Instant::now();
                         healthy = addresses.clone();
--- a/clayplankd/tests/faults/settings.rs
+++ b/clayplankd/tests/faults/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: one change wins, none is lost, and none is served under unconfirmed.
+//! Settings: one of several concurrent changes wins, acknowledged changes are not lost, and no
+//! request is served under unconfirmed settings.
 
 use std::time::Duration;
 
@@ -18,7 +19,7 @@
     serde_json::from_slice::<Value>(&answer.body).unwrap()["version"].as_u64().unwrap()
 }
 
-/// Waits until all hosts show the same deadline of a template.
+/// Waits until all hosts report the same deadline for a template.
 fn wait_in_force(system: &System, name: &str, deadline_ms: u64) {
     for host in 0..HOSTS {
         wait_for("the setting on all hosts", || {
@@ -68,7 +69,8 @@
     );
 }
 
-/// The keepers that vote, once a change among them is over; asked at another host than `host`.
+/// Voting keepers, or `None` while a membership change is in progress; queried at the host after
+/// `host`.
 fn voters(system: &System, host: usize) -> Option<Vec<String>> {
     let keepers = system.show((host + 1) % HOSTS, "/keepers")?;
     let is_over =
@@ -99,7 +101,7 @@
     let again = system.set(1, DALA_KEY, "templates/t", "c1", 0, &template(1));
     assert_eq!(again.status, 200, "a resend of the first change");
     wait_in_force(&system, "t", 300);
-    // A second host is lost right after the first was repaired.
+    // The next host loses its disk right after the previous one was repaired.
     for host in [1, 2, 0] {
         let former = voters(&system, host).unwrap();
         system.lose_disk(host);
@@ -131,21 +133,22 @@
     wait_in_force(&system, "cut", 5);
 }
 
-/// Whether this host's keeper leads; its name in the answer ends with its incarnation.
+/// Whether the keeper on this host leads. The leader's name in the answer is the host name followed
+/// by its incarnation.
 fn leads(system: &System, host: usize) -> bool {
     let keepers = system.show(host, "/keepers").unwrap();
     keepers["leader"].as_str().unwrap().starts_with(&format!("h{host}#"))
 }
 
-/// Nobody changes settings or claims anything meanwhile: hosts hear of the next leader only by
-/// asking for one.
+/// Nothing changes settings or claims a key here, so hosts learn of the next leader only if they
+/// query for it. A host that did not would lose its confirmation with the leader.
 #[test]
 fn settings_stay_confirmed_after_the_leader_is_gone() {
     let mut system = System::start(quick_engines());
     let leader = (0..HOSTS).find(|&host| leads(&system, host)).expect("a keeper leads");
     let others: Vec<_> = (0..HOSTS).filter(|&host| host != leader).collect();
     system.kill(leader);
-    // The last confirmation by the former leader lapses.
+    // The last confirmation by the former leader expires.
     std::thread::sleep(SETTINGS_LEASE_OVER);
     for &host in &others {
         let answer = system.complete(host, "q", 1);
--- a/clayplankd/tests/harness/answer.rs
+++ b/clayplankd/tests/harness/answer.rs
@@ -1,15 +1,15 @@
-//! An answer as a caller reads it, byte by byte; both sets of tests have it.
+//! HTTP answer as received by a caller; shared by both test targets.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// The answer to one request; status 0 if there was none.
+/// Answer to one request; its status is 0 if none arrived.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Whether the body came to its proper end.
+    /// Whether the body was received to its end.
     pub is_whole: bool,
 }
 
@@ -23,7 +23,8 @@
     }
 }
 
-/// Reads an answer, by its length or in chunks; the connection can be used again if it is whole.
+/// Reads an answer with a content length or in chunks. The connection can be reused if the answer
+/// is complete.
 pub fn read_answer(reader: &mut BufReader<TcpStream>) -> std::io::Result<Answer> {
     let mut line = String::new();
     reader.read_line(&mut line)?;
--- a/clayplankd/tests/harness/client.rs
+++ b/clayplankd/tests/harness/client.rs
@@ -1,4 +1,4 @@
-//! A caller: one connection a request, blocking.
+//! Blocking HTTP client with one connection per request.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -17,7 +17,7 @@
     call(address, "GET", path, &headers, b"")
 }
 
-/// Sends a request and reads the whole answer; `None` if there is none.
+/// Sends a request and reads the complete answer; `None` if there is none.
 pub fn call(
     address: SocketAddr,
     method: &str,
@@ -28,7 +28,7 @@
     read_answer(send(address, method, path, headers, body)?)
 }
 
-/// Sends a request.
+/// Sends a request and returns the connection on which the answer arrives.
 pub fn send(
     address: SocketAddr,
     method: &str,
@@ -48,7 +48,7 @@
     Some(stream)
 }
 
-/// Reads the answer that a connection brings.
+/// Reads the answer from a connection; `None` if there is none.
 pub fn read_answer(stream: TcpStream) -> Option<Answer> {
     answer::read_answer(&mut BufReader::new(stream)).ok()
 }
--- a/clayplankd/tests/harness/mod.rs
+++ b/clayplankd/tests/harness/mod.rs
@@ -1,4 +1,5 @@
-//! A small system of real daemons, with stand-ins in the test's own process.
+//! A system of three daemon processes, with stand-in engines, a service and the platform in the
+//! test process.
 
 mod answer;
 mod client;
@@ -24,13 +25,13 @@
 pub const DALA_KEY: &str = "dala-operator-key";
 pub const ROTAFOLD_KEY: &str = "rotafold-operator-key";
 
-/// What a wait may take before the test counts as failed; nothing is timed by it.
+/// Time limit of every wait. It only bounds a failing test; no measurement depends on it.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Lines of a daemon's log that a failed test prints.
+/// Lines of each daemon's log that are printed when a test fails.
 const LOG_LINES: usize = 40;
 
-/// One daemon and where it listens.
+/// One daemon process and its listening addresses.
 pub struct Host {
     pub callers: SocketAddr,
     pub operators: SocketAddr,
@@ -40,7 +41,7 @@
     child: Option<Child>,
 }
 
-/// Three hosts, each entry and keeper, with engines, a service and the platform's list.
+/// Three hosts, each entry host and keeper, with engines, a service and the platform's host list.
 pub struct System {
     dir: tempfile::TempDir,
     pub hosts: Vec<Host>,
@@ -50,7 +51,7 @@
     pub links: Links,
 }
 
-/// Below the ports that the system gives to outgoing connections, so that none of those takes it.
+/// Ports for listeners, below the ephemeral range, so that no outgoing connection occupies them.
 const PORTS: std::ops::Range<u16> = 10_000..32_000;
 
 fn free_address() -> SocketAddr {
@@ -74,7 +75,7 @@
 }
 
 impl System {
-    /// Starts everything and sets one template and one account.
+    /// Starts all processes and sets one template and one account.
     pub fn start(engines: Vec<Engine>) -> Self {
         let dir = tempfile::tempdir().unwrap();
         let hosts = (0..HOSTS).map(|host| Host {
@@ -163,7 +164,7 @@
         self.dir.path().join(format!("h{host}.log"))
     }
 
-    /// How many lines of all hosts' logs hold a text.
+    /// Number of occurrences of a text in the logs of all hosts.
     pub fn count_logged(&self, text: &str) -> usize {
         let logs = (0..HOSTS).map(|host| std::fs::read_to_string(self.log_path(host)));
         logs.map(|log| log.unwrap_or_default().matches(text).count()).sum()
@@ -177,7 +178,7 @@
         get(self.hosts[host].callers, "/health", None).is_some_and(|answer| answer.status == 200)
     }
 
-    /// Ends a daemon at once.
+    /// Kills a daemon (SIGKILL).
     pub fn kill(&mut self, host: usize) {
         if let Some(mut child) = self.hosts[host].child.take() {
             child.kill().unwrap();
@@ -191,7 +192,7 @@
         assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().unwrap().success());
     }
 
-    /// Waits for a daemon that was told to stop.
+    /// Waits until a daemon that received SIGTERM has exited with success.
     pub fn wait_exit(&mut self, host: usize) {
         let mut child = self.hosts[host].child.take().unwrap();
         let mut status = None;
@@ -202,13 +203,13 @@
         assert!(status.unwrap().success());
     }
 
-    /// Kills a daemon and takes its disk away.
+    /// Kills a daemon and deletes its data directory.
     pub fn lose_disk(&mut self, host: usize) {
         self.kill(host);
         std::fs::remove_dir_all(&self.hosts[host].data).unwrap();
     }
 
-    /// Changes a setting at a host.
+    /// Changes a setting at the operators' endpoint of a host; retries until there is an answer.
     pub fn set(
         &self,
         host: usize,
@@ -226,13 +227,13 @@
         })
     }
 
-    /// What a host shows its operators.
+    /// JSON from the operators' endpoint of a host; `None` unless its status is 200.
     pub fn show(&self, host: usize, path: &str) -> Option<Value> {
         let answer = get(self.hosts[host].operators, path, Some(DALA_KEY))?;
         (answer.status == 200).then(|| serde_json::from_slice(&answer.body).unwrap())
     }
 
-    /// Runs a prompt and waits for the whole answer.
+    /// Sends a prompt and waits for the complete answer.
     pub fn complete(&self, host: usize, prompt: &str, max_tokens: u64) -> Answer {
         let body = json!({ "prompt": prompt, "max_tokens": max_tokens }).to_string();
         let answer = call(
@@ -245,14 +246,14 @@
         answer.unwrap_or_default()
     }
 
-    /// Posts to the service under a key.
+    /// Posts to the service with an idempotency key.
     pub fn post(&self, host: usize, key: &str) -> Answer {
         let headers = [bearer(ACCOUNT_KEY), ("idempotency-key".to_owned(), key.to_owned())];
         call(self.hosts[host].callers, "POST", "/results/times", &headers, b"{}")
             .unwrap_or_default()
     }
 
-    /// Memory reserved at all engines, as the owner of the pool counts it.
+    /// Memory reserved at all engines according to the owner of the pool.
     pub fn reserved_tokens(&self) -> Option<u64> {
         let totals =
             (0..HOSTS).filter(|&host| self.hosts[host].child.is_some()).filter_map(|host| {
--- a/clayplankd/tests/harness/relay.rs
+++ b/clayplankd/tests/harness/relay.rs
@@ -1,4 +1,4 @@
-//! Links between hosts that can be cut in silence: nothing is closed, nothing arrives.
+//! Links between hosts that can be partitioned: connections stay open, and nothing arrives.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -37,7 +37,7 @@
         self.links[&(from, to)].address
     }
 
-    /// Cuts a host off from the others, or joins it again.
+    /// Partitions a host from all peers, or reconnects it.
     pub fn set_cut(&self, host: usize, is_cut: bool) {
         for ((from, to), link) in &self.links {
             if *from == host || *to == host {
@@ -68,7 +68,8 @@
     }
 }
 
-/// Copies until one side ends. What comes during a cut is held back, as a network would.
+/// Copies until one side ends. Data that arrives during a partition is delivered after it, as TCP
+/// retransmission would do.
 fn copy(mut from: TcpStream, mut to: TcpStream, is_cut: &AtomicBool) {
     let mut buffer = vec![0; 64 << 10];
     while let Ok(size) = from.read(&mut buffer) {
--- a/clayplankd/tests/harness/standins.rs
+++ b/clayplankd/tests/harness/standins.rs
@@ -1,4 +1,5 @@
-//! Stand-ins, each on a runtime of its own, so that it can die with all its connections.
+//! Stand-ins for engines, the service and the platform. Each has its own runtime, so that it can be
+//! terminated together with all its connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -30,7 +31,7 @@
 }
 
 impl Engine {
-    /// One that writes up to `max_output_tokens`, a token each `step_ms`.
+    /// Starts an engine that generates up to `max_output_tokens`, one token per `step_ms`.
     pub fn start(max_output_tokens: u64, step_ms: f64) -> Self {
         let model = EngineModel {
             step_base_ms: step_ms,
@@ -48,7 +49,7 @@
         engine
     }
 
-    /// Starts it, or starts it again at its former address.
+    /// Starts the server, at its former address if it ran before.
     pub fn revive(&mut self) {
         let runtime = new_runtime();
         let listener = runtime.block_on(bind(self.address)).unwrap();
@@ -57,7 +58,7 @@
         self.runtime = Some(runtime);
     }
 
-    /// Ends it with all its connections.
+    /// Terminates the server and all its connections.
     pub fn die(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_timeout(Duration::from_secs(5));
@@ -72,13 +73,13 @@
         assert_eq!(call(self.address, "POST", "/leaving", &[], b"").unwrap().status, 200);
     }
 
-    /// Every attempt that it began.
+    /// All attempts that the engine has started.
     pub fn begun(&self) -> BTreeSet<String> {
         let answer = get(self.address, "/record", None).unwrap();
         serde_json::from_slice(&answer.body).unwrap()
     }
 
-    /// Adapters that it has loaded.
+    /// Adapters that the engine has loaded.
     pub fn adapters(&self) -> Vec<String> {
         serde_json::from_value(self.load()["adapters"].clone()).unwrap()
     }
@@ -87,7 +88,7 @@
         serde_json::from_slice(&get(self.address, "/load", None).unwrap().body).unwrap()
     }
 
-    /// Memory that its batch uses, once the lag of its reports is over.
+    /// Memory used by the engine's batch. The report lags behind the actual use.
     pub fn reserved_tokens(&self) -> u64 {
         self.load()["reserved_tokens"].as_u64().unwrap()
     }
@@ -101,7 +102,7 @@
     }
 }
 
-/// A plain service.
+/// A plain service, whose requests may run at most once.
 pub struct Service {
     pub address: SocketAddr,
     runtime: Option<Runtime>,
@@ -120,7 +121,7 @@
         post(self.address, "/faults", &json!({ "kind": kind, "count": count }));
     }
 
-    /// How often each key was run.
+    /// Number of runs of each idempotency key.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         let answer = get(self.address, "/record", None).unwrap();
         serde_json::from_slice::<ServiceRecord>(&answer.body).unwrap().runs
@@ -135,7 +136,7 @@
     }
 }
 
-/// The platform's list, which lags by half a second.
+/// The platform's host list, which reports changes after a delay of 500 ms.
 pub struct Platform {
     pub address: SocketAddr,
     runtime: Option<Runtime>,
--- a/clayplankd/tests/seeded/both.rs
+++ b/clayplankd/tests/seeded/both.rs
@@ -1,4 +1,4 @@
-//! Hosts that are entry hosts and keepers at once, beside hosts without a disk.
+//! Hosts that are both entry host and keeper, beside entry hosts without a disk.
 
 use std::fs;
 use std::os::unix::fs::symlink;
@@ -12,17 +12,18 @@
 use crate::promises::plan_with_engines;
 use crate::system::{KEY, Shape, System, plan, publish, wait_for};
 
-/// A file that is written before any other in an empty data folder.
+/// The first file that a keeper writes to an empty data directory.
 const FIRST_FILE: &str = "identity.new";
 
-/// A device that has room for nothing.
+/// A device that fails every write as a full disk does.
 const FULL_DEVICE: &str = "/dev/full";
 
 fn start() -> System {
     System::start_as(Shape { all_serve: true, ..Shape::default() })
 }
 
-/// The seal of the upstream that answered a request at a host.
+/// Seal (the answer header that names the upstream) of a request served by a host; `None` unless
+/// its status is 200.
 fn served_by(system: &System, host: &Host, attempt: &str) -> Option<String> {
     let key = format!("Bearer {KEY}");
     let headers = [
@@ -105,15 +106,15 @@
     assert!(!system.keepers[2].has_ended());
 }
 
-/// Prompts in a row, and the pause before each: a host that the leader does not serve chooses
-/// by itself, and asks again several times within them.
+/// Consecutive prompts, and the pause before each. A host that gets no placement from the leader
+/// chooses an engine locally, and queries the leader again several times within such a series.
 const STREAK: usize = 12;
 const STREAK_PAUSE: Duration = Duration::from_millis(100);
 
-/// Between two heartbeats, in ms: so long that none is expected within a test.
+/// Heartbeat interval in ms, so long that no heartbeat arrives within a test.
 const RARE_HEARTBEAT_MS: u64 = 600_000;
 
-/// Kills all hosts, and starts them as hosts that expect no heartbeat soon.
+/// Kills all hosts and restarts them with a long heartbeat interval.
 fn restart_all_with_rare_heartbeats(system: &mut System) {
     let System { keepers, entries, .. } = system;
     for host in keepers.iter_mut().chain(entries.iter_mut()) {
@@ -166,6 +167,6 @@
     };
     wait_for("the saved upstreams", || system.keepers.iter().all(is_saved));
     restart_all_with_rare_heartbeats(&mut system);
-    // No upstream has sent a heartbeat to these lives of the keepers.
+    // No upstream has sent a heartbeat to these incarnations of the keepers.
     wait_for("service", || served_by(&system, &system.entries[0], "m1").is_some());
 }
--- a/clayplankd/tests/seeded/client.rs
+++ b/clayplankd/tests/seeded/client.rs
@@ -1,4 +1,4 @@
-//! A caller of seeded hosts: one connection a request, blocking.
+//! Blocking HTTP client with one connection per request.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,7 +7,7 @@
 use crate::answer::{Answer, read_answer};
 use crate::system::PATIENCE;
 
-/// Sends a request on a connection of its own; status 0 if there is no answer.
+/// Sends a request on a new connection; the status is 0 if there is no answer.
 pub fn call(
     address: SocketAddr,
     method: &str,
--- a/clayplankd/tests/seeded/cordons.rs
+++ b/clayplankd/tests/seeded/cordons.rs
@@ -1,4 +1,4 @@
-//! An operator empties a data centre and takes that back.
+//! Cordons: an operator takes a data centre out of use and returns it.
 
 use serde_json::Value;
 
@@ -7,14 +7,14 @@
 use crate::host::Host;
 use crate::system::{Shape, System, wait_for};
 
-/// The data centre in which all upstreams of a test stand.
+/// Data centre of all upstreams of a test.
 const HALL: &str = "hall";
 
 fn cordon_path(data_centre: &str) -> String {
     format!("/v1/cordons/{data_centre}")
 }
 
-/// Gives an order at a host until it is taken.
+/// Sends a command to a host until it is acknowledged.
 fn order(host: &Host, method: &str, data_centre: &str) {
     let path = cordon_path(data_centre);
     wait_for("the acknowledgement of an order", || {
@@ -22,7 +22,7 @@
     });
 }
 
-/// The data centres under a cordon, as a quorum confirms them.
+/// Cordoned data centres, as confirmed by a quorum.
 fn cordoned(host: &Host) -> Vec<String> {
     let mut cordoned = None;
     wait_for("a confirmed answer", || {
@@ -33,7 +33,7 @@
     cordoned.unwrap()
 }
 
-/// Waits until every entry host has taken in a number of changes.
+/// Waits until every entry host has applied this number of cordon changes.
 fn wait_until_known(system: &System, changes: usize) {
     wait_for("news of a cordon at all hosts", || {
         let is_told = |host: &Host| host.lines("Cordons are in force").len() >= changes;
--- a/clayplankd/tests/seeded/crashing.rs
+++ b/clayplankd/tests/seeded/crashing.rs
@@ -1,16 +1,17 @@
-//! Requests that end whatever runs them.
+//! Requests that terminate every upstream that runs them.
 //!
-//! What users saw: a caller sent one request again and again, at any host. Each upstream that began
-//! to run it ended, with all else that ran there, and was back after some seconds; the caller got
-//! 502 and came again. 43 upstreams ended under one request, 19 times after it had ended three, and
-//! of everybody else's short prompts a third to half were refused, late or broken off.
+//! The failure: a caller repeated one request at any host. Each upstream that started it terminated
+//! together with all other requests there, and returned seconds later; the caller got 502 and
+//! repeated the request. 43 upstreams terminated under one request, 19 of them after it had already
+//! terminated three, and a third to half of all other short prompts were refused, late or
+//! interrupted.
 //!
-//! The cause: what a host knew of a request ended with its call. The next call of the same request,
-//! there or elsewhere, began with all of its tries; only upstreams were blamed, so that each try took
-//! one that had not failed yet.
+//! How it came about: a host forgot a request when its call ended. The next call of the same
+//! request, at this or another host, started with a full retry budget, and only upstreams were
+//! blamed, so that each attempt went to an upstream that had not failed yet.
 //!
-//! The evidence: with the fingerprints of requests in the log, one of them stood at each of the ends,
-//! at all hosts in turn, and was never served; the requests that stood beside it changed.
+//! How it was identified: the same request fingerprint was logged at each termination, at all hosts
+//! in turn, and was never served; the fingerprints of the requests beside it varied.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -32,32 +33,32 @@
 /// Entry hosts.
 const ENTRIES: usize = 4;
 
-/// How long the caller goes on.
+/// How long the caller repeats its request.
 const RUN: Duration = Duration::from_secs(12);
 
-/// Hosts have this time to know that a request has ended three upstreams.
+/// Within this time after the third termination, all hosts must know of the request.
 const CONTACT: Duration = Duration::from_secs(3);
 
-/// Upstreams that the request may end after that time.
+/// Maximum number of times that the request may reach an upstream after that time.
 const MAX_LATE: usize = 3;
 
-/// Between two requests of the caller: 12 a second.
+/// Interval between two requests of the caller (12 per second).
 const CRASHING_EVERY: Duration = Duration::from_millis(83);
 
-/// Callers beside it, and between two requests of each: 80 a second in all.
+/// Other callers, and the request interval of each (80 requests per second in total).
 const OTHERS: usize = 8;
 const OTHER_EVERY: Duration = Duration::from_millis(100);
 
-/// One request of another caller.
+/// Result of one request of another caller.
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     sent_at: Instant,
     is_served: bool,
-    /// Whether it was refused as one that ends upstreams.
+    /// Whether the request was refused as one that terminates upstreams.
     is_held_back: bool,
 }
 
-/// The plan, with all routes to the upstreams that end.
+/// The plan with all routes pointing to the upstreams that can terminate.
 fn fleet_plan(version: u64) -> Value {
     let mut plan = plan(version);
     plan["services"] = json!([{ "name": FLEET }]);
@@ -72,18 +73,18 @@
     let fleet = Fleet::start(&system, UPSTREAMS);
     system.wait_for_plan(&fleet_plan(2));
     wait_until_served(&system, "service by the fleet");
-    // All of them have told of themselves by then.
+    // By then all upstreams have registered.
     std::thread::sleep(Duration::from_millis(700));
     (system, fleet)
 }
 
-/// The answer; its status is 0 if it was not whole.
+/// Sends a request; an incomplete answer is returned with status 0.
 fn send(system: &System, entry: usize, attempt: &str, path: &str, body: &str) -> Answer {
     let answer = call_with_key(system.entries[entry].callers(), attempt, 5_000, path, body);
     if answer.is_whole { answer } else { Answer::default() }
 }
 
-/// Waits until each entry host has an answer of the fleet.
+/// Waits until each entry host has received an answer from the fleet.
 fn wait_until_served(system: &System, what: &str) {
     for entry in 0..ENTRIES {
         let mut number = 0;
@@ -95,7 +96,7 @@
     }
 }
 
-/// Plays others' requests beside `main`, and returns what became of them.
+/// Runs other callers' requests concurrently with `main`, and returns their results.
 fn beside_others(
     system: &System,
     path: &str,
@@ -129,7 +130,7 @@
     seen.into_inner().unwrap()
 }
 
-/// Sends the crashing request at all hosts in turn, each time on a thread of its own.
+/// Sends the crashing request to all hosts in turn, each time on a new thread.
 fn press(system: &System, path: &str, run: Duration) -> Vec<u16> {
     let statuses = Arc::new(Mutex::new(Vec::new()));
     let began = Instant::now();
@@ -149,12 +150,12 @@
     Arc::into_inner(statuses).unwrap().into_inner().unwrap()
 }
 
-/// From when on all hosts can know that the request has ended three upstreams.
+/// Instant from which all hosts must know that the request has terminated three upstreams.
 fn known_at(story: &Story) -> Instant {
     story.ended.get(2).copied().unwrap_or_else(Instant::now) + CONTACT
 }
 
-/// How often the request reached an upstream after that.
+/// Number of times that the request reached an upstream after that instant.
 fn late_sends(story: &Story) -> usize {
     let known_at = known_at(story);
     story.begun.iter().filter(|begun| **begun > known_at).count()
@@ -164,8 +165,8 @@
     (seen.iter().filter(|one| one.is_served).count(), seen.len())
 }
 
-/// Before requests were remembered, three runs: 119 and 120 upstreams ended in 12 s, 99 to 102 sends
-/// came too late, and of the others' requests 69 to 85% were served.
+/// Without a record of requests across calls, three runs had 119 and 120 terminated upstreams in 12
+/// s, 99 to 102 late sends, and 69 to 85% of the other requests served.
 #[rstest]
 #[case::repeatable("/repeatable/x", "/repeatable/y")]
 #[case::stream("/stream/events/3", "/stream/events/4")]
@@ -192,7 +193,8 @@
     assert!(good * 100 >= all * 99, "of {all} other requests after that time {good} were served");
 }
 
-/// A request of which many are under way when upstreams are killed did not end them.
+/// A request with many concurrent copies must not be quarantined because upstreams that ran it were
+/// killed for another reason.
 #[test]
 fn a_request_that_ran_where_upstreams_were_killed_is_served_on() {
     let (system, fleet) = start();
@@ -207,23 +209,24 @@
     let held_back = seen.iter().filter(|one| one.is_held_back).count();
     println!("{good} of {all} served, {held_back} held back");
     assert_eq!(held_back, 0, "requests that were held back for what they did not do");
-    // Some have both of their tries at upstreams that are killed: 795 of 800 were served before any
-    // request was held back.
+    // Some requests have both attempts at upstreams that are killed: 795 of 800 were served without
+    // quarantine.
     assert!(good * 100 >= all * 98, "{good} of {all} requests were served");
 }
 
-/// How many upstreams the crashing request reached so far.
+/// Number of times that the crashing request has reached an upstream.
 fn reached(fleet: &Fleet) -> usize {
     fleet.story().begun.len()
 }
 
-/// The leader is killed while the request is pressed: what is known of it goes on with the next one.
+/// The leader is killed while the request is repeated. The next leader must retain what is known of
+/// the request.
 #[test]
 fn a_request_is_held_back_also_when_the_leader_changes() {
     let (mut system, fleet) = start();
     let leader = leader(&system);
     let path = "/repeatable/x";
-    // Some upstreams have ended, not enough for a verdict perhaps.
+    // Some upstreams have terminated, though perhaps too few to quarantine the request.
     press(&system, path, Duration::from_millis(200));
     system.keepers[leader].kill();
     press(&system, path, Duration::from_secs(6));
@@ -234,7 +237,8 @@
     assert!(late <= MAX_LATE, "{late} sends later than {CONTACT:?} after the third end");
 }
 
-/// All processes are killed and start again with nothing but the keepers' disks.
+/// All processes are killed and restarted with nothing but the keepers' disks, from which the
+/// quarantine must be restored.
 #[test]
 fn a_request_is_held_back_also_after_all_hosts_started_again() {
     let (mut system, fleet) = start();
@@ -249,14 +253,15 @@
     assert!(statuses.iter().all(|status| *status == 503), "{statuses:?}");
 }
 
-/// What the keepers hold back, as an operator reads it.
+/// Quarantined requests as shown to an operator.
 fn held_back(system: &System) -> Vec<Value> {
     let answer = call(system.keepers[0].control(), "GET", "/v1/held-back", &[], "");
     assert_eq!(answer.status, 200, "{}", answer.text());
     serde_json::from_str(&answer.text()).unwrap()
 }
 
-/// An operator reads what is held back and why, and lifts it: the request is sent again at once.
+/// An operator reads which requests are quarantined and why, and lifts a quarantine, after which
+/// the request is sent again.
 #[test]
 fn an_operator_sees_what_is_held_back_and_lifts_it() {
     let (system, fleet) = start();
--- a/clayplankd/tests/seeded/crashing_upstreams.rs
+++ b/clayplankd/tests/seeded/crashing_upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that end, with all that they run, and are back after a while under a new name.
+//! Upstreams that terminate together with all running requests, and restart later under a new id.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,31 +13,31 @@
 use crate::host::{Host, UPSTREAM};
 use crate::system::System;
 
-/// The service of all upstreams that end.
+/// The service of all upstreams that can terminate.
 pub const FLEET: &str = "fleet";
 
-/// The body of the request that ends whatever runs it.
+/// Body of the request that terminates every upstream that runs it.
 pub const CRASHING_BODY: &str = "a prompt that no engine survives";
 
-/// From the begin of the request that ends an upstream to its end.
+/// Time from the start of the crashing request to the termination of its upstream.
 const ENDS_AFTER: Duration = Duration::from_millis(80);
 
-/// An upstream that ended is back after this time.
+/// Time from the termination of an upstream to its restart.
 const BACK_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Requests that an upstream runs at once.
+/// Concurrent requests per upstream.
 const SLOTS: u32 = 6;
 
-/// What became of a fleet.
+/// Recorded starts and terminations of a fleet.
 #[derive(Debug, Default)]
 pub struct Story {
-    /// When the request that ends upstreams began to run at one.
+    /// Times at which the crashing request started at an upstream.
     pub begun: Vec<Instant>,
-    /// When an upstream ended under it.
+    /// Times at which an upstream terminated because of it.
     pub ended: Vec<Instant>,
 }
 
-/// Upstreams that end under one request, or when they are killed.
+/// Upstreams that terminate under the crashing request, or when they are killed.
 pub struct Fleet {
     story: Arc<Mutex<Story>>,
     pub runs: SharedRuns,
@@ -47,7 +47,7 @@
 }
 
 impl Fleet {
-    /// Starts this many, which register with all keepers of a system.
+    /// Starts `count` upstreams, which register with all keepers of the system.
     pub fn start(system: &System, count: u8) -> Self {
         let mut fleet = Self {
             story: Arc::default(),
@@ -76,7 +76,7 @@
         self.story.lock().unwrap()
     }
 
-    /// Ends some upstreams at once, whatever they run.
+    /// Terminates these upstreams immediately, whatever they run.
     pub fn kill(&self, numbers: impl IntoIterator<Item = usize>) {
         for number in numbers {
             self.kills[number].send(()).ok();
@@ -94,7 +94,7 @@
     }
 }
 
-/// One upstream of a fleet, life after life.
+/// One upstream of a fleet through all its incarnations.
 struct Lives {
     number: u8,
     address: SocketAddr,
@@ -115,12 +115,12 @@
                 self.story.lock().unwrap().ended.push(Instant::now());
             }
             std::thread::sleep(BACK_AFTER);
-            // Kills while it is down hit nobody.
+            // Kills that arrive while the upstream is down have no effect.
             while killed.try_recv().is_ok() {}
         }
     }
 
-    /// One life; whether the request that ends upstreams ended it.
+    /// Runs one incarnation; returns whether the crashing request terminated it.
     fn live(&self, life: u64, killed: &mut mpsc::UnboundedReceiver<()>) -> bool {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
@@ -162,7 +162,7 @@
                 }
             }
         });
-        // Its sockets are closed here: open connections break, and new ones are refused.
+        // This closes the sockets: open connections break, and new ones are refused.
         runtime.shutdown_background();
         ended_by_request
     }
--- a/clayplankd/tests/seeded/failover.rs
+++ b/clayplankd/tests/seeded/failover.rs
@@ -1,4 +1,4 @@
-//! How entry hosts come from a leader that is gone to the next one.
+//! Failover of entry hosts from a failed leader to the next one.
 
 use clayplank_placement::EngineModel;
 
@@ -8,7 +8,7 @@
 use crate::replacement::CATCH_UP;
 use crate::system::{Shape, System, plan, wait_for};
 
-/// The keeper that told last that it leads.
+/// Index of the keeper that logged most recently that it leads.
 pub fn leader(system: &System) -> usize {
     let leads = |keeper: &Host| {
         keeper.lines("Leads the keepers.").last().map(|line| line["time"].to_string())
@@ -18,9 +18,9 @@
     times.iter().position(|time| time == newest).unwrap()
 }
 
-/// Pauses, or kills, the leader; every host has to find the next one by one search, and must not
-/// ask a keeper to be followed that does not lead: at hundreds of hosts such questions would meet
-/// keepers that are about to elect.
+/// Pauses or kills the leader. Every host has to find the next leader in one search, and must not
+/// send follow requests to keepers that do not lead: at hundreds of hosts such requests would hit
+/// keepers that are about to hold an election.
 fn lose_leader(is_paused: bool) {
     let shape = Shape { keepers: 5, entries: 4, ..Shape::default() };
     let mut system = System::start_as(shape);
@@ -65,8 +65,9 @@
     lose_leader(true);
 }
 
-/// While the leader is silent, hosts ask its deputy for engines: one that is gone for good leaves
-/// each of them to choose alone, knowing nothing of the load of the others.
+/// While the leader is unresponsive, hosts request placements from its deputy, another keeper. With
+/// a failed keeper as deputy, each host would choose engines locally, without knowledge of the load
+/// caused by its peers.
 #[test]
 fn a_keeper_that_is_gone_is_not_asked_in_place_of_the_leader() {
     let mut system = System::start_as(Shape { keepers: 5, entries: 2, ..Shape::default() });
@@ -99,11 +100,12 @@
     assert_eq!(of(&gone_ip), 0, "{unanswered:?}");
 }
 
-/// Starts of a host, which must find fewer keepers than that beside a round that ended meanwhile: on a busy
-/// machine one that was under way may.
+/// Restarts of a host. Fewer of them than this may log an unconfirmed follower although a
+/// read-index round has completed since; on a busy machine a round in progress can cause a few.
 const STARTS: usize = 10;
 
-/// A question and the round to the leader that answers it may fall into one millisecond.
+/// A follow request and the leadership round that confirms it may fall into the same millisecond.
+/// Such a round must still count, or a lone follower is not confirmed.
 #[test]
 fn a_keeper_that_hears_its_leader_confirms_a_follower_that_is_alone() {
     let mut system = System::start_as(Shape { keepers: 3, entries: 1, ..Shape::default() });
@@ -118,7 +120,8 @@
     assert!(beside_a_round.len() < STARTS, "{beside_a_round:?}");
 }
 
-/// A host may follow a keeper that falls silent, and the next one by its rank may be silent as well.
+/// A host may follow a keeper that becomes unresponsive, and the keeper of the next rank may be
+/// unresponsive as well. A plan must be in force before the requests to them time out.
 #[test]
 fn a_change_is_in_force_before_silent_keepers_are_given_up() {
     let mut system = System::start_as(Shape { keepers: 5, entries: 10, ..Shape::default() });
--- a/clayplankd/tests/seeded/host.rs
+++ b/clayplankd/tests/seeded/host.rs
@@ -1,4 +1,4 @@
-//! One seeded host as a process: its settings, its life, its log.
+//! One seeded host as a process: its settings, start and stop, and log.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -8,7 +8,8 @@
 
 use crate::client::call;
 
-/// Ports are alike on all hosts, below those that the system gives to outgoing connections.
+/// All hosts use the same ports, below the ephemeral range, so that no outgoing connection occupies
+/// them.
 pub const CALLERS: u16 = 18_080;
 pub const READINESS: u16 = 18_081;
 pub const CONTROL: u16 = 18_082;
@@ -16,23 +17,23 @@
 pub const METRICS: u16 = 18_084;
 pub const UPSTREAM: u16 = 18_085;
 
-/// What a host is.
+/// Role of a host process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
     Keeper,
-    /// An entry host; one that has a door for operators asks the keepers.
+    /// An entry host. One with a control listener forwards operators' requests to the keepers.
     Entry {
         has_door: bool,
     },
-    /// An entry host with a disk, and so a keeper too.
+    /// An entry host with a disk, which makes it a keeper as well.
     Both,
 }
 
-/// One process, on an address of its own.
+/// One process with its own loopback address.
 pub struct Host {
-    /// Where others reach it.
+    /// Address at which other processes reach the host.
     pub ip: Ipv4Addr,
-    /// Where it listens for other hosts and operators: behind a proxy, perhaps.
+    /// Listening address for peers and operators; differs from `ip` if the host is behind a proxy.
     pub bind_ip: Ipv4Addr,
     pub part: Part,
     pub settings: PathBuf,
@@ -62,7 +63,7 @@
     }
 
     pub fn start(&mut self) {
-        // Lines of former lives are kept.
+        // Appends, so that the lines of earlier incarnations are kept.
         let log = std::fs::File::options()
             .create(true)
             .append(true)
@@ -83,7 +84,8 @@
         command
     }
 
-    /// Starts with a pipe for the logs, which nobody reads until the caller does.
+    /// Starts the process with its log written to a pipe, which is not read until the caller does
+    /// so.
     pub fn start_with_pipe(&mut self) -> ChildStdout {
         let mut child = self.command().stdout(Stdio::piped()).spawn().unwrap();
         let pipe = child.stdout.take().unwrap();
@@ -91,7 +93,7 @@
         pipe
     }
 
-    /// The process that was started last, if it was not killed.
+    /// Process id of the last start, unless the process was killed through this value.
     pub fn process(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
@@ -107,13 +109,14 @@
         self.signal("-TERM");
     }
 
-    /// Sends a signal, through the tool that every Debian machine has.
+    /// Sends a signal with the `kill` command.
     pub fn signal(&self, signal: &str) {
         let id = self.process().unwrap().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// Writes its settings anew; the seeds are the operators' doors of all keepers.
+    /// Writes the complete settings file; `seeds` are control addresses of hosts to contact at
+    /// start (bootstrap addresses).
     pub fn write_settings(&self, seeds: &[SocketAddr], is_first_start: bool) {
         let behind = |port| SocketAddr::new(IpAddr::V4(self.bind_ip), port);
         let mut listen = json!({ "inner": behind(INNER), "metrics": self.at(METRICS) });
@@ -141,13 +144,13 @@
         std::fs::write(&self.settings, settings.to_string()).unwrap();
     }
 
-    /// Changes its settings file, and tells it so by SIGHUP.
+    /// Changes the settings file and sends SIGHUP, which makes the process reload it.
     pub fn change_settings(&self, change: impl FnOnce(&mut Value)) {
         self.change_settings_file(change);
         self.signal("-HUP");
     }
 
-    /// Has it told of these doors when it starts again, which is no first start.
+    /// Sets the bootstrap addresses for the next start, which is not the first start of the system.
     pub fn tell_of(&self, doors: &[SocketAddr]) {
         self.change_settings_file(|settings| {
             settings["seeds"] = doors.iter().map(ToString::to_string).collect();
@@ -166,7 +169,7 @@
         std::fs::read_to_string(self.settings.with_extension("log")).unwrap_or_default()
     }
 
-    /// The lines of its log with a message.
+    /// Log lines with this message.
     pub fn lines(&self, message: &str) -> Vec<Value> {
         let text = self.log();
         let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
--- a/clayplankd/tests/seeded/limited.rs
+++ b/clayplankd/tests/seeded/limited.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name how many requests a second they take, from all hosts together.
+//! Upstreams with a request rate limit that applies to all hosts together.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -17,31 +17,33 @@
 /// Entry hosts.
 const ENTRIES: usize = 4;
 
-/// Requests a second that an upstream in need takes.
+/// Limit, in requests per second, of an upstream under pressure.
 const LIMIT_PER_S: f64 = 1.0;
 
-/// Hosts have this time to learn of a limit.
+/// Within this time all hosts must have received a limit.
 const CONTACT: Duration = Duration::from_secs(3);
 
-/// Requests are counted over any span of this length.
+/// Length of the time window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// How long requests come after that time.
+/// How long requests are sent after `PROPAGATION_TIME`.
 const RUN: Duration = Duration::from_secs(9);
 
-/// Requests come for this long before a limit is named.
+/// How long requests are sent before a limit is set.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// Callers of each entry host, and the pause of each between two requests: 24 a second in all.
+/// Callers per entry host, and the pause of each between two requests (24 requests per second in
+/// total).
 const CALLERS: usize = 2;
 const PAUSE: Duration = Duration::from_millis(330);
 
-/// What an upstream with a limit may get within the span, over all hosts.
+/// Maximum number of requests from all hosts within one window: 1.5 times the limit plus 5
+/// requests.
 pub fn most_allowed(limit_per_s: f64) -> usize {
     (1.5 * limit_per_s * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-/// The most arrivals within the span, among those after a time.
+/// Maximum number of arrivals within one window, counted from `since` on if given.
 pub fn most_in_window(limit: &SharedLimit, since: Option<Instant>) -> usize {
     let mut arrivals = limit.arrivals();
     arrivals.retain(|at| since.is_none_or(|since| *at >= since));
@@ -51,7 +53,7 @@
     arrivals.iter().enumerate().map(within).max().unwrap_or_default()
 }
 
-/// What serves the requests of a test.
+/// Kind of the upstreams that serve the requests of a test.
 #[derive(Clone, Copy, Debug)]
 enum Served {
     ByEngines,
@@ -73,7 +75,7 @@
     plan
 }
 
-/// A system before four upstreams.
+/// A system with four upstreams that can set a limit.
 struct Limited {
     system: System,
     served: Served,
@@ -118,8 +120,8 @@
         self.system.send(entry, attempt, self.served.path(), &headers)
     }
 
-    /// What the hosts told of requests that went to upstreams with a limit: how many, and how many of them
-    /// were first tries.
+    /// Requests to upstreams with a limit, as logged by each host: their number, with the number of
+    /// first attempts in parentheses.
     fn told_sends(&self) -> String {
         let of_host = |host: &Host| {
             let lines = host.lines("Sends to an upstream with a limit");
@@ -129,7 +131,8 @@
         self.system.entries.iter().map(of_host).collect::<Vec<_>>().join(", ")
     }
 
-    /// Plays callers of all hosts beside `main`; how many requests were served, of how many.
+    /// Runs callers at all hosts concurrently with `main`; returns the numbers of served and sent
+    /// requests.
     fn beside_callers(&self, main: impl FnOnce()) -> (usize, usize) {
         let is_over = AtomicBool::new(false);
         let call_on = |entry: usize, caller: usize| {
@@ -154,12 +157,13 @@
     }
 }
 
-/// The upstream that got most so far.
+/// The upstream with the most requests so far.
 fn busiest(limits: &[SharedLimit]) -> &SharedLimit {
     limits.iter().max_by_key(|limit| limit.arrivals().len()).unwrap()
 }
 
-/// Has the busiest upstream name a limit after a while; returns it, and when all hosts have to know.
+/// Sets a limit at the busiest upstream after the warm-up; returns it and the instant by which all
+/// hosts must know the limit.
 fn name_limit(limits: &[SharedLimit]) -> (&SharedLimit, Instant) {
     std::thread::sleep(WARM_UP);
     let limit = busiest(limits);
@@ -167,7 +171,8 @@
     (limit, Instant::now() + CONTACT)
 }
 
-/// One that had named one request a second got 26 within four.
+/// Guards against hosts that each use a limit in full: an upstream with a limit of one request per
+/// second received 26 requests within four seconds.
 #[rstest]
 #[case::engines(Served::ByEngines)]
 #[case::service(Served::ByService)]
@@ -185,7 +190,7 @@
     assert!(served * 100 >= sent * 98, "{served} of {sent} were served, beside upstreams at rest");
 }
 
-/// The leader is lost while an upstream names a limit: the next one knows of it.
+/// The leader is killed while an upstream has a limit, which the next leader must know.
 #[rstest]
 #[case::engines(Served::ByEngines)]
 #[case::service(Served::ByService)]
@@ -206,8 +211,8 @@
     assert!(served * 10 >= sent * 9, "{served} of {sent} were served");
 }
 
-/// All upstreams name a limit, far below what callers ask for: what they take is used, and the others are
-/// refused at once with a time to come back.
+/// All upstreams have a limit far below the request rate. Their capacity is used, and excess
+/// requests are refused immediately with a `retry-after` time.
 #[rstest]
 #[case::engines(Served::ByEngines)]
 #[case::service(Served::ByService)]
--- a/clayplankd/tests/seeded/main.rs
+++ b/clayplankd/tests/seeded/main.rs
@@ -1,4 +1,5 @@
-//! Seeded hosts as processes: their promises one by one, and a randomised run of them all.
+//! End-to-end tests of seeded hosts (hosts that find each other through bootstrap addresses) as
+//! processes: their guarantees one by one, and randomised runs of all of them (`soak`).
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![allow(clippy::print_stdout, reason = "the soak tells its seeds, and what each came to")]
--- a/clayplankd/tests/seeded/promises.rs
+++ b/clayplankd/tests/seeded/promises.rs
@@ -1,4 +1,4 @@
-//! The promises of seeded hosts, over real processes.
+//! Guarantees of seeded hosts, tested with real processes.
 
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
@@ -63,7 +63,8 @@
     for keeper in 0..system.keepers.len() {
         system.beat(keeper, "u3", "ready");
     }
-    // While the first upstream is silent a second one is asked, and left when the first goes on.
+    // While the first upstream is unresponsive, the request is also sent to a second one, which is
+    // cancelled when the first continues. Both count as attempts.
     let answer = system.send(0, "f1", "/stream/events/12", &[("x-standin-fault", "falter")]);
     assert!(!answer.is_whole, "no third upstream may finish it");
     assert_eq!(system.runs.count("f1"), 2);
@@ -89,10 +90,11 @@
     });
 }
 
-/// The longest time limit of the test below, in ms: its answer would take as long.
+/// Time limit of the route in the test below, in ms. The answer would take as long.
 const LONG_LIMIT_MS: u64 = 600_000;
 
-/// Nobody waits for the answer any more: work on it takes the place of work for others.
+/// Guards against work that continues after its caller has disconnected and takes the place of
+/// other work.
 #[rstest]
 #[case::while_its_prompt_is_read("1500000,73")]
 #[case::while_its_answer_is_written("2000,30000000")]
@@ -167,7 +169,7 @@
 fn an_upstream_that_drains_gets_nothing_after_the_acknowledgement() {
     let mut system = System::start();
     wait_for("the acknowledgement", || system.beat(0, "u1", "draining").status == 200);
-    // The news is on its way to the entry hosts, which hear of it within one exchange.
+    // The update reaches each entry host with its next exchange with a keeper.
     wait_for("news at the entry hosts", || {
         (0..40).all(|number| {
             let attempt = format!("d{number}-{}", rand_suffix());
@@ -183,7 +185,7 @@
     }
 }
 
-/// Attempts are named once.
+/// Unique suffix, since each attempt id may be used only once.
 fn rand_suffix() -> u128 {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_nanos()
 }
@@ -205,7 +207,7 @@
         let held = call(system.keepers[0].control(), "GET", "/v1/plan", &[], "");
         held.text() == second_text
     });
-    // Once the repaired one votes, the loss of another one is borne.
+    // Once the repaired keeper votes, the loss of another keeper is tolerated.
     let third = plan(3);
     wait_for("a change with all three", || publish(&system.keepers[0], &third).status == 200);
     system.keepers[1].kill();
@@ -247,12 +249,12 @@
     assert_eq!(system.send(1, "after", "/once/x", &[]).status, 200, "the other host serves on");
 }
 
-/// An engine too small for the prompts below; three of them hold one together.
+/// An engine too small for the long prompt below, which fits into three of them together.
 fn small_engine() -> EngineModel {
     EngineModel { memory_tokens: 40_000, ..EngineModel::default() }
 }
 
-/// A plan with a route to a pool of engines.
+/// A plan with an additional route to a pool of engines.
 pub fn plan_with_engines(version: u64, model: &EngineModel) -> Value {
     let mut plan = plan(version);
     plan["services"].as_array_mut().unwrap().push(json!({ "name": "pool", "engine": model }));
@@ -284,7 +286,7 @@
     let long = [("x-clayplank-tokens", "90000,138")];
     let mut answer = Answer::default();
     let mut number = 0;
-    // Engines that have not registered yet are missing: nothing runs until all three have.
+    // The prompt needs all three engines, and is refused until all of them have registered.
     wait_for("an answer to the long prompt", || {
         number += 1;
         answer = system.send(1, &format!("long-{number}"), "/prompt/x", &long);
@@ -310,7 +312,7 @@
     let line = "\"message\":\"Took in changed settings\"";
     wait_for("the line that tells of it", || entry.log().contains(line));
     assert!(entry.log().contains("\"for_next_start\":\"data_centre\""));
-    // One retry in a window is always allowed; the second shows that the budget is empty.
+    // One retry per window is always allowed; the second shows that the budget is empty.
     for (attempt, status) in [("h1", 200), ("h2", 502)] {
         let lost = system.send(0, attempt, "/repeatable/x", &[("x-standin-fault", "lose")]);
         assert_eq!(lost.status, status, "{attempt}");
@@ -331,7 +333,7 @@
     entry.change_settings_file(|settings| settings["log"] = json!({ "buffered_lines": 16 }));
     let pipe = entry.start_with_pipe();
     wait_for("readiness", || system.entries[0].is_ready());
-    // A refusal at the door is always named: these lines are more than a pipe takes.
+    // A rejection at the listener is always logged. These lines exceed the capacity of a pipe.
     for number in 0..1_000 {
         let attempt = format!("full-{number}");
         assert_eq!(system.send(0, &attempt, "/nowhere/", &[]).status, 404);
@@ -350,11 +352,11 @@
 #[test]
 fn a_helper_that_is_gone_is_named_and_the_prompt_is_read_by_others() {
     let system = System::start();
-    // Of three engines, all read a prompt that is this long.
+    // A prompt of this length is prefilled by all three engines.
     for number in 1..=2_u8 {
         system.start_engine(&format!("e{number}"), 30 + number, EngineModel::default());
     }
-    // It registers, and nothing listens where it says it is.
+    // This engine registers, but nothing listens at its address.
     system.register_engine("e4", 34);
     system.wait_for_plan(&plan_with_engines(2, &EngineModel::default()));
     wait_for("the route", || system.send(0, "route", "/prompt/x", &[]).status != 404);
--- a/clayplankd/tests/seeded/proxy.rs
+++ b/clayplankd/tests/seeded/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that delays, resets, silences, or cuts one way.
+//! Loopback proxy that delays, resets or blackholes connections, or blocks one direction.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,24 +10,24 @@
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
 
-/// What the proxy does to connections.
+/// Fault that the proxy applies to connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     #[default]
     None,
-    /// Each piece comes this much later, in ms.
+    /// Delays each chunk by this time in ms.
     Delay(u64),
-    /// Connections end, and new ones end at once.
+    /// Closes all connections, and new ones immediately.
     Reset,
-    /// Nothing passes either way, and nothing is closed.
+    /// Blocks both directions without closing connections.
     Silence,
-    /// Nothing passes to the process behind the proxy.
+    /// Blocks the direction to the process behind the proxy.
     CutIn,
-    /// Nothing passes from the process behind the proxy.
+    /// Blocks the direction from the process behind the proxy.
     CutOut,
 }
 
-/// A way through the proxy.
+/// Direction of data through the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
     In,
@@ -45,7 +45,7 @@
     }
 }
 
-/// All connections to one process.
+/// Proxy for all connections to one process.
 #[derive(Clone, Debug)]
 pub struct Proxy {
     fault: Arc<Mutex<watch::Sender<Fault>>>,
@@ -62,7 +62,7 @@
         self.fault.lock().unwrap().send_replace(fault);
     }
 
-    /// Passes connections from `near` on to `far`.
+    /// Forwards connections from `near` to `far`.
     pub fn start(&self, runtime: &Runtime, near: SocketAddr, far: SocketAddr) {
         let listener = runtime.block_on(TcpListener::bind(near)).unwrap();
         let fault = self.fault.lock().unwrap().subscribe();
@@ -85,7 +85,7 @@
         far.set_nodelay(true).ok();
         let (near_in, near_out) = near.into_split();
         let (far_in, far_out) = far.into_split();
-        // As on a network, one side that has ended its part may still read.
+        // As on a network, a side that has closed its sending half can still receive.
         tokio::join!(
             copy(near_in, far_out, fault.clone(), Direction::In),
             copy(far_in, near_out, fault.clone(), Direction::Out),
@@ -97,7 +97,7 @@
     }
 }
 
-/// Waits while a cut holds what should pass.
+/// Waits while the fault blocks this direction.
 async fn wait_until_open(fault: &mut watch::Receiver<Fault>, direction: Direction) {
     fault.wait_for(|fault| !fault.holds(direction)).await.ok();
 }
--- a/clayplankd/tests/seeded/replacement.rs
+++ b/clayplankd/tests/seeded/replacement.rs
@@ -1,13 +1,13 @@
-//! A keeper that is replaced, and the loss of two disks after it.
+//! Replacement of a keeper, followed by the loss of two disks.
 //!
-//! What users saw: after a loss of power in which two of five keepers lost their disks, nobody led,
-//! settings could not be read, and every request was refused until the end. Some time before, a
-//! keeper had been replaced: an empty one started, then the other one was stopped for good.
+//! The failure: after a power loss in which two of five keepers lost their disks, no leader was
+//! elected, settings could not be read, and every request was refused. Some time before, a keeper
+//! had been replaced: an empty one was started, then the other one was stopped for good.
 //!
-//! The cause: the newcomer became the sixth voter, and the one that was gone stayed a voter, since
-//! members were changed only when a keeper introduced itself. Of six voters four decide; two lost
-//! disks left three. The evidence: `No leader is elected` names three that granted their vote, a
-//! quorum of four, and six voters, one of which had logged `Stopped` 16 s before.
+//! How it came about: the new keeper became the sixth voter, and the stopped one stayed a voter,
+//! since members were changed only when a keeper introduced itself. Six voters need a quorum of
+//! four, and two lost disks left three. The log showed it: `No leader is elected` named three
+//! granted votes, a quorum of four, and six voters, one of which had logged `Stopped` 16 s before.
 
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::time::Duration;
@@ -20,10 +20,10 @@
 use crate::host::{CONTROL, Host, INNER};
 use crate::system::{Shape, System, plan, publish, wait_for};
 
-/// Time in which the keepers have to have repaired one loss before the next one comes.
+/// Time within which the keepers must have repaired one loss before the next one.
 pub const CATCH_UP: Duration = Duration::from_secs(4);
 
-/// Whether a keeper knows from a committed entry that this one votes.
+/// Whether a keeper knows from a committed entry that it is itself a voter.
 fn votes(keeper: &Host) -> bool {
     let told = keeper.lines("The keepers' members changed");
     let own = format!("{}#", keeper.ip);
@@ -36,7 +36,7 @@
     serde_json::from_str::<Value>(&answer.text()).ok()?["version"].as_u64()
 }
 
-/// All keepers are killed at once; two of them come back without a disk.
+/// Kills all keepers at once and restarts them, two of them without their disks.
 fn lose_two_disks(system: &mut System, lost: [usize; 2]) {
     system.keepers.iter_mut().for_each(Host::kill);
     for number in lost {
@@ -50,9 +50,9 @@
 
 #[derive(Clone, Copy, Debug)]
 enum End {
-    /// SIGTERM, once the newcomer votes.
+    /// SIGTERM, once the new keeper votes.
     Planned,
-    /// SIGKILL; the others are told nothing.
+    /// SIGKILL, without notice to the other keepers.
     Sudden,
 }
 
@@ -91,8 +91,8 @@
     assert_eq!(publish(&system.keepers[0], &plan(3)).status, 200);
 }
 
-/// Three keepers are there of those that two lost disks need: what only two of them hold would be
-/// lost with these two.
+/// Tolerating two lost disks takes three copies. A plan stored by two keepers only would be lost
+/// with these two.
 #[test]
 fn a_plan_is_acknowledged_only_once_it_survives_the_losses_that_are_tolerated() {
     let mut system = System::start();
@@ -117,8 +117,8 @@
     system.wait_for_plan(&plan(3));
 }
 
-/// A host is told of three others at most, which need not be keepers, and may be those that serve
-/// callers alone.
+/// Sets entry hosts as the only bootstrap addresses of a keeper. A host has at most three bootstrap
+/// addresses, which need not be keepers, and may be entry hosts without a disk.
 fn tell_of_entry_hosts_alone(system: &System, keeper: &Host) {
     let doors: Vec<_> = system.entries.iter().map(Host::control).collect();
     keeper.tell_of(&doors);
@@ -129,8 +129,9 @@
     System::start_as(has_doors)
 }
 
-/// What users saw: after a replacement, and after a lost disk, a keeper logged `Started` and no
-/// more. It was told of entry hosts, which did not answer other hosts at all.
+/// Guards against a keeper that never joins: after a replacement or a lost disk, a keeper logged
+/// `Started` and nothing more, because its bootstrap addresses were entry hosts, which did not
+/// answer peers at all.
 #[test]
 fn a_keeper_that_is_told_of_entry_hosts_alone_finds_the_others() {
     let mut system = with_doors();
@@ -143,7 +144,7 @@
     wait_for("a keeper with an empty disk that votes", || votes(&system.keepers[2]));
 }
 
-/// All of those that the hosts are told of have just started and know nothing themselves.
+/// All bootstrap addresses belong to hosts that have just started and do not know the keepers yet.
 #[test]
 fn hosts_that_are_told_of_entry_hosts_alone_find_the_keepers() {
     let mut system = with_doors();
@@ -156,7 +157,7 @@
         host.start();
     });
     system.beat_until_served();
-    // Now those that serve callers alone.
+    // Now only the entry hosts restart.
     system.entries.iter_mut().for_each(|host| {
         host.kill();
         host.start();
@@ -164,7 +165,8 @@
     system.beat_until_served();
 }
 
-/// Starts all hosts anew, each told of the entry hosts in `seeds` alone, and waits until all serve.
+/// Restarts all hosts, each with only the entry hosts that `seeds_of` returns as bootstrap
+/// addresses, and waits until all entry hosts are ready.
 fn restart_told_of_entry_hosts(system: &mut System, seeds_of: impl Fn(usize) -> Vec<usize>) {
     let all = system.keepers.iter().chain(&system.entries);
     for (number, host) in all.enumerate() {
@@ -175,7 +177,7 @@
     wait_for("a confirmed plan at all hosts", || system.entries.iter().all(Host::is_ready));
 }
 
-/// Hosts to which no keeper makes itself known have to ask for the keepers.
+/// Hosts that no keeper contacts have to query their peers for the keepers.
 #[rstest]
 #[case::all_of_the_same_three(|_| vec![0, 1, 2])]
 #[case::keepers_of_others_than_hosts(|host| if host < 3 { vec![0, 1, 2] } else { vec![3, 4, 5] })]
@@ -188,7 +190,7 @@
     restart_told_of_entry_hosts(&mut system, seeds_of);
 }
 
-/// Of those that a host is told of, one takes connections and says nothing, and one is gone.
+/// One bootstrap address accepts connections without answering, and nothing listens at another.
 #[test]
 fn hosts_told_of_one_that_is_silent_and_one_that_is_gone_find_the_keepers() {
     let shape = Shape { keepers: 3, entries: 3, all_serve: true, ..Shape::default() };
@@ -202,7 +204,8 @@
     wait_for("a confirmed plan at all hosts", || system.entries.iter().all(Host::is_ready));
 }
 
-/// Addresses of machines that are gone stay silent, or belong to others by now.
+/// The addresses of replaced keepers stay unresponsive, or may belong to other machines later, so
+/// hosts must forget them.
 #[test]
 fn hosts_count_on_keepers_that_were_replaced_no_more() {
     let mut system = System::start_as(Shape { keepers: 3, entries: 2, ..Shape::default() });
@@ -217,7 +220,7 @@
     });
 }
 
-/// Of those that hosts are told of, only one is there still, and it is no keeper.
+/// Only one bootstrap address is still in use, and its host is not a keeper.
 #[test]
 fn hosts_find_the_keepers_after_all_that_they_were_told_of_were_replaced() {
     let shape = Shape { keepers: 3, entries: 2, all_serve: true, ..Shape::default() };
@@ -240,7 +243,7 @@
     wait_for("a confirmed plan at all hosts", || system.entries.iter().all(Host::is_ready));
 }
 
-/// Of those that the hosts are told of at the first start, one is a keeper.
+/// Only one of the bootstrap addresses at the first start belongs to a keeper.
 #[test]
 fn a_first_start_with_entry_hosts_among_the_seeds_begins() {
     let shape =
--- a/clayplankd/tests/seeded/returning.rs
+++ b/clayplankd/tests/seeded/returning.rs
@@ -1,8 +1,8 @@
-//! Upstreams that start again under the name that they had.
+//! Upstreams that restart under their former id.
 //!
-//! A new life holds and knows nothing of the former one, and counts its heartbeats from the start:
-//! what the former one said last, that it leaves or how many heartbeats it had sent, must not
-//! keep the new one from being used; and what of it comes late must not end the new one.
+//! A new incarnation has no state of the former one, and counts its heartbeats from 1. The last
+//! report of the former incarnation (that it drains, and its heartbeat number) must not keep the
+//! new one from being used, and late heartbeats of the former one must not end the new one.
 
 use crate::client::call;
 use crate::system::{System, wait_for};
@@ -11,7 +11,8 @@
     format!("/v1/upstreams/{name}")
 }
 
-/// Tells one keeper of a life of an upstream.
+/// Sends a heartbeat of one incarnation of an upstream (id, last address byte, `born_ms`) to a
+/// keeper.
 fn tell(system: &System, life: (&str, u8, u64), sequence: u64, standing: &str) {
     let (name, last, born_ms) = life;
     let mut body = system.heartbeat(name, last, sequence, standing);
@@ -27,7 +28,7 @@
     system.send(0, attempt, "/repeatable/x", &[]).status == 200
 }
 
-/// Only `u1` is left, in its first life, which drains.
+/// Starts a system whose only upstream is `u1` in its first incarnation, which drains.
 fn drain_all() -> System {
     let system = System::start();
     let keeper = system.keepers[0].control();
@@ -53,7 +54,7 @@
         number += 1;
         is_served(&system, &format!("again-{number}"))
     });
-    // What the former one said last comes once more, and then its next word.
+    // The last heartbeat of the former incarnation arrives again, followed by its next one.
     tell(&system, ("u1", 21, 1_000), 5_001, "draining");
     tell(&system, ("u1", 21, 1_000), 5_002, "draining");
     tell(&system, ("u1", 21, 2_000), 2, "ready");
--- a/clayplankd/tests/seeded/soak/callers.rs
+++ b/clayplankd/tests/seeded/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that never rest: each keeps its connection until its host ends it.
+//! Callers that send requests continuously, and reuse a connection until the host closes it.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,16 +12,16 @@
 use crate::answer::{Answer, read_answer};
 use crate::system::KEY;
 
-/// The longest that a caller waits for an answer: beyond the time limit of all routes.
+/// Time limit for an answer, longer than the time limit of all routes.
 const PATIENCE: Duration = Duration::from_secs(12);
 
-/// Faults that a request may ask of its upstream.
+/// Faults that a request may ask its upstream to show.
 const WISHES: [&str; 6] = ["refuse", "lose", "break", "foreign", "unsealed", "slow"];
 
-/// One in so many requests asks for a fault.
+/// One in this many requests asks for a fault.
 const WISH_EVERY: u32 = 5;
 
-/// A connection that is kept for many requests.
+/// A connection that is reused for many requests.
 struct Kept {
     address: SocketAddr,
     stream: Option<BufReader<TcpStream>>,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Sends requests to one entry host until `is_over`.
+/// Sends requests to one entry host until `is_finished` is set.
 pub fn run_caller(
     seed: u64,
     (entry, address): (usize, SocketAddr),
--- a/clayplankd/tests/seeded/soak/checks.rs
+++ b/clayplankd/tests/seeded/soak/checks.rs
@@ -1,4 +1,4 @@
-//! Checks at the end of a run: service, the plan, and requests that were cut off.
+//! Checks at the end of a run: availability, the plan, and interrupted requests.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -11,17 +11,18 @@
 use crate::host::Host;
 use crate::system::{KEY, wait_for};
 
-/// An unplanned fault may be felt for so long after its end: hosts have to find each other.
+/// Time after the end of an unplanned fault in which requests may still fail, because hosts have to
+/// find each other again.
 const FELT: Duration = Duration::from_secs(6);
 
-/// Changes that a host may miss one after the other, since a newer one came before it was told: a host that
-/// hears from no keeper for two seconds misses ten.
+/// Maximum number of consecutive plans that a host may miss because a newer one arrived before it
+/// was notified. A host that hears from no keeper for two seconds misses ten.
 const MAX_MISSED: usize = 5;
 
-/// Requests in a row that each entry host must serve once all faults are over.
+/// Consecutive requests that each entry host must serve once all faults are over.
 const SERVED_IN_A_ROW: u64 = 20;
 
-/// After all faults every entry host serves again.
+/// Waits until every entry host serves again and all idle entry hosts are ready.
 pub fn wait_until_served(shared: &Shared, seed: u64) {
     for entry in 0..ENTRIES {
         let mut row = 0;
@@ -43,7 +44,8 @@
     });
 }
 
-/// Hosts that missed many changes one after the other, of those after a version, in calm times.
+/// Hosts that missed too many consecutive plans of those after version `calm_from`, in the period
+/// without faults.
 pub fn check_missed(shared: &Shared, calm_from: u64) -> Vec<String> {
     let plans = shared.acknowledged_plans.lock().unwrap().clone();
     let plans: Vec<_> = plans.into_iter().filter(|version| *version > calm_from).collect();
@@ -63,7 +65,7 @@
         .collect()
 }
 
-/// The keepers agree on a plan that is no older than the newest that was acknowledged.
+/// Checks that all keepers return a plan that is at least as new as the newest acknowledged one.
 pub fn check_plan(shared: &Shared) {
     for control in shared.controls() {
         wait_for("a read of the plan", || {
@@ -74,8 +76,8 @@
     }
 }
 
-/// Requests that planned work cut off: all that ran and got no whole answer, far from any
-/// unplanned fault, the end of all hosts among them.
+/// Requests that planned operations interrupted: those that ran and got no complete answer, outside
+/// the periods affected by unplanned faults and by the final kill of all hosts.
 pub fn check_cut_off(
     seen: &[Seen],
     schedule: &[Step],
--- a/clayplankd/tests/seeded/soak/crashing.rs
+++ b/clayplankd/tests/seeded/soak/crashing.rs
@@ -1,4 +1,4 @@
-//! A caller whose request ends the upstreams that run it, beside all other faults.
+//! A caller whose request terminates the upstreams that run it, concurrent with all other faults.
 
 use std::sync::Mutex;
 use std::sync::atomic::Ordering;
@@ -12,14 +12,14 @@
 use crate::crashing_upstreams::{CRASHING_BODY, Fleet};
 use crate::system::{call_with_key, wait_for};
 
-/// Upstreams of the service that the request ends.
+/// Upstreams of the service that the request terminates.
 pub const UPSTREAMS: u8 = 5;
 
-/// Once one host refuses the request, the others do after the lease of their settings, 3.2 s, and
-/// the longest pause of a process, 4 s.
+/// Once one host refuses the request, all others must do so within the lease of their settings (3.2
+/// s) plus the longest pause of a process (4 s).
 const KNOWN_TO_ALL: Duration = Duration::from_secs(8);
 
-/// When a host refused the request for the first time because upstreams end under it.
+/// Instant of the first refusal of the request because it terminates upstreams.
 #[derive(Debug, Default)]
 pub struct Refused(Mutex<Option<Instant>>);
 
@@ -29,7 +29,7 @@
     (answer.status, answer.text())
 }
 
-/// Sends the request to one entry host after the other, until the run is over.
+/// Sends the request to randomly chosen entry hosts until the run is finished.
 pub fn run_crashing(shared: &Shared, refused: &Refused, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     for number in 0_u64.. {
@@ -45,7 +45,8 @@
     }
 }
 
-/// The request was held back at all hosts, and others of its service are served.
+/// Checks that the request was quarantined at all hosts, and that other requests to its service are
+/// served.
 pub fn check_held_back(shared: &Shared, fleet: &Fleet, refused: &Refused) -> Vec<String> {
     for entry in 0..ENTRIES {
         let mut number = 0;
--- a/clayplankd/tests/seeded/soak/limited.rs
+++ b/clayplankd/tests/seeded/soak/limited.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name a limit all the time, beside all other faults.
+//! Upstreams that have a limit during the whole run, concurrent with all other faults.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -10,13 +10,14 @@
 use crate::limited::{most_allowed, most_in_window};
 use crate::system::{LIMITED, System, call_with_key};
 
-/// Requests a second that each upstream takes.
+/// Limit of each upstream in requests per second.
 const LIMIT_PER_S: f64 = 2.0;
 
-/// Between two requests at an entry host: all of them ask for seven times what the upstreams take.
+/// Pause between two requests at an entry host. In total they amount to seven times what the
+/// upstreams accept.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Starts the upstreams.
+/// Starts the upstreams with their limits.
 pub fn start_limited(system: &System) -> [SharedLimit; 2] {
     let limits = [SharedLimit::default(), SharedLimit::default()];
     for (number, limit) in (1_u8..).zip(&limits) {
@@ -26,7 +27,7 @@
     limits
 }
 
-/// Sends requests to one entry host until the run is over.
+/// Sends requests to one entry host until the run is finished.
 pub fn run_limited(shared: &Shared, entry: usize, seed: u64) {
     for number in 0_u64.. {
         if shared.is_over.load(Ordering::SeqCst) {
@@ -39,8 +40,8 @@
     }
 }
 
-/// What each upstream got stays within its limit. A host that starts again, or wakes, may send one
-/// request before it is told.
+/// Checks that each upstream received no more than its limit allows. A host that restarts or
+/// resumes may send one request before it has received the limit.
 pub fn check_limits(limits: &[SharedLimit]) -> Vec<String> {
     let allowed = most_allowed(LIMIT_PER_S) + ENTRIES;
     let most = limits.iter().map(|limit| most_in_window(limit, None));
--- a/clayplankd/tests/seeded/soak/mod.rs
+++ b/clayplankd/tests/seeded/soak/mod.rs
@@ -1,8 +1,8 @@
-//! The fault soak: real processes, random faults from outside, callers that never rest,
-//! and the promises checked from what callers and upstreams saw.
+//! Randomised fault tests (soak): real processes, random faults, and continuous callers; the
+//! guarantees are checked against what callers and upstreams observed.
 //!
-//! CLAYPLANK_SOAK_SEEDS names the seeds, such as `7` or `100..150`. The same seed gives
-//! the same schedule; how the processes interleave is the machine's.
+//! CLAYPLANK_SOAK_SEEDS selects the random seeds, such as `7` or `100..150`. The same seed gives
+//! the same schedule; the interleaving of the processes is not reproducible.
 
 mod callers;
 mod checks;
@@ -17,7 +17,7 @@
 
 use run::run_seed;
 
-/// Seeds of a usual test run, and every seed that once failed, with its cause.
+/// Seeds of a default test run, and every seed that once failed, with its cause.
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 fn chosen_seeds() -> Vec<u64> {
--- a/clayplankd/tests/seeded/soak/operators.rs
+++ b/clayplankd/tests/seeded/soak/operators.rs
@@ -1,4 +1,4 @@
-//! What comes to the keepers during a run: heartbeats, and plans that are read back.
+//! Requests to the keepers during a run: heartbeats, and plans that are read back.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -10,13 +10,13 @@
 use crate::client::call;
 use crate::system::plan;
 
-/// Between two heartbeats of the upstreams.
+/// Heartbeat interval of the upstreams.
 const BEAT_EVERY: Duration = Duration::from_millis(300);
 
-/// Between two plans of an operator.
+/// Pause of an operator between two plans.
 const PLAN_EVERY: Duration = Duration::from_millis(400);
 
-/// Sends heartbeats of the upstreams until the run is over.
+/// Sends heartbeats of the upstreams until the run is finished.
 pub fn run_heartbeats(shared: &Shared) {
     let mut sequence = 1_000_000;
     while !shared.is_over.load(Ordering::SeqCst) {
@@ -29,7 +29,8 @@
     }
 }
 
-/// Publishes plans, two operators in turn with versions of their own, and reads them back.
+/// Publishes plans and reads them back until the run is finished. Of the two operators, one uses
+/// even and the other odd versions.
 pub fn run_operator(shared: &Shared, number: u64) {
     for round in 1_u64.. {
         if shared.is_over.load(Ordering::SeqCst) {
@@ -50,7 +51,8 @@
     }
 }
 
-/// A read never shows less than what was acknowledged before it was sent.
+/// Checks that a read returns no older plan than the newest one acknowledged before the read was
+/// sent.
 pub fn read_back(shared: &Shared, control: SocketAddr) {
     let acknowledged = shared.acknowledged.load(Ordering::SeqCst);
     let answer = call(control, "GET", "/v1/plan", &[], "");
--- a/clayplankd/tests/seeded/soak/play.rs
+++ b/clayplankd/tests/seeded/soak/play.rs
@@ -1,4 +1,4 @@
-//! Plays a schedule of faults on the processes and proxies of a system.
+//! Applies a schedule of faults to the processes and proxies of a system.
 
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -11,15 +11,15 @@
 use crate::proxy::Fault;
 use crate::system::System;
 
-/// A process that is down or paused, or a proxy with a fault, and until when.
+/// A fault in effect on a process or proxy, and the time at which it is to be undone.
 struct Pending {
     until: Instant,
     step: Step,
-    /// The process that was struck; another may run in its place by now.
+    /// Process id of the affected process; another process may run in its place by now.
     process: Option<u32>,
 }
 
-/// Plays the schedule, and puts everything right again in time.
+/// Injects the faults of the schedule on time, and undoes each after its duration.
 pub fn play(shared: &Shared, schedule: &[Step], began: Instant) {
     let mut steps = schedule.iter().peekable();
     let mut pending: Vec<Pending> = Vec::new();
@@ -38,7 +38,7 @@
     }
 }
 
-/// Begins a fault; returns the process that it is done to, if it is one.
+/// Injects a fault; returns the id of the affected process, if it is a single one.
 fn begin(system: &mut System, step: &Step) -> Option<u32> {
     match (step.target, step.act) {
         (Target::Link(last), Act::Network(fault)) => system.proxy(last).set(fault),
@@ -76,7 +76,7 @@
         }),
         Blow::LoseDisk => {
             host.kill();
-            // A keeper that has not begun yet has nothing to lose.
+            // A keeper that has never started has no data directory.
             std::fs::remove_dir_all(&host.data).ok();
         }
         Blow::FillDisk => limit_files(host),
@@ -85,13 +85,13 @@
     process
 }
 
-/// No file of the process may grow any more: the next write fails part of the way.
+/// Prevents all files of the process from growing, so that its next write fails part of the way.
 fn limit_files(host: &Host) {
     let id = host.process().unwrap().to_string();
     Command::new("prlimit").args(["--pid", &id, "--fsize=1"]).status().unwrap();
 }
 
-/// Ends a fault; `false` while a process that stops is not down yet.
+/// Undoes a fault; `false` while a process that is stopping has not exited yet.
 fn end(system: &mut System, pending: &Pending) -> bool {
     match pending.step.target {
         Target::Link(last) => system.proxy(last).set(Fault::None),
@@ -112,7 +112,7 @@
     true
 }
 
-/// Stops a keeper for good; `false` while it is not down yet.
+/// Stops a replaced keeper for good; `false` while it has not exited yet.
 fn end_replaced(system: &mut System, number: usize) -> bool {
     let former = &mut system.keepers[number];
     if !former.has_ended() {
@@ -148,7 +148,7 @@
     true
 }
 
-/// All keepers end at once, or all hosts; two keepers come back without their disks.
+/// Kills all keepers at once, or all hosts, and restarts them; two keepers lose their disks.
 pub fn play_closing(system: &mut System, lost: [usize; 2], ends_all: bool) {
     system.keepers.iter_mut().for_each(Host::kill);
     if ends_all {
--- a/clayplankd/tests/seeded/soak/record.rs
+++ b/clayplankd/tests/seeded/soak/record.rs
@@ -1,11 +1,11 @@
-//! What callers and operators saw, and what of it breaks a promise.
+//! Observations of callers and operators, and the violations found in them.
 
 use std::sync::Mutex;
 use std::time::Instant;
 
 use crate::answer::Answer;
 
-/// How a request may be treated.
+/// Retry semantics of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Repeatable,
@@ -13,7 +13,7 @@
     Stream { events: u64 },
 }
 
-/// One request, and how it ended; `None` if its connection gave no answer.
+/// One request and its result; `answer` is `None` if the connection gave no answer.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub attempt: String,
@@ -21,12 +21,12 @@
     pub entry: usize,
     pub sent_at: Instant,
     pub ended_at: Instant,
-    /// The fault that the request asked its upstream for.
+    /// Fault that the request asked its upstream to show.
     pub wish: Option<&'static str>,
     pub answer: Option<Answer>,
 }
 
-/// What was seen, and the promises that were broken.
+/// Recorded requests and violated guarantees.
 #[derive(Debug, Default)]
 pub struct Record {
     seen: Mutex<Vec<Seen>>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The promise that one request breaks by itself; `runs` is how often upstreams ran it.
+/// Guarantee violated by this request alone; `runs` is the number of times upstreams ran it.
 pub fn check_seen(seen: &Seen, runs: usize) -> Option<String> {
     let Seen { attempt, kind, .. } = seen;
     if *kind == Kind::Once && runs > 1 {
@@ -78,8 +78,7 @@
     }
 }
 
-/// Whether a request that ran got no whole answer, though nobody failed but the caller's host,
-/// as planned.
+/// Whether a request that ran got no complete answer although it asked for no fault.
 pub fn is_cut_off(seen: &Seen, runs: usize) -> bool {
     let is_whole = seen.answer.as_ref().is_some_and(|answer| answer.is_whole);
     runs > 0 && seen.wish.is_none() && !is_whole
--- a/clayplankd/tests/seeded/soak/run.rs
+++ b/clayplankd/tests/seeded/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run of the soak: plays a seed's schedule, and checks what came of it.
+//! One run of the soak: applies the schedule of a seed and checks the results.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -21,31 +21,31 @@
 use crate::replacement::CATCH_UP;
 use crate::system::System;
 
-/// A time without faults in which changes go on.
+/// Period without faults in which plans continue to change.
 const CALM: Duration = Duration::from_secs(4);
 
-/// Callers of each entry host.
+/// Callers per entry host.
 const CALLERS: u64 = 3;
 
-/// What all threads of a run share.
+/// State shared by all threads of a run.
 pub struct Shared {
     pub system: Mutex<System>,
     pub record: Record,
     pub is_over: AtomicBool,
-    /// The highest version that was acknowledged.
+    /// Highest acknowledged plan version.
     pub acknowledged: AtomicU64,
-    /// Versions that were the highest when they were acknowledged, in that order.
+    /// Versions that were the highest ones when they were acknowledged, in that order.
     pub acknowledged_plans: Mutex<Vec<u64>>,
 }
 
 impl Shared {
-    /// Where operators reach the keepers.
+    /// Control addresses of the keepers.
     pub fn controls(&self) -> Vec<SocketAddr> {
         self.system.lock().unwrap().keepers.iter().map(Host::control).collect()
     }
 }
 
-/// Ends all threads of a run, also if a check panics.
+/// Stops all threads of a run when dropped, also if a check panics.
 struct EndsRun<'a>(&'a AtomicBool);
 
 impl Drop for EndsRun<'_> {
@@ -54,12 +54,12 @@
     }
 }
 
-/// Plays a seed; `Err` tells the schedule and all broken promises.
+/// Runs a seed; `Err` contains the schedule and all violations.
 pub fn run_seed(seed: u64) -> Result<String, String> {
     let schedule = draw_schedule(seed);
     let setup = draw_setup(seed);
     let mut system = System::start_as(setup.shape());
-    // A keeper with an empty disk joins the others from now on.
+    // From now on a keeper with an empty disk joins the existing ones.
     setup.tell(&mut system, seed);
     let fleet = Fleet::start(&system, UPSTREAMS);
     let limits = start_limited(&system);
@@ -128,7 +128,7 @@
     if broken.is_empty() { Ok(summary) } else { Err(report(&schedule, &broken, &shared.system)) }
 }
 
-/// The schedule, the broken promises, and the log lines that name their requests.
+/// The schedule, the violations, and the log lines that mention their requests.
 fn report(schedule: &[Step], broken: &[String], system: &Mutex<System>) -> String {
     let mut text = String::new();
     for step in schedule {
--- a/clayplankd/tests/seeded/soak/schedule.rs
+++ b/clayplankd/tests/seeded/soak/schedule.rs
@@ -1,55 +1,55 @@
-//! Which faults a seed brings, and when.
+//! Schedule of faults drawn from a seed.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
 use crate::proxy::Fault;
 
-/// Faults come over this time, in ms.
+/// Period in which faults start, in ms.
 pub const SPAN_MS: u64 = 12_000;
 
-/// Hosts of a run.
+/// Keepers and entry hosts of a run.
 pub const KEEPERS: usize = 5;
 pub const ENTRIES: usize = 3;
 
-/// Between two lost disks, in ms: the keepers have to repair the first one.
+/// Minimum time between two disk losses, in ms. The keepers have to repair the first one.
 const DISK_GAP_MS: u64 = 7_000;
 
-/// Something that happens to a process.
+/// Fault of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Blow {
-    /// SIGKILL; it comes back.
+    /// SIGKILL, then a restart.
     Kill,
-    /// SIGTERM; it comes back once it has ended.
+    /// SIGTERM, then a restart once the process has exited.
     Stop,
-    /// SIGSTOP, and SIGCONT later.
+    /// SIGSTOP, then SIGCONT.
     Pause,
-    /// Its settings file changes, and it is told so.
+    /// A change of the settings file, then SIGHUP.
     Reload,
-    /// SIGKILL, and its disk is empty when it comes back.
+    /// SIGKILL and deletion of the disk's contents, then a restart.
     LoseDisk,
-    /// It cannot write to its disk any more, and ends over it.
+    /// Writes to the disk fail, which ends the process; then a restart.
     FillDisk,
-    /// An empty keeper starts; this one gets SIGTERM afterwards, and is gone for good.
+    /// An empty keeper starts; then this one gets SIGTERM and does not return.
     ReplaceAsPlanned,
-    /// SIGKILL, and it is gone for good; an empty keeper starts afterwards.
+    /// SIGKILL without a return; then an empty keeper starts.
     ReplaceSuddenly,
 }
 
 impl Blow {
-    /// Whether a disk is lost with it.
+    /// Whether the fault loses a disk.
     fn takes_disk(self) -> bool {
         matches!(self, Self::LoseDisk | Self::ReplaceAsPlanned | Self::ReplaceSuddenly)
     }
 }
 
-/// What a step is done to.
+/// Target of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     Keeper(usize),
     Entry(usize),
     AllKeepers,
-    /// The proxy before a process, by the last byte of its address.
+    /// The proxy in front of a process, by the last byte of its address.
     Link(u8),
 }
 
@@ -59,7 +59,7 @@
     Network(Fault),
 }
 
-/// One fault: from when on, and for how long.
+/// One fault with its start and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
     pub at_ms: u64,
@@ -69,16 +69,17 @@
 }
 
 impl Step {
-    /// Whether callers may notice: a planned stop and a reload must cut off nothing.
+    /// Whether the step is planned work, such as a stop or a reload, which must not interrupt any
+    /// request.
     pub fn is_planned(&self) -> bool {
         matches!(self.act, Act::Blow(Blow::Stop | Blow::Reload | Blow::ReplaceAsPlanned))
     }
 }
 
-/// The schedule of a seed, in the order of time.
+/// Schedule of a seed, ordered by start time.
 pub fn draw_schedule(seed: u64) -> Vec<Step> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    // Some runs are all planned work, so that a planned stop is seen without other faults.
+    // Some runs consist of planned steps only, to test planned stops without other faults.
     let is_planned_only = rng.random_range(0..4) == 0;
     let count = rng.random_range(6..16);
     let mut steps: Vec<_> = (0..count).map(|_| draw_step(&mut rng, is_planned_only)).collect();
@@ -122,14 +123,14 @@
     }
 }
 
-/// The keepers whose disks are lost when all of them end at once, after everything else.
+/// The two keepers that lose their disks in the final restart.
 pub fn draw_closing(seed: u64) -> [usize; 2] {
     let mut rng = SmallRng::seed_from_u64(seed);
     let first = rng.random_range(0..KEEPERS);
     [first, (first + rng.random_range(1..KEEPERS)) % KEEPERS]
 }
 
-/// A keeper, an entry host or an upstream.
+/// Draws a keeper, an entry host or an upstream.
 fn draw_link(rng: &mut SmallRng) -> Target {
     let last = match rng.random_range(0..3) {
         0 => rng.random_range(1..=KEEPERS as u8),
@@ -149,7 +150,7 @@
     }
 }
 
-/// Lost disks that come too soon after one another become kills.
+/// Replaces disk losses by kills where they follow too closely.
 fn space_disks(steps: &mut [Step]) {
     let mut last_ms = None;
     let takes_disk = |step: &&mut Step| matches!(step.act, Act::Blow(blow) if blow.takes_disk());
--- a/clayplankd/tests/seeded/soak/told.rs
+++ b/clayplankd/tests/seeded/soak/told.rs
@@ -1,4 +1,4 @@
-//! Whom the hosts of a run are told of when they start again, and how many hosts there are.
+//! Bootstrap addresses that the hosts of a run have at a restart, and the number of hosts.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -7,31 +7,31 @@
 use crate::host::Host;
 use crate::system::{Shape, System};
 
-/// One run in so many has many hosts.
+/// One in this many runs is large.
 const LARGE_RUN_EVERY: u64 = 10;
 
-/// Entry hosts beside those that are sent requests.
+/// Entry hosts that receive no requests, beside those that do.
 const BYSTANDERS: usize = 2;
 
-/// The same in a large run.
+/// Number of idle entry hosts in a large run.
 const MANY_BYSTANDERS: usize = 50;
 
-/// Whom hosts are told of.
+/// Choice of the bootstrap addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
     /// All keepers.
     Keepers,
-    /// Each of any three hosts with a door for operators.
+    /// For each host, any three hosts with a control listener.
     AnyThree,
     /// Entry hosts, none of which is a keeper.
     EntriesAlone,
 }
 
-/// What a run of a seed consists of.
+/// Configuration of a run, drawn from its seed.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
     pub told: Told,
-    /// Whether all hosts end at once at the end, and not the keepers alone.
+    /// Whether the final restart kills all hosts instead of only the keepers.
     pub ends_all: bool,
     pub bystanders: usize,
 }
--- a/clayplankd/tests/seeded/system.rs
+++ b/clayplankd/tests/seeded/system.rs
@@ -1,5 +1,5 @@
-//! A small system of seeded hosts as processes, each on a loopback address of its
-//! own, with upstreams in the test's process.
+//! A system of seeded hosts as processes, each on its own loopback address, with upstreams in the
+//! test process.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -19,12 +19,12 @@
 use crate::host::{CONTROL, Host, INNER, Part, UPSTREAM};
 use crate::proxy::Proxy;
 
-/// A service whose upstreams name limits.
+/// A service whose upstreams have limits.
 pub const LIMITED: &str = "limited";
 
 pub const KEY: &str = "timekeeper-key";
 
-/// What a wait may take before the test counts as failed; nothing is timed by it.
+/// Time limit of every wait. It only bounds a failing test; no measurement depends on it.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
 pub fn wait_for(what: &str, mut is_so: impl FnMut() -> bool) {
@@ -35,17 +35,18 @@
     }
 }
 
-/// How many hosts there are, and what stands between them.
+/// Number of hosts, and how they are configured and connected.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     pub keepers: usize,
     pub entries: usize,
     pub has_proxies: bool,
-    /// Whether the keepers take callers too, and the entry hosts have doors for operators.
+    /// Whether the keepers are entry hosts too, and the entry hosts have control listeners.
     pub all_serve: bool,
-    /// Whether hosts are told of the first keeper and of entry hosts, in place of all keepers.
+    /// Whether the bootstrap addresses are the first keeper and the entry hosts, instead of all
+    /// keepers.
     pub names_entries: bool,
-    /// Entry hosts beside the others, without a door for operators.
+    /// Additional entry hosts without a control listener, to which tests send no requests.
     pub bystanders: usize,
 }
 
@@ -62,13 +63,13 @@
     }
 }
 
-/// The last byte of the address of the first bystander.
+/// Last address byte of the first idle entry host.
 const FIRST_BYSTANDER: usize = 70;
 
-/// Whom a host is told of at most.
+/// Maximum number of bootstrap addresses of a host.
 const SEEDS: usize = 3;
 
-/// Where a process listens that is reached at `ip` through a proxy.
+/// Listening address of a process that is reached at `ip` through a proxy.
 pub fn behind_proxy(ip: Ipv4Addr) -> Ipv4Addr {
     let [first, second, third, last] = ip.octets();
     Ipv4Addr::new(first, second, third, last + 128)
@@ -79,28 +80,30 @@
     proxies: BTreeMap<Ipv4Addr, Proxy>,
     dir: tempfile::TempDir,
     pub keepers: Vec<Host>,
-    /// Keepers that are to replace others, by the place of those.
+    /// New keepers, by the index of the keeper that each is to replace.
     newcomers: BTreeMap<usize, Host>,
-    /// Keepers that were started after the first ones.
+    /// Number of keepers started after the initial ones.
     added: u8,
     pub entries: Vec<Host>,
     pub bystanders: Vec<Host>,
-    /// Doors of which hosts are told that start from now on, three each; all keepers if there are none.
+    /// Addresses from which each host that starts from now on gets three bootstrap addresses; if
+    /// empty, it gets all keepers.
     told_of: Vec<SocketAddr>,
     pub runs: SharedRuns,
     pub runtime: Runtime,
     pub net: [u8; 2],
-    /// Heartbeats that were sent one by one.
+    /// Sequence number of the last heartbeat sent by `send_heartbeat` and its variants.
     pub beats: u64,
 }
 
 impl System {
-    /// Starts all hosts, two upstreams, and the first plan.
+    /// Starts all hosts and two upstreams, publishes the first plan, and waits until requests are
+    /// served.
     pub fn start() -> Self {
         Self::start_as(Shape::default())
     }
 
-    /// The same, in another size, or with proxies between the processes.
+    /// Like `start`, with another number of hosts, or with proxies between the processes.
     pub fn start_as(shape: Shape) -> Self {
         static NEXT: AtomicU8 = AtomicU8::new(1);
         let net = [(std::process::id() % 200) as u8 + 20, NEXT.fetch_add(1, Ordering::SeqCst)];
@@ -148,7 +151,7 @@
         system
     }
 
-    /// Writes the settings of all hosts anew.
+    /// Writes the settings of all hosts.
     pub fn write_settings(&self, is_first_start: bool) {
         let keepers = if self.shape.names_entries { 1 } else { self.keepers.len() };
         let entries = if self.shape.names_entries { self.entries.len() } else { 0 };
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Hosts that start from now on are told of three of these doors.
+    /// Gives hosts that start from now on three of these addresses as bootstrap addresses.
     pub fn tell_of(&mut self, doors: Vec<SocketAddr>, rng: &mut SmallRng) {
         self.told_of = doors;
         for host in self.keepers.iter().chain(&self.entries).chain(&self.bystanders) {
@@ -175,7 +178,7 @@
         self.told_of.iter().copied().sample(rng, SEEDS)
     }
 
-    /// Ends all hosts at the same moment, and starts them again.
+    /// Kills all hosts, then restarts them.
     pub fn restart_all(&mut self) {
         let hosts = self.keepers.iter_mut().chain(&mut self.entries).chain(&mut self.bystanders);
         let mut hosts: Vec<_> = hosts.collect();
@@ -183,7 +186,8 @@
         hosts.iter_mut().for_each(|host| host.start());
     }
 
-    /// Starts one more keeper, with an empty disk and the seeds of the others; returns its place.
+    /// Starts one more keeper with an empty disk and the bootstrap addresses of the others; returns
+    /// its index.
     pub fn add_keeper(&mut self) -> usize {
         let keeper = self.new_keeper();
         self.keepers.push(keeper);
@@ -196,7 +200,7 @@
         self.newcomers.insert(replaced, keeper);
     }
 
-    /// The newcomer takes the place of the keeper that it replaces.
+    /// Puts the new keeper at the index of the keeper that it replaces.
     pub fn take_newcomer(&mut self, replaced: usize) {
         self.keepers[replaced] = self.newcomers.remove(&replaced).unwrap();
     }
@@ -225,7 +229,7 @@
         keeper
     }
 
-    /// One proxy before each host and each upstream.
+    /// Starts one proxy in front of each host and each upstream.
     fn start_proxies(&mut self) {
         if !self.shape.has_proxies {
             return;
@@ -248,12 +252,12 @@
         self.proxies.insert(ip, proxy);
     }
 
-    /// The proxy before a host or an upstream, by the last byte of its address.
+    /// The proxy in front of a host or an upstream, by the last byte of its address.
     pub fn proxy(&self, last: u8) -> &Proxy {
         &self.proxies[&self.upstream_ip(last)]
     }
 
-    /// Heartbeats of both upstreams until every entry host serves.
+    /// Sends heartbeats of both upstreams until every entry host serves requests.
     pub fn beat_until_served(&mut self) {
         for number in 0.. {
             assert!(number < 400, "requests are not served");
@@ -272,7 +276,7 @@
         }
     }
 
-    /// Publishes a plan, at any keeper that takes it.
+    /// Publishes a plan at any keeper that accepts it.
     pub fn wait_for_plan(&self, plan: &Value) {
         wait_for("the plan's acknowledgement", || {
             let text = plan.to_string();
@@ -282,8 +286,8 @@
         });
     }
 
-    /// Sends a request with the account's key; again while the host has no confirmed plan,
-    /// since nothing was sent on then.
+    /// Sends a request with the account's key. Repeats it while the host has no confirmed plan,
+    /// which is safe since the host forwards nothing then.
     pub fn send(
         &self,
         entry: usize,
@@ -301,7 +305,7 @@
         self.send_to(self.entries[entry].callers(), path, &all)
     }
 
-    /// The same, to any host that takes callers.
+    /// Sends a request to any host with a listener for callers, with the same repetition.
     pub fn send_to(&self, host: SocketAddr, path: &str, headers: &[(&str, &str)]) -> Answer {
         let mut answer = Answer::default();
         wait_for("a confirmed plan", || {
@@ -312,7 +316,7 @@
     }
 }
 
-/// Sends one request with the account's key.
+/// Sends one request with the account's key, without repetition.
 pub fn call_with_key(
     host: SocketAddr,
     attempt: &str,
@@ -329,8 +333,8 @@
     call(host, "POST", path, &headers, body)
 }
 
-/// Sends a plan until there is a clear answer: 503 says that no quorum took it in time,
-/// which a busy disk brings about, and that it should be sent again.
+/// Publishes a plan until the answer is definite. 503 means that no quorum accepted it in time, as
+/// can happen with a busy disk, and that it should be sent again.
 pub fn publish(keeper: &Host, plan: &Value) -> Answer {
     let mut answer = Answer::default();
     wait_for("a clear answer to a plan", || {
--- a/clayplankd/tests/seeded/upstreams.rs
+++ b/clayplankd/tests/seeded/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams in the test's process, and their heartbeats at the keepers.
+//! Upstreams in the test process, and their heartbeats to the keepers.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::host::{Host, UPSTREAM};
 use crate::system::{System, behind_proxy};
 
-/// Requests that an upstream of the service `app` runs at once.
+/// Concurrent requests of an upstream of the service `app`.
 const APP_SLOTS: u32 = 4;
 
 impl System {
@@ -22,7 +22,8 @@
         Ipv4Addr::new(127, self.net[0], self.net[1], last)
     }
 
-    /// Starts an upstream of the service `app`; its heartbeats are sent one by one.
+    /// Starts an upstream of the service `app`. It sends no heartbeats itself; tests send them
+    /// singly.
     pub fn start_upstream(&self, id: &str, last: u8) {
         let ip = self.upstream_ip(last);
         let bind_ip = if self.shape.has_proxies { behind_proxy(ip) } else { ip };
@@ -32,12 +33,12 @@
         self.runtime.spawn(serve_upstream(listener, id, runs, None, SharedLimit::default()));
     }
 
-    /// Starts an engine of the pass model, which registers with all keepers.
+    /// Starts an engine with simulated steps, which registers with all keepers.
     pub fn start_engine(&self, id: &str, last: u8, model: EngineModel) -> SocketAddr {
         self.start_limited_engine(id, last, model, SharedLimit::default())
     }
 
-    /// The same for one that may name a limit.
+    /// Like `start_engine`, with an engine that may set a limit.
     pub fn start_limited_engine(
         &self,
         id: &str,
@@ -52,7 +53,8 @@
         address
     }
 
-    /// Starts an upstream of a plain service that may name a limit, which registers with all keepers.
+    /// Starts an upstream of a plain service that may set a limit, which registers with all
+    /// keepers.
     pub fn start_limited_service(&self, service: &str, id: &str, last: u8, limit: SharedLimit) {
         let address = self.upstream_address(last);
         let listener = self.runtime.block_on(clayplank_standin::bind(address)).unwrap();
@@ -61,7 +63,7 @@
         self.send_heartbeats(self.registration(id, service, last, APP_SLOTS));
     }
 
-    /// Sends heartbeats of an engine, whether it is there or not.
+    /// Sends heartbeats of an engine, whether it exists or not.
     pub fn register_engine(&self, id: &str, last: u8) {
         self.send_heartbeats(self.registration(id, "pool", last, EngineModel::default().slots));
     }
@@ -85,12 +87,12 @@
         SocketAddr::new(IpAddr::V4(self.upstream_ip(last)), UPSTREAM)
     }
 
-    /// One heartbeat of an upstream, at one keeper.
+    /// Sends one heartbeat of an upstream to one keeper.
     pub fn beat(&mut self, keeper: usize, id: &str, standing: &str) -> Answer {
         self.beat_at(self.keepers[keeper].control(), id, standing)
     }
 
-    /// The same, at the door of an entry host.
+    /// Sends one heartbeat of an upstream to the control listener of an entry host.
     pub fn beat_at_entry(&mut self, entry: usize, id: &str, standing: &str) -> Answer {
         self.beat_at(self.entries[entry].control(), id, standing)
     }
@@ -107,7 +109,7 @@
         call(door, "PUT", &path, &[], &body.to_string())
     }
 
-    /// Calls that carry heartbeats of both upstreams to every keeper.
+    /// Requests that carry heartbeats of both upstreams to every keeper.
     pub fn heartbeat_calls(&self, sequence: u64) -> Vec<(SocketAddr, String, String)> {
         let of_upstream = |id: &str, last: u8| {
             let body = self.heartbeat(id, last, sequence, "ready").to_string();
