--- a/clayplankd/tests/faults/capacity.rs
+++ b/clayplankd/tests/faults/capacity.rs
@@ -1,6 +1,6 @@
 //! Capacity reserved at engines is released whichever process fails.
 
-use crate::common::{assert_whole, slow_engines, start_stream, streamed_text};
+use crate::common::{assert_complete, slow_engines, start_stream, streamed_text};
 use crate::harness::{Engine, HOSTS, System, wait_for};
 
 #[test]
@@ -20,7 +20,7 @@
     system.signal(2, "STOP");
     wait_for("the return of the memory", || {
         (0..2)
-            .filter_map(|host| system.show(host, "/upstreams"))
+            .filter_map(|host| system.get_operator_view(host, "/upstreams"))
             .any(|shown| shown["owned_pools"][0]["granted_tokens"] == 0)
             && system.engines.iter().all(|engine| engine.reserved_tokens() == 0)
     });
@@ -38,15 +38,17 @@
 fn capacity_returns_after_the_owner_is_killed_and_an_engine_restarts() {
     let mut system = System::start(slow_engines());
     let owner = (0..HOSTS)
-        .find(|&host| system.show(host, "/upstreams").unwrap()["owned_pools"][0].is_object())
+        .find(|&host| {
+            system.get_operator_view(host, "/upstreams").unwrap()["owned_pools"][0].is_object()
+        })
         .unwrap();
     let other = (owner + 1) % HOSTS;
     let stream = start_stream(&system, other, 60);
     system.kill(owner);
     let answer = stream.join().unwrap();
-    assert_whole(&streamed_text(&answer), 60);
-    system.engines[0].die();
-    system.engines[0].revive();
+    assert_complete(&streamed_text(&answer), 60);
+    system.engines[0].terminate();
+    system.engines[0].restart();
     wait_for("a new owner with free engines", || system.reserved_tokens() == Some(0));
     wait_for("an answer", || system.complete(other, "again", 1).status == 200);
 }
--- a/clayplankd/tests/faults/claims.rs
+++ b/clayplankd/tests/faults/claims.rs
@@ -10,16 +10,16 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::common::quick_engines;
+use crate::common::fast_engines;
 use crate::harness::{ACCOUNT_KEY, DALA_KEY, Engine, HOSTS, System, bearer, wait_for};
 
 /// Outcomes that callers received for each post, by idempotency key.
 #[derive(Default)]
-pub struct Told {
+pub struct ReportedOutcomes {
     outcomes: Mutex<BTreeMap<String, Vec<String>>>,
 }
 
-impl Told {
+impl ReportedOutcomes {
     /// Sends the same post to two hosts in turn, as a caller does whose first answer was lost.
     pub fn post_twice(
         &self,
@@ -49,8 +49,8 @@
     /// answered.
     pub fn check(self, runs: &BTreeMap<String, u64>) -> usize {
         assert!(runs.values().all(|&count| count == 1), "{runs:?}");
-        let told = self.outcomes.into_inner().unwrap();
-        for (key, outcomes) in &told {
+        let reported = self.outcomes.into_inner().unwrap();
+        for (key, outcomes) in &reported {
             let ran = runs.contains_key(key);
             if outcomes.iter().all(|outcome| outcome == "not-run") {
                 assert!(!ran, "{key} was told `not-run` and ran");
@@ -59,51 +59,52 @@
                 assert!(ran, "{key} was answered and did not run");
             }
         }
-        told.values().flatten().filter(|outcome| *outcome == "answered").count()
+        reported.values().flatten().filter(|outcome| *outcome == "answered").count()
     }
 }
 
 /// Posts that must be answered before the next host is killed. Each lost answer blocks a caller for
 /// more than a second, so the number that completes in a fixed time depends on the load of the
 /// machine.
-const ANSWERED_A_ROUND: usize = 3;
+const ANSWERED_PER_ROUND: usize = 3;
 
 #[test]
-fn posts_run_at_most_once_and_not_run_is_true_under_kills() {
-    let mut system = System::start(quick_engines());
-    let told = Told::default();
-    let is_over = AtomicBool::new(false);
+fn posts_run_at_most_once_and_not_run_is_accurate_under_kills() {
+    let mut system = System::start(fast_engines());
+    let reported = ReportedOutcomes::default();
+    let is_finished = AtomicBool::new(false);
     let next = AtomicUsize::new(0);
     let addresses: Vec<_> = system.hosts.iter().map(|host| host.callers).collect();
     std::thread::scope(|scope| {
         for caller in 0..6 {
-            let (addresses, told, is_over, next) = (&addresses, &told, &is_over, &next);
+            let (addresses, reported, is_finished, next) =
+                (&addresses, &reported, &is_finished, &next);
             scope.spawn(move || {
-                while !is_over.load(Ordering::SeqCst) {
+                while !is_finished.load(Ordering::SeqCst) {
                     let key = format!("k{}", next.fetch_add(1, Ordering::SeqCst));
-                    told.post_twice(addresses, caller, &key, &[]);
+                    reported.post_twice(addresses, caller, &key, &[]);
                 }
             });
         }
         for round in 0..4 {
-            system.service.show_fault(FaultKind::LoseAnswer, 5);
+            system.service.inject_faults(FaultKind::LoseAnswer, 5);
             let host = round % HOSTS;
             system.kill(host);
             std::thread::sleep(Duration::from_millis(700));
             system.spawn(host);
             system.wait_healthy(host);
-            let wanted = told.answered() + ANSWERED_A_ROUND;
-            wait_for("answers between two kills", || told.answered() >= wanted);
+            let wanted = reported.answered() + ANSWERED_PER_ROUND;
+            wait_for("answers between two kills", || reported.answered() >= wanted);
         }
-        is_over.store(true, Ordering::SeqCst);
+        is_finished.store(true, Ordering::SeqCst);
     });
-    let answered = told.check(&system.service.runs());
+    let answered = reported.check(&system.service.runs());
     assert!(answered > 10, "only {answered} were answered");
 }
 
 #[test]
 fn a_repeated_post_gets_its_first_answer_and_another_body_is_refused() {
-    let system = System::start(quick_engines());
+    let system = System::start(fast_engines());
     let first = system.post(0, "finish-41");
     assert_eq!((first.status, first.outcome()), (200, "answered"));
     let second = system.post(1, "finish-41");
@@ -115,23 +116,28 @@
             .unwrap();
     assert_eq!(other.status, 409);
     assert_eq!(system.service.runs()["finish-41"], 1);
-    system.service.show_fault(FaultKind::LoseAnswer, 1);
+    system.service.inject_faults(FaultKind::LoseAnswer, 1);
     assert_eq!(system.post(0, "finish-42").outcome(), "unknown");
     assert_eq!(system.post(1, "finish-42").outcome(), "unknown", "and is not run again");
     assert_eq!(system.service.runs()["finish-42"], 1);
 }
 
 #[test]
-fn an_adapter_is_ordered_under_a_token_and_an_old_token_is_refused() {
+fn an_adapter_is_loaded_under_a_fencing_token_and_an_old_token_is_rejected() {
     let system = System::start(vec![Engine::start(8, 2.0)]);
     let adapted = json!({ "deadline_ms": 10_000, "model": "base", "adapter": "rota-7" });
-    let version = system.show(0, "/settings/templates/short").unwrap()["version"].as_u64().unwrap();
-    assert_eq!(system.set(0, DALA_KEY, "templates/short", "adapt", version, &adapted).status, 200);
+    let version = system.get_operator_view(0, "/settings/templates/short").unwrap()["version"]
+        .as_u64()
+        .unwrap();
+    assert_eq!(
+        system.put_setting(0, DALA_KEY, "templates/short", "adapt", version, &adapted).status,
+        200
+    );
     for host in 0..HOSTS {
         wait_for("an answer with the adapter", || system.complete(host, "q", 1).status == 200);
         wait_for("the new template", || {
             system
-                .show(host, "/settings/templates/short")
+                .get_operator_view(host, "/settings/templates/short")
                 .is_some_and(|shown| shown["value"]["adapter"] == "rota-7")
         });
     }
@@ -148,9 +154,9 @@
 #[rstest]
 #[case::that_is_late(FaultKind::Late)]
 #[case::that_is_frozen(FaultKind::Freeze)]
-fn what_was_admitted_ends_within_its_deadline_at_an_engine(#[case] kind: FaultKind) {
-    let system = System::start(quick_engines());
-    system.engines.iter().for_each(|engine| engine.show_fault(kind, 100));
+fn an_admitted_request_ends_within_its_deadline_at_an_engine(#[case] kind: FaultKind) {
+    let system = System::start(fast_engines());
+    system.engines.iter().for_each(|engine| engine.inject_faults(kind, 100));
     let body = json!({ "prompt": "q", "max_tokens": 2 }).to_string();
     // The late engine would answer after 700 ms, the frozen one never.
     let headers = [bearer(ACCOUNT_KEY), ("x-clayplank-deadline-ms".to_owned(), "500".to_owned())];
--- a/clayplankd/tests/faults/common.rs
+++ b/clayplankd/tests/faults/common.rs
@@ -4,7 +4,7 @@
 
 use crate::harness::{ACCOUNT_KEY, Answer, Engine, System, bearer, send};
 
-pub fn quick_engines() -> Vec<Engine> {
+pub fn fast_engines() -> Vec<Engine> {
     vec![Engine::start(8, 2.0), Engine::start(8, 2.0)]
 }
 
@@ -24,10 +24,10 @@
     let stream =
         send(address, "POST", "/v1/completions", &[bearer(ACCOUNT_KEY)], body.as_bytes()).unwrap();
     stream.peek(&mut [0; 1]).unwrap();
-    std::thread::spawn(move || harness_read(stream))
+    std::thread::spawn(move || read_to_end(stream))
 }
 
-pub fn harness_read(stream: std::net::TcpStream) -> Answer {
+pub fn read_to_end(stream: std::net::TcpStream) -> Answer {
     crate::harness::read_answer(stream).unwrap_or_default()
 }
 
@@ -43,14 +43,14 @@
 }
 
 /// Checks for a complete answer: the stand-in engine numbers its tokens from 0 without a gap.
-pub fn assert_whole(text: &str, tokens: u64) {
+pub fn assert_complete(text: &str, tokens: u64) {
     let offsets: Vec<_> =
         text.split_whitespace().map(|word| word.rsplit('-').next().unwrap().to_owned()).collect();
     let wanted: Vec<_> = (0..tokens).map(|offset| offset.to_string()).collect();
     assert_eq!(offsets, wanted, "{text}");
 }
 
-pub fn whole_text(answer: &Answer) -> String {
+pub fn completion_text(answer: &Answer) -> String {
     let body: Value = serde_json::from_slice(&answer.body).unwrap();
     body["choices"][0]["text"].as_str().unwrap().to_owned()
 }
--- a/clayplankd/tests/faults/pairs.rs
+++ b/clayplankd/tests/faults/failure_pairs.rs
@@ -8,8 +8,8 @@
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
 
-use crate::claims::Told;
-use crate::common::{assert_whole, quick_engines, whole_text};
+use crate::claims::ReportedOutcomes;
+use crate::common::{assert_complete, completion_text, fast_engines};
 use crate::harness::{ACCOUNT_KEY, HOSTS, System, bearer, wait_for};
 
 /// A failure that is injected and later undone.
@@ -17,8 +17,8 @@
 enum Failure {
     Kill(usize),
     Freeze(usize),
-    Cut(usize),
-    EngineDies(usize),
+    Partition(usize),
+    EngineTerminates(usize),
     EngineBreaksStreams(usize),
     ServiceLosesAnswers,
 }
@@ -28,32 +28,32 @@
     match rng.random_range(0..6) {
         0 => Failure::Kill(host),
         1 => Failure::Freeze(host),
-        2 => Failure::Cut(host),
-        3 => Failure::EngineDies(engine),
+        2 => Failure::Partition(host),
+        3 => Failure::EngineTerminates(engine),
         4 => Failure::EngineBreaksStreams(engine),
         _ => Failure::ServiceLosesAnswers,
     }
 }
 
-fn begin_failure(system: &mut System, failure: Failure) {
+fn inject_failure(system: &mut System, failure: Failure) {
     match failure {
         Failure::Kill(host) => system.kill(host),
         Failure::Freeze(host) => system.signal(host, "STOP"),
-        Failure::Cut(host) => system.links.set_cut(host, true),
-        Failure::EngineDies(engine) => system.engines[engine].die(),
+        Failure::Partition(host) => system.links.set_partitioned(host, true),
+        Failure::EngineTerminates(engine) => system.engines[engine].terminate(),
         Failure::EngineBreaksStreams(engine) => {
-            system.engines[engine].show_fault(FaultKind::DropStream, 5)
+            system.engines[engine].inject_faults(FaultKind::DropStream, 5)
         }
-        Failure::ServiceLosesAnswers => system.service.show_fault(FaultKind::LoseAnswer, 3),
+        Failure::ServiceLosesAnswers => system.service.inject_faults(FaultKind::LoseAnswer, 3),
     }
 }
 
-fn mend_failure(system: &mut System, failure: Failure) {
+fn undo_failure(system: &mut System, failure: Failure) {
     match failure {
         Failure::Kill(host) => system.spawn(host),
         Failure::Freeze(host) => system.signal(host, "CONT"),
-        Failure::Cut(host) => system.links.set_cut(host, false),
-        Failure::EngineDies(engine) => system.engines[engine].revive(),
+        Failure::Partition(host) => system.links.set_partitioned(host, false),
+        Failure::EngineTerminates(engine) => system.engines[engine].restart(),
         Failure::EngineBreaksStreams(_) | Failure::ServiceLosesAnswers => {}
     }
 }
@@ -62,8 +62,8 @@
 /// independently.
 fn draw_pair(rng: &mut SmallRng) -> [Failure; 2] {
     let target = |failure: Failure| match failure {
-        Failure::Kill(host) | Failure::Freeze(host) | Failure::Cut(host) => host,
-        Failure::EngineDies(engine) | Failure::EngineBreaksStreams(engine) => HOSTS + engine,
+        Failure::Kill(host) | Failure::Freeze(host) | Failure::Partition(host) => host,
+        Failure::EngineTerminates(engine) | Failure::EngineBreaksStreams(engine) => HOSTS + engine,
         Failure::ServiceLosesAnswers => HOSTS + 2,
     };
     let first = draw_failure(rng);
@@ -76,20 +76,20 @@
 }
 
 #[test]
-fn promises_hold_under_failures_in_pairs() {
+fn guarantees_hold_under_pairs_of_failures() {
     let seed = std::env::var("CLAYPLANK_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(1);
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut system = System::start(quick_engines());
+    let mut system = System::start(fast_engines());
     let addresses: Vec<_> = system.hosts.iter().map(|host| host.callers).collect();
-    let told = Told::default();
-    let is_over = AtomicBool::new(false);
-    let (next, whole) = (AtomicUsize::new(0), AtomicUsize::new(0));
+    let reported = ReportedOutcomes::default();
+    let is_finished = AtomicBool::new(false);
+    let (next, complete) = (AtomicUsize::new(0), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for caller in 0..6 {
-            let (addresses, told, is_over, next, whole) =
-                (&addresses, &told, &is_over, &next, &whole);
+            let (addresses, reported, is_finished, next, complete) =
+                (&addresses, &reported, &is_finished, &next, &complete);
             scope.spawn(move || {
-                while !is_over.load(Ordering::SeqCst) {
+                while !is_finished.load(Ordering::SeqCst) {
                     let number = next.fetch_add(1, Ordering::SeqCst);
                     let address = addresses[(number + caller) % HOSTS];
                     let prompt =
@@ -104,27 +104,27 @@
                         prompt.as_bytes(),
                     );
                     if let Some(answer) =
-                        answer.filter(|answer| answer.status == 200 && answer.is_whole)
+                        answer.filter(|answer| answer.status == 200 && answer.is_complete)
                     {
-                        assert_whole(&whole_text(&answer), 4);
-                        whole.fetch_add(1, Ordering::SeqCst);
+                        assert_complete(&completion_text(&answer), 4);
+                        complete.fetch_add(1, Ordering::SeqCst);
                     }
-                    told.post_twice(addresses, caller, &format!("k{number}"), &[limit]);
+                    reported.post_twice(addresses, caller, &format!("k{number}"), &[limit]);
                 }
             });
         }
         for round in 0..6 {
             let pair = draw_pair(&mut rng);
             eprintln!("round {round}: {pair:?}");
-            pair.into_iter().for_each(|failure| begin_failure(&mut system, failure));
+            pair.into_iter().for_each(|failure| inject_failure(&mut system, failure));
             std::thread::sleep(Duration::from_millis(rng.random_range(300..1_500)));
-            pair.into_iter().for_each(|failure| mend_failure(&mut system, failure));
+            pair.into_iter().for_each(|failure| undo_failure(&mut system, failure));
             (0..HOSTS).for_each(|host| system.wait_healthy(host));
         }
-        is_over.store(true, Ordering::SeqCst);
+        is_finished.store(true, Ordering::SeqCst);
     });
-    told.check(&system.service.runs());
-    assert!(whole.load(Ordering::SeqCst) > 10, "only {whole:?} whole answers");
+    reported.check(&system.service.runs());
+    assert!(complete.load(Ordering::SeqCst) > 10, "only {complete:?} whole answers");
     wait_for("the return of the memory", || {
         system.reserved_tokens() == Some(0)
             && system.engines.iter().all(|engine| engine.reserved_tokens() == 0)
--- a/clayplankd/tests/faults/main.rs
+++ b/clayplankd/tests/faults/main.rs
@@ -8,8 +8,8 @@
 mod claims;
 mod common;
 mod crashing;
+mod failure_pairs;
 #[path = "../harness/mod.rs"]
 mod harness;
-mod pairs;
 mod restarts;
 mod settings;
--- a/clayplankd/tests/faults/restarts.rs
+++ b/clayplankd/tests/faults/restarts.rs
@@ -7,11 +7,11 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::common::{assert_whole, quick_engines, slow_engines, start_stream, streamed_text};
+use crate::common::{assert_complete, fast_engines, slow_engines, start_stream, streamed_text};
 use crate::harness::{ACCOUNT_KEY, Answer, HOSTS, System, bearer, wait_for};
 
 #[test]
-fn a_planned_stop_cuts_off_no_stream() {
+fn a_planned_stop_interrupts_no_stream() {
     let mut system = System::start(slow_engines());
     let streams: Vec<_> = (0..3).map(|_| start_stream(&system, 0, 60)).collect();
     system.signal(0, "TERM");
@@ -19,34 +19,34 @@
     for stream in streams {
         let answer = stream.join().unwrap();
         assert!(
-            answer.is_whole && answer.text().ends_with("data: [DONE]\n\n"),
+            answer.is_complete && answer.text().ends_with("data: [DONE]\n\n"),
             "{}",
             answer.text()
         );
-        assert_whole(&streamed_text(&answer), 60);
+        assert_complete(&streamed_text(&answer), 60);
     }
     system.wait_exit(0);
 }
 
 #[test]
-fn a_rolling_restart_under_load_refuses_nothing() {
-    let mut system = System::start(quick_engines());
+fn a_rolling_restart_under_load_fails_no_request() {
+    let mut system = System::start(fast_engines());
     let addresses: Vec<_> = system.hosts.iter().map(|host| host.callers).collect();
-    let is_over = AtomicBool::new(false);
+    let is_finished = AtomicBool::new(false);
     let answers: Mutex<Vec<Answer>> = Mutex::default();
     std::thread::scope(|scope| {
         for caller in 0..4 {
-            let (addresses, is_over, answers) = (&addresses, &is_over, &answers);
+            let (addresses, is_finished, answers) = (&addresses, &is_finished, &answers);
             scope.spawn(move || {
                 let mut healthy = Vec::new();
-                let mut looked = std::time::Instant::now();
+                let mut checked_at = std::time::Instant::now();
                 for number in caller.. {
-                    if is_over.load(Ordering::SeqCst) {
+                    if is_finished.load(Ordering::SeqCst) {
                         return;
                     }
                     // As at a load balancer, knowledge of the hosts' health is up to 500 ms old.
-                    if healthy.is_empty() || looked.elapsed() > Duration::from_millis(500) {
-                        looked = std::time::Instant::now();
+                    if healthy.is_empty() || checked_at.elapsed() > Duration::from_millis(500) {
+                        checked_at = std::time::Instant::now();
                         healthy = addresses.clone();
                         healthy.retain(|&address| {
                             crate::harness::get(address, "/health", None)
@@ -75,7 +75,7 @@
             system.spawn(host);
             system.wait_healthy(host);
         }
-        is_over.store(true, Ordering::SeqCst);
+        is_finished.store(true, Ordering::SeqCst);
     });
     let answers = answers.into_inner().unwrap();
     let bad: Vec<_> =
@@ -85,18 +85,18 @@
 }
 
 #[rstest]
-#[case::by_its_own_word(true)]
-#[case::by_the_platform(false)]
-fn a_leaving_engine_gets_no_new_work(#[case] by_own_word: bool) {
-    let system = System::start(quick_engines());
-    match by_own_word {
-        true => system.engines[0].leave(),
-        false => system.platform.say_leaving("e0"),
+#[case::announced_by_the_engine(true)]
+#[case::announced_by_the_platform(false)]
+fn a_departing_engine_gets_no_new_work(#[case] by_engine: bool) {
+    let system = System::start(fast_engines());
+    match by_engine {
+        true => system.engines[0].announce_departure(),
+        false => system.platform.set_leaving("e0"),
     }
     std::thread::sleep(Duration::from_secs(3));
-    let before = system.engines[0].begun();
+    let before = system.engines[0].started_attempts();
     for number in 0..30 {
         assert_eq!(system.complete(number % HOSTS, &format!("q{number}"), 1).status, 200);
     }
-    assert_eq!(system.engines[0].begun(), before);
+    assert_eq!(system.engines[0].started_attempts(), before);
 }
--- a/clayplankd/tests/harness/answer.rs
+++ b/clayplankd/tests/harness/answer.rs
@@ -10,7 +10,7 @@
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
     /// Whether the body was received to its end.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 impl Answer {
@@ -44,10 +44,10 @@
     }
     if let Some(length) = answer.header("content-length").and_then(|text| text.parse().ok()) {
         answer.body = vec![0; length];
-        answer.is_whole = reader.read_exact(&mut answer.body).is_ok();
+        answer.is_complete = reader.read_exact(&mut answer.body).is_ok();
         return Ok(answer);
     }
-    answer.is_whole = read_chunks(reader, &mut answer.body).is_ok();
+    answer.is_complete = read_chunks(reader, &mut answer.body).is_ok();
     Ok(answer)
 }
 
--- a/clayplankd/tests/harness/mod.rs
+++ b/clayplankd/tests/harness/mod.rs
@@ -26,7 +26,7 @@
 pub const ROTAFOLD_KEY: &str = "rotafold-operator-key";
 
 /// Time limit of every wait. It only bounds a failing test; no measurement depends on it.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Lines of each daemon's log that are printed when a test fails.
 const LOG_LINES: usize = 40;
@@ -52,24 +52,25 @@
 }
 
 /// Ports for listeners, below the ephemeral range, so that no outgoing connection occupies them.
-const PORTS: std::ops::Range<u16> = 10_000..32_000;
+const PORT_RANGE: std::ops::Range<u16> = 10_000..32_000;
 
 fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
         let number =
             std::process::id().wrapping_mul(97).wrapping_add(NEXT.fetch_add(1, Ordering::SeqCst));
-        let port = PORTS.start + (number % u32::from(PORTS.end - PORTS.start)) as u16;
+        let port =
+            PORT_RANGE.start + (number % u32::from(PORT_RANGE.end - PORT_RANGE.start)) as u16;
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
             return listener.local_addr().unwrap();
         }
     }
 }
 
-pub fn wait_for(what: &str, mut is_so: impl FnMut() -> bool) {
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !is_so() {
-        assert!(started.elapsed() < PATIENCE, "{what} did not happen");
+    while !condition() {
+        assert!(started.elapsed() < WAIT_TIMEOUT, "{what} did not happen");
         std::thread::sleep(Duration::from_millis(30));
     }
 }
@@ -98,14 +99,20 @@
         (0..HOSTS).for_each(|host| system.wait_healthy(host));
         let template =
             json!({ "deadline_ms": 20_000, "max_output_tokens": 4_000, "model": "base" });
-        assert_eq!(system.set(0, DALA_KEY, "templates/short", "t1", 0, &template).status, 200);
+        assert_eq!(
+            system.put_setting(0, DALA_KEY, "templates/short", "t1", 0, &template).status,
+            200
+        );
         let account = json!({
             "key_sha256": String::from(KeyDigest::of(ACCOUNT_KEY)),
             "template": "short",
             "requests_per_s": 10_000,
             "retry_percent": 100,
         });
-        assert_eq!(system.set(0, DALA_KEY, "accounts/times", "a1", 0, &account).status, 200);
+        assert_eq!(
+            system.put_setting(0, DALA_KEY, "accounts/times", "a1", 0, &account).status,
+            200
+        );
         for host in 0..HOSTS {
             wait_for("a first answer", || system.complete(host, "warm up", 1).status == 200);
         }
@@ -113,10 +120,10 @@
     }
 
     fn write_settings(&self, host: usize) {
-        let own = &self.hosts[host];
+        let local = &self.hosts[host];
         let hosts: Vec<_> = (0..HOSTS)
             .map(|other| {
-                let inner = if other == host { own.inner } else { self.links.address(host, other) };
+                let inner = if other == host { local.inner } else { self.links.address(host, other) };
                 json!({ "host": format!("h{other}"), "data_centre": "hall", "inner": inner, "keeper": true })
             })
             .collect();
@@ -134,15 +141,15 @@
         let settings = json!({
             "host": format!("h{host}"),
             "roles": ["entry", "keeper"],
-            "data_dir": own.data,
-            "listen": { "callers": own.callers, "inner": own.inner, "operators": own.operators },
+            "data_dir": local.data,
+            "listen": { "callers": local.callers, "inner": local.inner, "operators": local.operators },
             "hosts": hosts,
             "platform": { "address": self.platform.address, "poll_interval_ms": 200 },
             "upstreams": engines.chain([service]).collect::<Vec<_>>(),
             "operators": [operator("dala", DALA_KEY), operator("rotafold", ROTAFOLD_KEY)],
             "timing": { "leave_grace_ms": 1_500, "probe_interval_ms": 200, "suspect_ms": 1_000, "upstream_silence_ms": 2_000 },
         });
-        std::fs::write(&own.settings, settings.to_string()).unwrap();
+        std::fs::write(&local.settings, settings.to_string()).unwrap();
     }
 
     pub fn spawn(&mut self, host: usize) {
@@ -210,7 +217,7 @@
     }
 
     /// Changes a setting at the operators' endpoint of a host; retries until there is an answer.
-    pub fn set(
+    pub fn put_setting(
         &self,
         host: usize,
         key: &str,
@@ -222,13 +229,13 @@
         let body =
             json!({ "change_id": change_id, "expected_version": from, "value": value }).to_string();
         let path = format!("/settings/{name}");
-        wait_answer(|| {
+        retry_until_answered(|| {
             call(self.hosts[host].operators, "PUT", &path, &[bearer(key)], body.as_bytes())
         })
     }
 
     /// JSON from the operators' endpoint of a host; `None` unless its status is 200.
-    pub fn show(&self, host: usize, path: &str) -> Option<Value> {
+    pub fn get_operator_view(&self, host: usize, path: &str) -> Option<Value> {
         let answer = get(self.hosts[host].operators, path, Some(DALA_KEY))?;
         (answer.status == 200).then(|| serde_json::from_slice(&answer.body).unwrap())
     }
@@ -257,7 +264,7 @@
     pub fn reserved_tokens(&self) -> Option<u64> {
         let totals =
             (0..HOSTS).filter(|&host| self.hosts[host].child.is_some()).filter_map(|host| {
-                let shown = self.show(host, "/upstreams")?;
+                let shown = self.get_operator_view(host, "/upstreams")?;
                 let pool = shown["owned_pools"].as_array()?.first()?.clone();
                 Some(pool["granted_tokens"].as_u64()? + pool["foreign_tokens"].as_u64()?)
             });
@@ -285,10 +292,10 @@
     ("authorization".to_owned(), format!("Bearer {key}"))
 }
 
-fn wait_answer(mut ask: impl FnMut() -> Option<Answer>) -> Answer {
+fn retry_until_answered(mut request: impl FnMut() -> Option<Answer>) -> Answer {
     let mut found = None;
     wait_for("an answer", || {
-        found = ask();
+        found = request();
         found.is_some()
     });
     found.unwrap()
--- a/clayplankd/tests/harness/standins.rs
+++ b/clayplankd/tests/harness/standins.rs
@@ -45,12 +45,12 @@
             options,
             runtime: None,
         };
-        engine.revive();
+        engine.restart();
         engine
     }
 
     /// Starts the server, at its former address if it ran before.
-    pub fn revive(&mut self) {
+    pub fn restart(&mut self) {
         let runtime = new_runtime();
         let listener = runtime.block_on(bind(self.address)).unwrap();
         self.address = listener.local_addr().unwrap();
@@ -59,22 +59,22 @@
     }
 
     /// Terminates the server and all its connections.
-    pub fn die(&mut self) {
+    pub fn terminate(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_timeout(Duration::from_secs(5));
         }
     }
 
-    pub fn show_fault(&self, kind: FaultKind, count: u64) {
+    pub fn inject_faults(&self, kind: FaultKind, count: u64) {
         post(self.address, "/faults", &json!({ "kind": kind, "count": count, "delay_ms": 700 }));
     }
 
-    pub fn leave(&self) {
+    pub fn announce_departure(&self) {
         assert_eq!(call(self.address, "POST", "/leaving", &[], b"").unwrap().status, 200);
     }
 
     /// All attempts that the engine has started.
-    pub fn begun(&self) -> BTreeSet<String> {
+    pub fn started_attempts(&self) -> BTreeSet<String> {
         let answer = get(self.address, "/record", None).unwrap();
         serde_json::from_slice(&answer.body).unwrap()
     }
@@ -117,7 +117,7 @@
         Self { address, runtime: Some(runtime) }
     }
 
-    pub fn show_fault(&self, kind: FaultKind, count: u64) {
+    pub fn inject_faults(&self, kind: FaultKind, count: u64) {
         post(self.address, "/faults", &json!({ "kind": kind, "count": count }));
     }
 
@@ -152,7 +152,7 @@
         Self { address, runtime: Some(runtime) }
     }
 
-    pub fn say_leaving(&self, name: &str) {
+    pub fn set_leaving(&self, name: &str) {
         post(self.address, "/hosts", &json!({ name: "leaving" }));
     }
 }
--- a/clayplankd/tests/seeded/client.rs
+++ b/clayplankd/tests/seeded/client.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::answer::{Answer, read_answer};
-use crate::system::PATIENCE;
+use crate::system::WAIT_TIMEOUT;
 
 /// Sends a request on a new connection; the status is 0 if there is no answer.
 pub fn call(
@@ -26,7 +26,7 @@
     body: &str,
 ) -> std::io::Result<Answer> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(2))?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
     let mut head = format!("{method} {path} HTTP/1.1\r\nconnection: close\r\n");
     if !headers.iter().any(|(name, _)| *name == "host") {
         head.push_str("host: dala.example\r\n");
--- a/clayplankd/tests/seeded/both.rs
+++ b/clayplankd/tests/seeded/combined_roles.rs
@@ -8,9 +8,9 @@
 use serde_json::{Value, json};
 
 use crate::client::call;
+use crate::guarantees::plan_with_engines;
 use crate::host::Host;
-use crate::promises::plan_with_engines;
-use crate::system::{KEY, Shape, System, plan, publish, wait_for};
+use crate::system::{KEY, System, Topology, plan, publish, wait_for};
 
 /// The first file that a keeper writes to an empty data directory.
 const FIRST_FILE: &str = "identity.new";
@@ -19,7 +19,7 @@
 const FULL_DEVICE: &str = "/dev/full";
 
 fn start() -> System {
-    System::start_as(Shape { all_serve: true, ..Shape::default() })
+    System::start_with(Topology { has_combined_roles: true, ..Topology::default() })
 }
 
 /// Seal (the answer header that names the upstream) of a request served by a host; `None` unless
@@ -36,13 +36,13 @@
     seal.filter(|_| answer.status == 200)
 }
 
-fn held_plan(host: &Host) -> Option<Value> {
+fn confirmed_plan(host: &Host) -> Option<Value> {
     let answer = call(host.control(), "GET", "/v1/plan", &[], "");
     (answer.status == 200).then(|| serde_json::from_str(&answer.text()).unwrap())
 }
 
 #[test]
-fn every_host_serves_callers_and_operators_and_the_loss_of_one_stops_nothing() {
+fn every_host_serves_callers_and_operators_and_the_loss_of_one_is_tolerated() {
     let mut system = start();
     let hosts = || system.keepers.iter().chain(&system.entries);
     for host in hosts() {
@@ -55,23 +55,25 @@
     assert_eq!(publish(&system.entries[1], &second).status, 200, "at a host without a disk");
     assert_eq!(publish(&system.entries[0], &plan(5)).status, 409, "another plan of this version");
     for host in hosts() {
-        wait_for("a confirmed read", || held_plan(host).is_some());
-        assert_eq!(held_plan(host).unwrap_or_else(|| second.clone()), second);
+        wait_for("a confirmed read", || confirmed_plan(host).is_some());
+        assert_eq!(confirmed_plan(host).unwrap_or_else(|| second.clone()), second);
     }
     assert_eq!(publish(&system.entries[1], &plan(7)).status, 200);
 
     system.keepers[0].kill();
     assert_eq!(publish(&system.entries[0], &plan(9)).status, 200);
     for (number, host) in system.keepers[1..].iter().chain(&system.entries).enumerate() {
-        wait_for("the newest plan", || held_plan(host) == Some(plan(9)));
+        wait_for("the newest plan", || confirmed_plan(host) == Some(plan(9)));
         wait_for("service", || served_by(&system, host, &format!("c{number}")).is_some());
     }
 }
 
 #[test]
-fn an_upstream_that_drains_by_way_of_a_host_without_a_disk_gets_nothing_more() {
+fn an_upstream_that_drains_through_a_host_without_a_disk_gets_no_requests() {
     let mut system = start();
-    wait_for("the acknowledgement", || system.beat_at_entry(0, "u1", "draining").status == 200);
+    wait_for("the acknowledgement", || {
+        system.send_heartbeat_to_entry(0, "u1", "draining").status == 200
+    });
     for (number, host) in system.keepers.iter().chain(&system.entries).enumerate() {
         wait_for("news at the host", || {
             served_by(&system, host, &format!("d{number}")).as_deref() == Some("u2")
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn a_keeper_that_starts_on_a_full_disk_serves_its_callers_and_joins_when_there_is_room() {
+fn a_keeper_that_starts_on_a_full_disk_serves_callers_and_joins_once_there_is_room() {
     let mut system = start();
     let host = &mut system.keepers[2];
     host.kill();
@@ -102,7 +104,7 @@
 
     fs::remove_file(&first_file).unwrap();
     wait_for("room", || host.log().contains("The disk has room again"));
-    wait_for("the plan at its door", || held_plan(host) == Some(plan(1)));
+    wait_for("the plan at its door", || confirmed_plan(host) == Some(plan(1)));
     assert!(!system.keepers[2].has_ended());
 }
 
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn after_a_loss_of_power_the_new_leader_chooses_engines_at_once() {
+fn after_a_power_loss_the_new_leader_places_requests_at_once() {
     let mut system = start();
     system.start_engine("e1", 31, EngineModel::default());
     system.wait_for_plan(&plan_with_engines(2, &EngineModel::default()));
@@ -137,7 +139,7 @@
 
     restart_all_with_rare_heartbeats(&mut system);
     let entry = &system.entries[0];
-    let choices_alone = || entry.log().matches("Chooses engines by itself").count();
+    let local_choices = || entry.log().matches("Chooses engines by itself").count();
     let mut number = 0;
     let mut is_placed_by_leader = || {
         number += 1;
@@ -145,25 +147,25 @@
         system.send(0, &format!("l{number}"), "/prompt/x", &short).status == 200
     };
     wait_for("choices of the leader alone", || {
-        let before = choices_alone();
-        (0..STREAK).all(|_| is_placed_by_leader()) && choices_alone() == before
+        let before = local_choices();
+        (0..STREAK).all(|_| is_placed_by_leader()) && local_choices() == before
     });
 }
 
 #[test]
-fn a_host_that_hears_no_keeper_takes_no_heartbeats() {
+fn a_host_without_a_reachable_keeper_rejects_heartbeats() {
     let mut system = start();
-    assert_eq!(system.beat_at_entry(0, "u1", "ready").status, 200);
+    assert_eq!(system.send_heartbeat_to_entry(0, "u1", "ready").status, 200);
     system.keepers.iter_mut().for_each(Host::kill);
-    wait_for("the refusal", || system.beat_at_entry(0, "u1", "ready").status == 503);
+    wait_for("the refusal", || system.send_heartbeat_to_entry(0, "u1", "ready").status == 503);
 }
 
 #[test]
-fn after_a_loss_of_power_upstreams_are_known_before_they_send_heartbeats() {
+fn after_a_power_loss_upstreams_are_known_before_they_send_heartbeats() {
     let mut system = start();
     let is_saved = |host: &Host| {
         let note = fs::read(host.data.join("upstreams")).unwrap_or_default();
-        ["u1", "u2"].iter().all(|id| note.windows(id.len()).any(|part| part == id.as_bytes()))
+        ["u1", "u2"].iter().all(|id| note.windows(id.len()).any(|role| role == id.as_bytes()))
     };
     wait_for("the saved upstreams", || system.keepers.iter().all(is_saved));
     restart_all_with_rare_heartbeats(&mut system);
--- a/clayplankd/tests/seeded/cordons.rs
+++ b/clayplankd/tests/seeded/cordons.rs
@@ -5,7 +5,7 @@
 use crate::client::call;
 use crate::failover::leader;
 use crate::host::Host;
-use crate::system::{Shape, System, wait_for};
+use crate::system::{System, Topology, wait_for};
 
 /// Data centre of all upstreams of a test.
 const HALL: &str = "hall";
@@ -15,7 +15,7 @@
 }
 
 /// Sends a command to a host until it is acknowledged.
-fn order(host: &Host, method: &str, data_centre: &str) {
+fn send_command(host: &Host, method: &str, data_centre: &str) {
     let path = cordon_path(data_centre);
     wait_for("the acknowledgement of an order", || {
         call(host.control(), method, &path, &[], "").status == 200
@@ -36,12 +36,12 @@
 /// Waits until every entry host has applied this number of cordon changes.
 fn wait_until_known(system: &System, changes: usize) {
     wait_for("news of a cordon at all hosts", || {
-        let is_told = |host: &Host| host.lines("Cordons are in force").len() >= changes;
-        system.entries.iter().all(is_told)
+        let is_logged = |host: &Host| host.lines("Cordons are in force").len() >= changes;
+        system.entries.iter().all(is_logged)
     });
 }
 
-fn is_refused(system: &System, entry: usize, attempt: &str) {
+fn assert_refused(system: &System, entry: usize, attempt: &str) {
     let answer = system.send(entry, attempt, "/once/x", &[]);
     assert_eq!(answer.status, 503, "{}", answer.text());
     assert!(answer.header("retry-after").is_some(), "it says when to come back");
@@ -49,51 +49,51 @@
 }
 
 #[test]
-fn nothing_goes_to_a_data_centre_under_a_cordon_until_it_is_taken_off() {
+fn a_cordoned_data_centre_gets_no_requests_until_the_cordon_is_removed() {
     let system = System::start();
-    order(&system.keepers[0], "PUT", HALL);
-    order(&system.keepers[1], "PUT", HALL);
+    send_command(&system.keepers[0], "PUT", HALL);
+    send_command(&system.keepers[1], "PUT", HALL);
     wait_until_known(&system, 1);
     for entry in 0..system.entries.len() {
-        is_refused(&system, entry, &format!("emptied-{entry}"));
+        assert_refused(&system, entry, &format!("emptied-{entry}"));
     }
     assert_eq!(cordoned(&system.keepers[2]), [HALL]);
-    order(&system.keepers[2], "DELETE", HALL);
+    send_command(&system.keepers[2], "DELETE", HALL);
     wait_until_known(&system, 2);
     for entry in 0..system.entries.len() {
         let answer = system.send(entry, &format!("back-{entry}"), "/once/x", &[]);
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
     assert!(cordoned(&system.keepers[0]).is_empty());
-    order(&system.keepers[0], "DELETE", HALL);
+    send_command(&system.keepers[0], "DELETE", HALL);
 }
 
 #[test]
-fn a_name_that_no_data_centre_has_is_refused_with_the_reason() {
+fn an_unknown_data_centre_is_rejected_with_the_reason() {
     let system = System::start();
     let answer = call(system.keepers[0].control(), "PUT", &cordon_path("nowhere"), &[], "");
     assert_eq!(answer.status, 404);
-    let told: Value = serde_json::from_str(&answer.text()).unwrap();
-    assert_eq!(told["error"], "there is no such data centre");
+    let refusal: Value = serde_json::from_str(&answer.text()).unwrap();
+    assert_eq!(refusal["error"], "there is no such data centre");
     let unnamed = call(system.keepers[0].control(), "POST", &cordon_path(HALL), &[], "");
     assert_eq!(unnamed.status, 404, "there is no such call");
-    order(&system.keepers[0], "PUT", "annex");
-    order(&system.keepers[0], "DELETE", "nowhere");
+    send_command(&system.keepers[0], "PUT", "annex");
+    send_command(&system.keepers[0], "DELETE", "nowhere");
     assert_eq!(cordoned(&system.keepers[0]), ["annex"]);
     assert_eq!(system.send(0, "other", "/once/x", &[]).status, 200, "no upstream stands there");
 }
 
 #[test]
 fn an_acknowledged_cordon_outlives_its_leader_and_a_loss_of_all_hosts() {
-    let mut system = System::start_as(Shape { keepers: 3, entries: 2, ..Shape::default() });
-    order(&system.keepers[0], "PUT", HALL);
+    let mut system = System::start_with(Topology { keepers: 3, entries: 2, ..Topology::default() });
+    send_command(&system.keepers[0], "PUT", HALL);
     wait_until_known(&system, 1);
     let first = leader(&system);
     system.keepers[first].kill();
     let other = &system.keepers[(first + 1) % 3];
     assert_eq!(cordoned(other), [HALL]);
     for (number, entry) in [0, 1, 0].into_iter().enumerate() {
-        is_refused(&system, entry, &format!("led-by-another-{number}"));
+        assert_refused(&system, entry, &format!("led-by-another-{number}"));
     }
     system.write_settings(false);
     let System { keepers, entries, .. } = &mut system;
@@ -105,11 +105,11 @@
     wait_for("readiness", || entries.iter().all(Host::is_ready));
     for number in 0..20 {
         let keeper = number % 3;
-        system.beat(keeper, "u1", "ready");
-        system.beat(keeper, "u2", "ready");
-        is_refused(&system, number % 2, &format!("after-all-{number}"));
+        system.send_heartbeat(keeper, "u1", "ready");
+        system.send_heartbeat(keeper, "u2", "ready");
+        assert_refused(&system, number % 2, &format!("after-all-{number}"));
     }
     assert_eq!(cordoned(&system.keepers[first]), [HALL]);
-    order(&system.keepers[first], "DELETE", HALL);
-    system.beat_until_served();
+    send_command(&system.keepers[first], "DELETE", HALL);
+    system.send_heartbeats_until_served();
 }
--- a/clayplankd/tests/seeded/crashing.rs
+++ b/clayplankd/tests/seeded/crashing.rs
@@ -22,10 +22,10 @@
 
 use crate::answer::Answer;
 use crate::client::call;
-use crate::crashing_upstreams::{CRASHING_BODY, FLEET, Fleet, Story};
+use crate::crashing_upstreams::{CRASHING_BODY, FLEET_SERVICE, Fleet, FleetEvents};
 use crate::failover::leader;
 use crate::host::Host;
-use crate::system::{Shape, System, call_with_key, plan, wait_for};
+use crate::system::{System, Topology, call_with_key, plan, wait_for};
 
 /// Upstreams of the service.
 const UPSTREAMS: u8 = 18;
@@ -37,39 +37,39 @@
 const RUN: Duration = Duration::from_secs(12);
 
 /// Within this time after the third termination, all hosts must know of the request.
-const CONTACT: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// Maximum number of times that the request may reach an upstream after that time.
 const MAX_LATE: usize = 3;
 
 /// Interval between two requests of the caller (12 per second).
-const CRASHING_EVERY: Duration = Duration::from_millis(83);
+const CRASHING_INTERVAL: Duration = Duration::from_millis(83);
 
 /// Other callers, and the request interval of each (80 requests per second in total).
-const OTHERS: usize = 8;
-const OTHER_EVERY: Duration = Duration::from_millis(100);
+const OTHER_CALLERS: usize = 8;
+const OTHER_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Result of one request of another caller.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct ObservedRequest {
     sent_at: Instant,
     is_served: bool,
     /// Whether the request was refused as one that terminates upstreams.
-    is_held_back: bool,
+    is_quarantined: bool,
 }
 
 /// The plan with all routes pointing to the upstreams that can terminate.
 fn fleet_plan(version: u64) -> Value {
     let mut plan = plan(version);
-    plan["services"] = json!([{ "name": FLEET }]);
+    plan["services"] = json!([{ "name": FLEET_SERVICE }]);
     for route in plan["routes"].as_array_mut().unwrap() {
-        route["targets"] = json!([{ "service": FLEET, "weight": 1 }]);
+        route["targets"] = json!([{ "service": FLEET_SERVICE, "weight": 1 }]);
     }
     plan
 }
 
 fn start() -> (System, Fleet) {
-    let system = System::start_as(Shape { entries: ENTRIES, ..Shape::default() });
+    let system = System::start_with(Topology { entries: ENTRIES, ..Topology::default() });
     let fleet = Fleet::start(&system, UPSTREAMS);
     system.wait_for_plan(&fleet_plan(2));
     wait_until_served(&system, "service by the fleet");
@@ -81,7 +81,7 @@
 /// Sends a request; an incomplete answer is returned with status 0.
 fn send(system: &System, entry: usize, attempt: &str, path: &str, body: &str) -> Answer {
     let answer = call_with_key(system.entries[entry].callers(), attempt, 5_000, path, body);
-    if answer.is_whole { answer } else { Answer::default() }
+    if answer.is_complete { answer } else { Answer::default() }
 }
 
 /// Waits until each entry host has received an answer from the fleet.
@@ -97,46 +97,46 @@
 }
 
 /// Runs other callers' requests concurrently with `main`, and returns their results.
-fn beside_others(
+fn run_with_other_callers(
     system: &System,
     path: &str,
     body: Option<&str>,
     main: impl FnOnce(),
-) -> Vec<Seen> {
-    let is_over = AtomicBool::new(false);
+) -> Vec<ObservedRequest> {
+    let is_finished = AtomicBool::new(false);
     let number = AtomicU64::new(0);
-    let seen = Mutex::new(Vec::new());
+    let observed = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for caller in 0..OTHERS {
-            let (is_over, number, seen) = (&is_over, &number, &seen);
+        for caller in 0..OTHER_CALLERS {
+            let (is_finished, number, observed) = (&is_finished, &number, &observed);
             scope.spawn(move || {
-                while !is_over.load(Ordering::SeqCst) {
+                while !is_finished.load(Ordering::SeqCst) {
                     let attempt = format!("other-{}", number.fetch_add(1, Ordering::SeqCst));
                     let sent_at = Instant::now();
                     let entry = caller % ENTRIES;
                     let answer = send(system, entry, &attempt, path, body.unwrap_or(&attempt));
-                    seen.lock().unwrap().push(Seen {
+                    observed.lock().unwrap().push(ObservedRequest {
                         sent_at,
                         is_served: answer.status == 200,
-                        is_held_back: answer.text().contains("held_back"),
+                        is_quarantined: answer.text().contains("held_back"),
                     });
-                    std::thread::sleep(OTHER_EVERY.saturating_sub(sent_at.elapsed()));
+                    std::thread::sleep(OTHER_INTERVAL.saturating_sub(sent_at.elapsed()));
                 }
             });
         }
         main();
-        is_over.store(true, Ordering::SeqCst);
+        is_finished.store(true, Ordering::SeqCst);
     });
-    seen.into_inner().unwrap()
+    observed.into_inner().unwrap()
 }
 
 /// Sends the crashing request to all hosts in turn, each time on a new thread.
-fn press(system: &System, path: &str, run: Duration) -> Vec<u16> {
+fn send_repeatedly(system: &System, path: &str, run: Duration) -> Vec<u16> {
     let statuses = Arc::new(Mutex::new(Vec::new()));
-    let began = Instant::now();
+    let started_at = Instant::now();
     std::thread::scope(|scope| {
         let mut number = 0;
-        while began.elapsed() < run {
+        while started_at.elapsed() < run {
             number += 1;
             let statuses = Arc::clone(&statuses);
             scope.spawn(move || {
@@ -144,25 +144,25 @@
                 let answer = send(system, number % ENTRIES, &attempt, path, CRASHING_BODY);
                 statuses.lock().unwrap().push(answer.status);
             });
-            std::thread::sleep(CRASHING_EVERY);
+            std::thread::sleep(CRASHING_INTERVAL);
         }
     });
     Arc::into_inner(statuses).unwrap().into_inner().unwrap()
 }
 
 /// Instant from which all hosts must know that the request has terminated three upstreams.
-fn known_at(story: &Story) -> Instant {
-    story.ended.get(2).copied().unwrap_or_else(Instant::now) + CONTACT
+fn known_at(events: &FleetEvents) -> Instant {
+    events.ended.get(2).copied().unwrap_or_else(Instant::now) + PROPAGATION_TIME
 }
 
 /// Number of times that the request reached an upstream after that instant.
-fn late_sends(story: &Story) -> usize {
-    let known_at = known_at(story);
-    story.begun.iter().filter(|begun| **begun > known_at).count()
+fn late_sends(events: &FleetEvents) -> usize {
+    let known_at = known_at(events);
+    events.begun.iter().filter(|begun| **begun > known_at).count()
 }
 
-fn served(seen: &[Seen]) -> (usize, usize) {
-    (seen.iter().filter(|one| one.is_served).count(), seen.len())
+fn served(observed: &[ObservedRequest]) -> (usize, usize) {
+    (observed.iter().filter(|one| one.is_served).count(), observed.len())
 }
 
 /// Without a record of requests across calls, three runs had 119 and 120 terminated upstreams in 12
@@ -170,25 +170,30 @@
 #[rstest]
 #[case::repeatable("/repeatable/x", "/repeatable/y")]
 #[case::stream("/stream/events/3", "/stream/events/4")]
-fn a_request_that_ends_upstreams_is_held_back(#[case] crashing_path: &str, #[case] path: &str) {
+fn a_request_that_terminates_upstreams_is_quarantined(
+    #[case] crashing_path: &str,
+    #[case] path: &str,
+) {
     let (system, fleet) = start();
     let mut statuses = Vec::new();
-    let seen = beside_others(&system, path, None, || statuses = press(&system, crashing_path, RUN));
-    let story = fleet.story();
-    let known_at = known_at(&story);
-    let late = late_sends(&story);
-    let after: Vec<_> = seen.iter().filter(|one| one.sent_at > known_at).copied().collect();
+    let observed = run_with_other_callers(&system, path, None, || {
+        statuses = send_repeatedly(&system, crashing_path, RUN)
+    });
+    let events = fleet.events();
+    let known_at = known_at(&events);
+    let late = late_sends(&events);
+    let after: Vec<_> = observed.iter().filter(|one| one.sent_at > known_at).copied().collect();
     println!(
         "{} upstreams ended, {late} sends late; others served {:?}, after that time {:?}; the caller got {:?}",
-        story.ended.len(),
-        served(&seen),
+        events.ended.len(),
+        served(&observed),
         served(&after),
         statuses.iter().fold(std::collections::BTreeMap::new(), |mut counts, status| {
             *counts.entry(status).or_insert(0) += 1;
             counts
         }),
     );
-    assert!(late <= MAX_LATE, "{late} sends later than {CONTACT:?} after the third end");
+    assert!(late <= MAX_LATE, "{late} sends later than {PROPAGATION_TIME:?} after the third end");
     let (good, all) = served(&after);
     assert!(good * 100 >= all * 99, "of {all} other requests after that time {good} were served");
 }
@@ -196,65 +201,65 @@
 /// A request with many concurrent copies must not be quarantined because upstreams that ran it were
 /// killed for another reason.
 #[test]
-fn a_request_that_ran_where_upstreams_were_killed_is_served_on() {
+fn a_request_at_upstreams_killed_for_another_reason_is_not_quarantined() {
     let (system, fleet) = start();
-    let seen = beside_others(&system, "/repeatable/x", Some("what all ask"), || {
+    let observed = run_with_other_callers(&system, "/repeatable/x", Some("what all ask"), || {
         for round in 0..4 {
             std::thread::sleep(Duration::from_secs(2));
             fleet.kill((0..6).map(|number| (round * 6 + number) % usize::from(UPSTREAMS)));
         }
         std::thread::sleep(Duration::from_secs(2));
     });
-    let (good, all) = served(&seen);
-    let held_back = seen.iter().filter(|one| one.is_held_back).count();
-    println!("{good} of {all} served, {held_back} held back");
-    assert_eq!(held_back, 0, "requests that were held back for what they did not do");
+    let (good, all) = served(&observed);
+    let quarantined = observed.iter().filter(|one| one.is_quarantined).count();
+    println!("{good} of {all} served, {quarantined} held back");
+    assert_eq!(quarantined, 0, "requests that were held back for what they did not do");
     // Some requests have both attempts at upstreams that are killed: 795 of 800 were served without
     // quarantine.
     assert!(good * 100 >= all * 98, "{good} of {all} requests were served");
 }
 
 /// Number of times that the crashing request has reached an upstream.
-fn reached(fleet: &Fleet) -> usize {
-    fleet.story().begun.len()
+fn crashing_starts(fleet: &Fleet) -> usize {
+    fleet.events().begun.len()
 }
 
 /// The leader is killed while the request is repeated. The next leader must retain what is known of
 /// the request.
 #[test]
-fn a_request_is_held_back_also_when_the_leader_changes() {
+fn a_quarantine_survives_a_change_of_leader() {
     let (mut system, fleet) = start();
     let leader = leader(&system);
     let path = "/repeatable/x";
     // Some upstreams have terminated, though perhaps too few to quarantine the request.
-    press(&system, path, Duration::from_millis(200));
+    send_repeatedly(&system, path, Duration::from_millis(200));
     system.keepers[leader].kill();
-    press(&system, path, Duration::from_secs(6));
+    send_repeatedly(&system, path, Duration::from_secs(6));
     system.keepers[leader].start();
-    let story = fleet.story();
-    let late = late_sends(&story);
-    println!("{} upstreams ended, {late} sends late", story.ended.len());
-    assert!(late <= MAX_LATE, "{late} sends later than {CONTACT:?} after the third end");
+    let events = fleet.events();
+    let late = late_sends(&events);
+    println!("{} upstreams ended, {late} sends late", events.ended.len());
+    assert!(late <= MAX_LATE, "{late} sends later than {PROPAGATION_TIME:?} after the third end");
 }
 
 /// All processes are killed and restarted with nothing but the keepers' disks, from which the
 /// quarantine must be restored.
 #[test]
-fn a_request_is_held_back_also_after_all_hosts_started_again() {
+fn a_quarantine_survives_a_restart_of_all_hosts() {
     let (mut system, fleet) = start();
     let path = "/repeatable/x";
-    press(&system, path, Duration::from_secs(3));
-    let before = reached(&fleet);
+    send_repeatedly(&system, path, Duration::from_secs(3));
+    let before = crashing_starts(&fleet);
     system.keepers.iter_mut().chain(&mut system.entries).for_each(Host::kill);
     system.keepers.iter_mut().chain(&mut system.entries).for_each(Host::start);
     wait_until_served(&system, "service after the restart");
-    let statuses = press(&system, path, Duration::from_secs(3));
-    assert_eq!(reached(&fleet), before, "sends after the restart");
+    let statuses = send_repeatedly(&system, path, Duration::from_secs(3));
+    assert_eq!(crashing_starts(&fleet), before, "sends after the restart");
     assert!(statuses.iter().all(|status| *status == 503), "{statuses:?}");
 }
 
 /// Quarantined requests as shown to an operator.
-fn held_back(system: &System) -> Vec<Value> {
+fn quarantined(system: &System) -> Vec<Value> {
     let answer = call(system.keepers[0].control(), "GET", "/v1/held-back", &[], "");
     assert_eq!(answer.status, 200, "{}", answer.text());
     serde_json::from_str(&answer.text()).unwrap()
@@ -263,24 +268,24 @@
 /// An operator reads which requests are quarantined and why, and lifts a quarantine, after which
 /// the request is sent again.
 #[test]
-fn an_operator_sees_what_is_held_back_and_lifts_it() {
+fn an_operator_reads_and_lifts_a_quarantine() {
     let (system, fleet) = start();
-    assert_eq!(held_back(&system), Vec::<Value>::new());
-    press(&system, "/repeatable/x", Duration::from_secs(2));
-    let before = reached(&fleet);
-    let held = held_back(&system);
+    assert_eq!(quarantined(&system), Vec::<Value>::new());
+    send_repeatedly(&system, "/repeatable/x", Duration::from_secs(2));
+    let before = crashing_starts(&fleet);
+    let held = quarantined(&system);
     let [one] = held.as_slice() else { panic!("{held:?}") };
     assert_eq!(one["caller"], "timekeepers");
     assert!(one["ended"].as_array().unwrap().len() >= 3, "{one}");
-    let figures = system.entries[0].figures();
-    assert!(figures.contains("clayplank_entry_held_back 1"), "{figures}");
+    let metrics = system.entries[0].metrics();
+    assert!(metrics.contains("clayplank_entry_held_back 1"), "{metrics}");
     let path = format!("/v1/held-back/{}", one["fingerprint"].as_str().unwrap());
     let control = system.keepers[1].control();
     assert_eq!(call(control, "DELETE", &path, &[], "").status, 200);
     assert_eq!(call(control, "DELETE", &path, &[], "").status, 404, "it is lifted already");
     assert_eq!(call(control, "DELETE", "/v1/held-back/7", &[], "").status, 400);
     wait_for("hosts that send the request again", || {
-        press(&system, "/repeatable/x", Duration::from_millis(200));
-        reached(&fleet) > before
+        send_repeatedly(&system, "/repeatable/x", Duration::from_millis(200));
+        crashing_starts(&fleet) > before
     });
 }
--- a/clayplankd/tests/seeded/crashing_upstreams.rs
+++ b/clayplankd/tests/seeded/crashing_upstreams.rs
@@ -10,27 +10,27 @@
 };
 use tokio::sync::mpsc;
 
-use crate::host::{Host, UPSTREAM};
+use crate::host::{Host, UPSTREAM_PORT};
 use crate::system::System;
 
 /// The service of all upstreams that can terminate.
-pub const FLEET: &str = "fleet";
+pub const FLEET_SERVICE: &str = "fleet";
 
 /// Body of the request that terminates every upstream that runs it.
 pub const CRASHING_BODY: &str = "a prompt that no engine survives";
 
 /// Time from the start of the crashing request to the termination of its upstream.
-const ENDS_AFTER: Duration = Duration::from_millis(80);
+const TERMINATION_DELAY: Duration = Duration::from_millis(80);
 
 /// Time from the termination of an upstream to its restart.
-const BACK_AFTER: Duration = Duration::from_millis(1_500);
+const RESTART_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Concurrent requests per upstream.
 const SLOTS: u32 = 6;
 
 /// Recorded starts and terminations of a fleet.
 #[derive(Debug, Default)]
-pub struct Story {
+pub struct FleetEvents {
     /// Times at which the crashing request started at an upstream.
     pub begun: Vec<Instant>,
     /// Times at which an upstream terminated because of it.
@@ -39,9 +39,9 @@
 
 /// Upstreams that terminate under the crashing request, or when they are killed.
 pub struct Fleet {
-    story: Arc<Mutex<Story>>,
+    events: Arc<Mutex<FleetEvents>>,
     pub runs: SharedRuns,
-    is_over: Arc<AtomicBool>,
+    is_finished: Arc<AtomicBool>,
     kills: Vec<mpsc::UnboundedSender<()>>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
@@ -50,30 +50,33 @@
     /// Starts `count` upstreams, which register with all keepers of the system.
     pub fn start(system: &System, count: u8) -> Self {
         let mut fleet = Self {
-            story: Arc::default(),
+            events: Arc::default(),
             runs: SharedRuns::default(),
-            is_over: Arc::default(),
+            is_finished: Arc::default(),
             kills: Vec::new(),
             threads: Vec::new(),
         };
         for number in 0..count {
             let (kill, killed) = mpsc::unbounded_channel();
-            let lives = Lives {
+            let member = FleetMember {
                 number,
-                address: SocketAddr::new(IpAddr::V4(system.upstream_ip(40 + number)), UPSTREAM),
+                address: SocketAddr::new(
+                    IpAddr::V4(system.upstream_ip(40 + number)),
+                    UPSTREAM_PORT,
+                ),
                 keepers: system.keepers.iter().map(Host::control).collect(),
-                story: Arc::clone(&fleet.story),
+                events: Arc::clone(&fleet.events),
                 runs: fleet.runs.clone(),
-                is_over: Arc::clone(&fleet.is_over),
+                is_finished: Arc::clone(&fleet.is_finished),
             };
             fleet.kills.push(kill);
-            fleet.threads.push(std::thread::spawn(move || lives.run(killed)));
+            fleet.threads.push(std::thread::spawn(move || member.run(killed)));
         }
         fleet
     }
 
-    pub fn story(&self) -> MutexGuard<'_, Story> {
-        self.story.lock().unwrap()
+    pub fn events(&self) -> MutexGuard<'_, FleetEvents> {
+        self.events.lock().unwrap()
     }
 
     /// Terminates these upstreams immediately, whatever they run.
@@ -86,7 +89,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.is_over.store(true, Ordering::SeqCst);
+        self.is_finished.store(true, Ordering::SeqCst);
         self.kill(0..self.kills.len());
         for thread in self.threads.drain(..) {
             thread.join().ok();
@@ -95,42 +98,42 @@
 }
 
 /// One upstream of a fleet through all its incarnations.
-struct Lives {
+struct FleetMember {
     number: u8,
     address: SocketAddr,
     keepers: Vec<SocketAddr>,
-    story: Arc<Mutex<Story>>,
+    events: Arc<Mutex<FleetEvents>>,
     runs: SharedRuns,
-    is_over: Arc<AtomicBool>,
+    is_finished: Arc<AtomicBool>,
 }
 
-impl Lives {
+impl FleetMember {
     fn run(&self, mut killed: mpsc::UnboundedReceiver<()>) {
-        for life in 1_u64.. {
-            if self.is_over.load(Ordering::SeqCst) {
+        for incarnation in 1_u64.. {
+            if self.is_finished.load(Ordering::SeqCst) {
                 return;
             }
-            let ended_by_request = self.live(life, &mut killed);
-            if ended_by_request {
-                self.story.lock().unwrap().ended.push(Instant::now());
+            let was_terminated_by_request = self.run_incarnation(incarnation, &mut killed);
+            if was_terminated_by_request {
+                self.events.lock().unwrap().ended.push(Instant::now());
             }
-            std::thread::sleep(BACK_AFTER);
+            std::thread::sleep(RESTART_DELAY);
             // Kills that arrive while the upstream is down have no effect.
             while killed.try_recv().is_ok() {}
         }
     }
 
     /// Runs one incarnation; returns whether the crashing request terminated it.
-    fn live(&self, life: u64, killed: &mut mpsc::UnboundedReceiver<()>) -> bool {
+    fn run_incarnation(&self, incarnation: u64, killed: &mut mpsc::UnboundedReceiver<()>) -> bool {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
             .build()
             .unwrap();
         let (begun, mut ends) = mpsc::unbounded_channel();
-        let ended_by_request = runtime.block_on(async {
+        let was_terminated_by_request = runtime.block_on(async {
             let listener = clayplank_standin::bind(self.address).await.unwrap();
-            let id = format!("fleet-{}-{life}", self.number);
+            let id = format!("fleet-{}-{incarnation}", self.number);
             let crashing = CrashingRequest { body: CRASHING_BODY.into(), begun };
             tokio::spawn(serve_upstream(
                 listener,
@@ -141,35 +144,35 @@
             ));
             let registration = Registration {
                 id,
-                service: FLEET.to_owned(),
+                service: FLEET_SERVICE.to_owned(),
                 address: self.address,
                 data_centre: "hall".to_owned(),
                 slots: SLOTS,
             };
-            let every = Duration::from_millis(300);
-            tokio::spawn(send_heartbeats(registration, self.keepers.clone(), every));
+            let interval = Duration::from_millis(300);
+            tokio::spawn(send_heartbeats(registration, self.keepers.clone(), interval));
             let first = tokio::select! {
                 first = ends.recv() => first,
                 _ = killed.recv() => return false,
             };
-            self.note_begun(first);
-            let end = tokio::time::sleep(ENDS_AFTER);
+            self.record_start(first);
+            let end = tokio::time::sleep(TERMINATION_DELAY);
             tokio::pin!(end);
             loop {
                 tokio::select! {
                     () = &mut end => return true,
-                    next = ends.recv() => self.note_begun(next),
+                    next = ends.recv() => self.record_start(next),
                 }
             }
         });
         // This closes the sockets: open connections break, and new ones are refused.
         runtime.shutdown_background();
-        ended_by_request
+        was_terminated_by_request
     }
 
-    fn note_begun(&self, begun: Option<()>) {
+    fn record_start(&self, begun: Option<()>) {
         if begun.is_some() {
-            self.story.lock().unwrap().begun.push(Instant::now());
+            self.events.lock().unwrap().begun.push(Instant::now());
         }
     }
 }
--- a/clayplankd/tests/seeded/failover.rs
+++ b/clayplankd/tests/seeded/failover.rs
@@ -3,10 +3,10 @@
 use clayplank_placement::EngineModel;
 
 use crate::client::call;
+use crate::guarantees::plan_with_engines;
 use crate::host::Host;
-use crate::promises::plan_with_engines;
-use crate::replacement::CATCH_UP;
-use crate::system::{Shape, System, plan, wait_for};
+use crate::replacement::REPAIR_TIME;
+use crate::system::{System, Topology, plan, wait_for};
 
 /// Index of the keeper that logged most recently that it leads.
 pub fn leader(system: &System) -> usize {
@@ -22,15 +22,15 @@
 /// send follow requests to keepers that do not lead: at hundreds of hosts such requests would hit
 /// keepers that are about to hold an election.
 fn lose_leader(is_paused: bool) {
-    let shape = Shape { keepers: 5, entries: 4, ..Shape::default() };
-    let mut system = System::start_as(shape);
+    let topology = Topology { keepers: 5, entries: 4, ..Topology::default() };
+    let mut system = System::start_with(topology);
     let former = leader(&system);
     let former_ip = system.keepers[former].ip.to_string();
-    let not_led = |host: &Host| {
+    let follow_failures = |host: &Host| {
         let lost = host.lines("The plan is not confirmed");
         lost.iter().filter(|line| line["cause"] == "it does not lead").count()
     };
-    let before: Vec<_> = system.entries.iter().map(not_led).collect();
+    let before: Vec<_> = system.entries.iter().map(follow_failures).collect();
     if is_paused {
         system.keepers[former].signal("-STOP");
     } else {
@@ -47,7 +47,7 @@
         let is_back = |host: &Host| !host.lines("The plan is confirmed again").is_empty();
         system.entries.iter().all(is_back)
     });
-    let after: Vec<_> = system.entries.iter().map(not_led).collect();
+    let after: Vec<_> = system.entries.iter().map(follow_failures).collect();
     assert_eq!(before, after, "a keeper was asked to be followed that did not lead");
     if is_paused {
         system.keepers[former].signal("-CONT");
@@ -56,12 +56,12 @@
 }
 
 #[test]
-fn a_leader_that_is_killed_is_replaced_by_one_search_of_each_host() {
+fn each_host_finds_the_next_leader_in_one_search_after_a_kill() {
     lose_leader(false);
 }
 
 #[test]
-fn a_leader_that_is_paused_is_replaced_by_one_search_of_each_host() {
+fn each_host_finds_the_next_leader_in_one_search_after_a_pause() {
     lose_leader(true);
 }
 
@@ -69,8 +69,8 @@
 /// a failed keeper as deputy, each host would choose engines locally, without knowledge of the load
 /// caused by its peers.
 #[test]
-fn a_keeper_that_is_gone_is_not_asked_in_place_of_the_leader() {
-    let mut system = System::start_as(Shape { keepers: 5, entries: 2, ..Shape::default() });
+fn a_failed_keeper_gets_no_requests_in_place_of_the_leader() {
+    let mut system = System::start_with(Topology { keepers: 5, entries: 2, ..Topology::default() });
     system.start_engine("e1", 31, EngineModel::default());
     system.wait_for_plan(&plan_with_engines(2, &EngineModel::default()));
     let short = [("x-clayplank-tokens", "2000,90")];
@@ -79,10 +79,10 @@
     });
     let first = leader(&system);
     let deputy = (first + 1) % system.keepers.len();
-    let gone_ip = system.keepers[deputy].ip.to_string();
+    let failed_ip = system.keepers[deputy].ip.to_string();
     let first_ip = system.keepers[first].ip.to_string();
     system.keepers[deputy].kill();
-    std::thread::sleep(CATCH_UP);
+    std::thread::sleep(REPAIR_TIME);
 
     system.keepers[first].kill();
     let has_next = |host: &Host| {
@@ -97,7 +97,7 @@
     let unanswered = system.entries[0].lines("A keeper does not choose engines");
     let of = |ip: &str| unanswered.iter().filter(|line| line["keeper"] == ip).count();
     assert!(of(&first_ip) > 0, "prompts came while nobody led");
-    assert_eq!(of(&gone_ip), 0, "{unanswered:?}");
+    assert_eq!(of(&failed_ip), 0, "{unanswered:?}");
 }
 
 /// Restarts of a host. Fewer of them than this may log an unconfirmed follower although a
@@ -107,8 +107,8 @@
 /// A follow request and the leadership round that confirms it may fall into the same millisecond.
 /// Such a round must still count, or a lone follower is not confirmed.
 #[test]
-fn a_keeper_that_hears_its_leader_confirms_a_follower_that_is_alone() {
-    let mut system = System::start_as(Shape { keepers: 3, entries: 1, ..Shape::default() });
+fn a_keeper_in_contact_with_its_leader_confirms_a_lone_follower() {
+    let mut system = System::start_with(Topology { keepers: 3, entries: 1, ..Topology::default() });
     for _ in 0..STARTS {
         system.entries[0].kill();
         system.entries[0].start();
@@ -123,12 +123,13 @@
 /// A host may follow a keeper that becomes unresponsive, and the keeper of the next rank may be
 /// unresponsive as well. A plan must be in force before the requests to them time out.
 #[test]
-fn a_change_is_in_force_before_silent_keepers_are_given_up() {
-    let mut system = System::start_as(Shape { keepers: 5, entries: 10, ..Shape::default() });
+fn a_plan_is_in_force_before_requests_to_unresponsive_keepers_time_out() {
+    let mut system =
+        System::start_with(Topology { keepers: 5, entries: 10, ..Topology::default() });
     let leading = leader(&system);
     let others = (0..system.keepers.len()).filter(|keeper| *keeper != leading);
-    let silent: Vec<_> = others.take(2).collect();
-    silent.iter().for_each(|keeper| system.keepers[*keeper].signal("-STOP"));
+    let unresponsive: Vec<_> = others.take(2).collect();
+    unresponsive.iter().for_each(|keeper| system.keepers[*keeper].signal("-STOP"));
     let text = plan(2).to_string();
     let answer = call(system.keepers[leading].control(), "PUT", "/v1/plan", &[], &text);
     assert_eq!(answer.status, 200, "{}", answer.text());
@@ -142,16 +143,17 @@
         let in_force = in_force(host).unwrap();
         let time = in_force["time"].as_str();
         let mut failures = host.lines("The plan is not confirmed");
-        let silent = system.keepers.iter().enumerate().filter(|(at, _)| silent.contains(at));
-        let silent: Vec<_> = silent.map(|(_, keeper)| keeper.ip.to_string()).collect();
+        let unresponsive =
+            system.keepers.iter().enumerate().filter(|(at, _)| unresponsive.contains(at));
+        let unresponsive: Vec<_> = unresponsive.map(|(_, keeper)| keeper.ip.to_string()).collect();
         failures.retain(|line| {
             let cause = line["cause"].as_str().unwrap();
-            let is_of_silent = silent.iter().any(|ip| line["keeper"] == ip.as_str());
+            let is_of_silent = unresponsive.iter().any(|ip| line["keeper"] == ip.as_str());
             cause.ends_with("did not answer in time")
                 && is_of_silent
                 && line["time"].as_str() < time
         });
         assert!(failures.is_empty(), "{in_force} after {failures:?}");
     }
-    silent.iter().for_each(|keeper| system.keepers[*keeper].signal("-CONT"));
+    unresponsive.iter().for_each(|keeper| system.keepers[*keeper].signal("-CONT"));
 }
--- a/clayplankd/tests/seeded/promises.rs
+++ b/clayplankd/tests/seeded/guarantees.rs
@@ -12,7 +12,7 @@
 use crate::system::{KEY, System, plan, publish, wait_for};
 
 #[test]
-fn answers_pass_unchanged_and_faults_are_told_truly() {
+fn answers_pass_unchanged_and_faults_are_reported_accurately() {
     let system = System::start();
     let plain = system.send(0, "a1", "/repeatable/x?y=1", &[]);
     assert_eq!((plain.status, plain.text().as_str()), (200, "body"));
@@ -37,14 +37,14 @@
     assert_eq!(foreign.status, 502, "an answer to another request is nobody's");
     let unsealed = system.send(0, "a9", "/repeatable/x", &[("x-standin-fault", "unsealed")]);
     assert_eq!((unsealed.status, system.runs.count("a9")), (200, 2));
-    assert!(system.entries[0].figures().contains("clayplank_entry_requests_total"));
+    assert!(system.entries[0].metrics().contains("clayplank_entry_requests_total"));
 }
 
 #[test]
-fn a_stream_that_breaks_inside_an_event_goes_on_elsewhere() {
+fn a_stream_that_breaks_inside_an_event_resumes_at_another_upstream() {
     let system = System::start();
     let answer = system.send(0, "s1", "/stream/events/12", &[("x-standin-fault", "break")]);
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
     let text = answer.text();
     let ids: Vec<u64> =
         text.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect();
@@ -57,21 +57,21 @@
 }
 
 #[test]
-fn a_stream_that_falters_and_then_breaks_is_sent_no_further_than_its_route_allows() {
+fn a_stream_that_stalls_and_then_breaks_uses_no_more_attempts_than_its_route_allows() {
     let mut system = System::start();
     system.start_upstream("u3", 23);
     for keeper in 0..system.keepers.len() {
-        system.beat(keeper, "u3", "ready");
+        system.send_heartbeat(keeper, "u3", "ready");
     }
     // While the first upstream is unresponsive, the request is also sent to a second one, which is
     // cancelled when the first continues. Both count as attempts.
     let answer = system.send(0, "f1", "/stream/events/12", &[("x-standin-fault", "falter")]);
-    assert!(!answer.is_whole, "no third upstream may finish it");
+    assert!(!answer.is_complete, "no third upstream may finish it");
     assert_eq!(system.runs.count("f1"), 2);
 }
 
 #[test]
-fn a_caller_that_leaves_before_an_answer_has_its_line() {
+fn a_caller_that_disconnects_before_an_answer_is_logged() {
     let system = System::start();
     let callers = system.entries[0].callers();
     let mut caller = std::net::TcpStream::connect(callers).unwrap();
@@ -96,9 +96,9 @@
 /// Guards against work that continues after its caller has disconnected and takes the place of
 /// other work.
 #[rstest]
-#[case::while_its_prompt_is_read("1500000,73")]
-#[case::while_its_answer_is_written("2000,30000000")]
-fn a_caller_that_leaves_stops_its_engine(#[case] tokens: &str) {
+#[case::during_prefill("1500000,73")]
+#[case::during_generation("2000,30000000")]
+fn a_caller_that_disconnects_cancels_work_at_its_engine(#[case] tokens: &str) {
     let system = System::start();
     let model = EngineModel { memory_tokens: 100_000_000, ..EngineModel::default() };
     let engine = system.start_engine("e1", 31, model.clone());
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn plans_are_checked_and_the_highest_version_holds() {
+fn plans_are_validated_and_the_highest_version_is_in_force() {
     let system = System::start();
     let mut second = plan(5);
     second["routes"][0]["path_prefix"] = json!("/renamed/");
@@ -141,18 +141,18 @@
     assert!(refused.text().contains("/routes/0/targets/0/service"), "{}", refused.text());
     assert_eq!(publish(&system.keepers[0], &json!("no plan")).status, 400);
     for keeper in &system.keepers {
-        let mut held = String::new();
+        let mut confirmed = String::new();
         wait_for("a confirmed read", || {
             let answer = call(keeper.control(), "GET", "/v1/plan", &[], "");
-            held = answer.text();
+            confirmed = answer.text();
             answer.status == 200
         });
-        assert_eq!(held, second.to_string(), "as it was sent");
+        assert_eq!(confirmed, second.to_string(), "as it was sent");
     }
 }
 
 #[test]
-fn a_key_that_is_taken_away_is_refused_everywhere() {
+fn a_removed_key_is_rejected_at_all_hosts() {
     let system = System::start();
     let mut without = plan(2);
     without["accounts"][0]["keys"] = json!(["another"]);
@@ -166,9 +166,9 @@
 }
 
 #[test]
-fn an_upstream_that_drains_gets_nothing_after_the_acknowledgement() {
+fn a_draining_upstream_gets_no_requests_after_the_acknowledgement() {
     let mut system = System::start();
-    wait_for("the acknowledgement", || system.beat(0, "u1", "draining").status == 200);
+    wait_for("the acknowledgement", || system.send_heartbeat(0, "u1", "draining").status == 200);
     // The update reaches each entry host with its next exchange with a keeper.
     wait_for("news at the entry hosts", || {
         (0..40).all(|number| {
@@ -177,7 +177,7 @@
             answer.header("x-clayplank-seal") == Some("u2")
         })
     });
-    wait_for("an acknowledged heartbeat", || system.beat(1, "u1", "ready").status == 200);
+    wait_for("an acknowledged heartbeat", || system.send_heartbeat(1, "u1", "ready").status == 200);
     for number in 0..20 {
         let attempt = format!("e{number}");
         let answer = system.send(number % 2, &attempt, "/repeatable/x", &[]);
@@ -199,13 +199,13 @@
     system.keepers[0].kill();
     std::fs::remove_dir_all(&system.keepers[0].data).unwrap();
     wait_for("the plan at the other two", || {
-        let held = call(system.keepers[1].control(), "GET", "/v1/plan", &[], "");
-        held.text() == second_text
+        let confirmed = call(system.keepers[1].control(), "GET", "/v1/plan", &[], "");
+        confirmed.text() == second_text
     });
     system.keepers[0].start();
     wait_for("the repaired keeper", || {
-        let held = call(system.keepers[0].control(), "GET", "/v1/plan", &[], "");
-        held.text() == second_text
+        let confirmed = call(system.keepers[0].control(), "GET", "/v1/plan", &[], "");
+        confirmed.text() == second_text
     });
     // Once the repaired keeper votes, the loss of another keeper is tolerated.
     let third = plan(3);
@@ -220,15 +220,15 @@
         system.keepers[keeper].start();
     }
     wait_for("the plan after all were down", || {
-        let held = call(system.keepers[2].control(), "GET", "/v1/plan", &[], "");
-        held.text() == fourth_text
+        let confirmed = call(system.keepers[2].control(), "GET", "/v1/plan", &[], "");
+        confirmed.text() == fourth_text
     });
     wait_for("readiness", || system.entries.iter().all(|entry| entry.is_ready()));
-    system.beat_until_served();
+    system.send_heartbeats_until_served();
 }
 
 #[test]
-fn a_planned_stop_cuts_off_nothing() {
+fn a_planned_stop_interrupts_no_request() {
     let mut system = System::start();
     let callers = system.entries[0].callers();
     let slow = std::thread::spawn(move || {
@@ -244,7 +244,7 @@
     system.entries[0].terminate();
     wait_for("the end of readiness", || !system.entries[0].is_ready());
     let answer = slow.join().unwrap();
-    assert_eq!((answer.status, answer.is_whole), (200, true));
+    assert_eq!((answer.status, answer.is_complete), (200, true));
     wait_for("the end of the process", || system.entries[0].has_ended());
     assert_eq!(system.send(1, "after", "/once/x", &[]).status, 200, "the other host serves on");
 }
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_prompt_beyond_one_engine_is_read_by_several_and_its_memory_comes_back() {
+fn a_prompt_too_large_for_one_engine_is_prefilled_by_several_and_its_memory_is_released() {
     let system = System::start();
     let engines: Vec<_> = (1..=3_u8)
         .map(|number| system.start_engine(&format!("e{number}"), 30 + number, small_engine()))
@@ -292,7 +292,7 @@
         answer = system.send(1, &format!("long-{number}"), "/prompt/x", &long);
         answer.status == 200
     });
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
     assert_eq!(answer.text().matches("id: ").count(), 3, "{}", answer.text());
     wait_for("the return of all memory", || {
         engines.iter().all(|&engine| memory_in_use(engine) == 0)
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn changed_settings_are_taken_without_a_restart() {
+fn changed_settings_are_applied_without_a_restart() {
     let system = System::start();
     let entry = &system.entries[0];
     entry.change_settings(|settings| {
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn logs_that_nobody_reads_hold_up_no_request() {
+fn an_unread_log_pipe_blocks_no_request() {
     let mut system = System::start();
     let entry = &mut system.entries[0];
     entry.kill();
@@ -343,14 +343,14 @@
         .lines()
         .map(|line| serde_json::from_str(&line.unwrap()).unwrap())
         .collect();
-    let told = |message: &str| lines.iter().find(|line| line["message"] == message);
-    let dropped = told("Log lines were dropped").expect("the count of dropped lines");
+    let logged = |message: &str| lines.iter().find(|line| line["message"] == message);
+    let dropped = logged("Log lines were dropped").expect("the count of dropped lines");
     assert!(dropped["lines"].as_u64().unwrap() > 0);
-    assert!(told("Stopped").is_some(), "the last line is written before the end");
+    assert!(logged("Stopped").is_some(), "the last line is written before the end");
 }
 
 #[test]
-fn a_helper_that_is_gone_is_named_and_the_prompt_is_read_by_others() {
+fn a_missing_prefill_helper_is_reported_and_others_prefill_the_prompt() {
     let system = System::start();
     // A prompt of this length is prefilled by all three engines.
     for number in 1..=2_u8 {
--- a/clayplankd/tests/seeded/host.rs
+++ b/clayplankd/tests/seeded/host.rs
@@ -10,23 +10,23 @@
 
 /// All hosts use the same ports, below the ephemeral range, so that no outgoing connection occupies
 /// them.
-pub const CALLERS: u16 = 18_080;
-pub const READINESS: u16 = 18_081;
-pub const CONTROL: u16 = 18_082;
-pub const INNER: u16 = 18_083;
-pub const METRICS: u16 = 18_084;
-pub const UPSTREAM: u16 = 18_085;
+pub const CALLERS_PORT: u16 = 18_080;
+pub const READINESS_PORT: u16 = 18_081;
+pub const CONTROL_PORT: u16 = 18_082;
+pub const INNER_PORT: u16 = 18_083;
+pub const METRICS_PORT: u16 = 18_084;
+pub const UPSTREAM_PORT: u16 = 18_085;
 
 /// Role of a host process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Role {
     Keeper,
     /// An entry host. One with a control listener forwards operators' requests to the keepers.
     Entry {
-        has_door: bool,
+        has_control_listener: bool,
     },
     /// An entry host with a disk, which makes it a keeper as well.
-    Both,
+    EntryAndKeeper,
 }
 
 /// One process with its own loopback address.
@@ -35,7 +35,7 @@
     pub ip: Ipv4Addr,
     /// Listening address for peers and operators; differs from `ip` if the host is behind a proxy.
     pub bind_ip: Ipv4Addr,
-    pub part: Part,
+    pub role: Role,
     pub settings: PathBuf,
     pub data: PathBuf,
     pub child: Option<Child>,
@@ -47,19 +47,19 @@
     }
 
     pub fn callers(&self) -> SocketAddr {
-        self.at(CALLERS)
+        self.at(CALLERS_PORT)
     }
 
     pub fn control(&self) -> SocketAddr {
-        self.at(CONTROL)
+        self.at(CONTROL_PORT)
     }
 
     pub fn is_ready(&self) -> bool {
-        call(self.at(READINESS), "GET", "/health", &[], "").status == 200
+        call(self.at(READINESS_PORT), "GET", "/health", &[], "").status == 200
     }
 
-    pub fn figures(&self) -> String {
-        call(self.at(METRICS), "GET", "/metrics", &[], "").text()
+    pub fn metrics(&self) -> String {
+        call(self.at(METRICS_PORT), "GET", "/metrics", &[], "").text()
     }
 
     pub fn start(&mut self) {
@@ -117,28 +117,28 @@
 
     /// Writes the complete settings file; `seeds` are control addresses of hosts to contact at
     /// start (bootstrap addresses).
-    pub fn write_settings(&self, seeds: &[SocketAddr], is_first_start: bool) {
+    pub fn write_settings(&self, bootstrap: &[SocketAddr], is_first_start: bool) {
         let behind = |port| SocketAddr::new(IpAddr::V4(self.bind_ip), port);
-        let mut listen = json!({ "inner": behind(INNER), "metrics": self.at(METRICS) });
-        if self.part != (Part::Entry { has_door: false }) {
-            listen["control"] = json!(behind(CONTROL));
+        let mut listen = json!({ "inner": behind(INNER_PORT), "metrics": self.at(METRICS_PORT) });
+        if self.role != (Role::Entry { has_control_listener: false }) {
+            listen["control"] = json!(behind(CONTROL_PORT));
         }
-        if self.part != Part::Keeper {
-            listen["callers"] = json!(self.at(CALLERS));
-            listen["readiness"] = json!(self.at(READINESS));
+        if self.role != Role::Keeper {
+            listen["callers"] = json!(self.at(CALLERS_PORT));
+            listen["readiness"] = json!(self.at(READINESS_PORT));
         }
-        let has_disk = matches!(self.part, Part::Keeper | Part::Both);
+        let has_disk = matches!(self.role, Role::Keeper | Role::EntryAndKeeper);
         let settings = json!({
             "name": self.ip.to_string(),
-            "role": if self.part == Part::Keeper { "keeper" } else { "entry" },
+            "role": if self.role == Role::Keeper { "keeper" } else { "entry" },
             "ip": self.ip,
             "data_centre": "hall",
             "data_centres": ["hall", "annex"],
             "listen": listen,
-            "seeds": seeds,
+            "seeds": bootstrap,
             "is_first_start": is_first_start,
             "data_dir": has_disk.then_some(&self.data),
-            "tolerated_losses": (seeds.len() - 1) / 2,
+            "tolerated_losses": (bootstrap.len() - 1) / 2,
             "bounds": { "heartbeat_ms": 300, "revoke_ms": 4000, "grace_s": 6.0 },
         });
         std::fs::write(&self.settings, settings.to_string()).unwrap();
@@ -151,9 +151,9 @@
     }
 
     /// Sets the bootstrap addresses for the next start, which is not the first start of the system.
-    pub fn tell_of(&self, doors: &[SocketAddr]) {
+    pub fn set_bootstrap_addresses(&self, controls: &[SocketAddr]) {
         self.change_settings_file(|settings| {
-            settings["seeds"] = doors.iter().map(ToString::to_string).collect();
+            settings["seeds"] = controls.iter().map(ToString::to_string).collect();
             settings["is_first_start"] = false.into();
         });
     }
@@ -187,7 +187,7 @@
         if std::thread::panicking() {
             let log = self.log();
             let last: Vec<_> = log.lines().rev().take(15).collect();
-            eprintln!("{:?} {}:", self.part, self.ip);
+            eprintln!("{:?} {}:", self.role, self.ip);
             last.iter().rev().for_each(|line| eprintln!("  {line}"));
         }
     }
--- a/clayplankd/tests/seeded/limited.rs
+++ b/clayplankd/tests/seeded/limited.rs
@@ -10,9 +10,9 @@
 
 use crate::answer::Answer;
 use crate::failover::leader;
+use crate::guarantees::plan_with_engines;
 use crate::host::Host;
-use crate::promises::plan_with_engines;
-use crate::system::{LIMITED, Shape, System, wait_for};
+use crate::system::{LIMITED_SERVICE, System, Topology, wait_for};
 
 /// Entry hosts.
 const ENTRIES: usize = 4;
@@ -21,7 +21,7 @@
 const LIMIT_PER_S: f64 = 1.0;
 
 /// Within this time all hosts must have received a limit.
-const CONTACT: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// Length of the time window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -39,12 +39,12 @@
 
 /// Maximum number of requests from all hosts within one window: 1.5 times the limit plus 5
 /// requests.
-pub fn most_allowed(limit_per_s: f64) -> usize {
+pub fn max_allowed(limit_per_s: f64) -> usize {
     (1.5 * limit_per_s * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
 /// Maximum number of arrivals within one window, counted from `since` on if given.
-pub fn most_in_window(limit: &SharedLimit, since: Option<Instant>) -> usize {
+pub fn max_in_window(limit: &SharedLimit, since: Option<Instant>) -> usize {
     let mut arrivals = limit.arrivals();
     arrivals.retain(|at| since.is_none_or(|since| *at >= since));
     let within = |(first, from): (usize, &Instant)| {
@@ -55,51 +55,51 @@
 
 /// Kind of the upstreams that serve the requests of a test.
 #[derive(Clone, Copy, Debug)]
-enum Served {
-    ByEngines,
-    ByService,
+enum UpstreamKind {
+    Engines,
+    Service,
 }
 
-impl Served {
+impl UpstreamKind {
     fn path(self) -> &'static str {
         match self {
-            Self::ByEngines => "/prompt/x",
-            Self::ByService => "/repeatable/x",
+            Self::Engines => "/prompt/x",
+            Self::Service => "/repeatable/x",
         }
     }
 }
 
 fn limited_plan() -> Value {
     let mut plan = plan_with_engines(2, &EngineModel::default());
-    plan["routes"][0]["targets"] = json!([{ "service": LIMITED, "weight": 1 }]);
+    plan["routes"][0]["targets"] = json!([{ "service": LIMITED_SERVICE, "weight": 1 }]);
     plan
 }
 
 /// A system with four upstreams that can set a limit.
-struct Limited {
+struct LimitedSystem {
     system: System,
-    served: Served,
+    kind: UpstreamKind,
     limits: Vec<SharedLimit>,
 }
 
-impl Limited {
-    fn start(served: Served) -> Self {
-        let system = System::start_as(Shape { entries: ENTRIES, ..Shape::default() });
+impl LimitedSystem {
+    fn start(kind: UpstreamKind) -> Self {
+        let system = System::start_with(Topology { entries: ENTRIES, ..Topology::default() });
         let limits: Vec<_> = (0..4).map(|_| SharedLimit::default()).collect();
         for (number, limit) in (1_u8..).zip(&limits) {
             let (id, last) = (format!("l{number}"), 30 + number);
-            match served {
-                Served::ByEngines => {
+            match kind {
+                UpstreamKind::Engines => {
                     let model = EngineModel::default();
                     system.start_limited_engine(&id, last, model, limit.clone());
                 }
-                Served::ByService => {
-                    system.start_limited_service(LIMITED, &id, last, limit.clone());
+                UpstreamKind::Service => {
+                    system.start_limited_service(LIMITED_SERVICE, &id, last, limit.clone());
                 }
             }
         }
         system.wait_for_plan(&limited_plan());
-        let limited = Self { system, served, limits };
+        let limited = Self { system, kind, limits };
         for entry in 0..ENTRIES {
             let mut number = 0;
             wait_for("an answer at each host", || {
@@ -111,18 +111,18 @@
     }
 
     fn is_served(&self, entry: usize, attempt: &str) -> bool {
-        let answer = self.ask(entry, attempt);
-        answer.status == 200 && answer.is_whole
+        let answer = self.request(entry, attempt);
+        answer.status == 200 && answer.is_complete
     }
 
-    fn ask(&self, entry: usize, attempt: &str) -> Answer {
+    fn request(&self, entry: usize, attempt: &str) -> Answer {
         let headers = [("x-clayplank-tokens", "2000,90")];
-        self.system.send(entry, attempt, self.served.path(), &headers)
+        self.system.send(entry, attempt, self.kind.path(), &headers)
     }
 
     /// Requests to upstreams with a limit, as logged by each host: their number, with the number of
     /// first attempts in parentheses.
-    fn told_sends(&self) -> String {
+    fn logged_sends(&self) -> String {
         let of_host = |host: &Host| {
             let lines = host.lines("Sends to an upstream with a limit");
             let first = lines.iter().filter(|line| line["sent"] == 1).count();
@@ -133,11 +133,11 @@
 
     /// Runs callers at all hosts concurrently with `main`; returns the numbers of served and sent
     /// requests.
-    fn beside_callers(&self, main: impl FnOnce()) -> (usize, usize) {
-        let is_over = AtomicBool::new(false);
+    fn run_with_callers(&self, main: impl FnOnce()) -> (usize, usize) {
+        let is_finished = AtomicBool::new(false);
         let call_on = |entry: usize, caller: usize| {
             let (mut served, mut sent) = (0, 0);
-            while !is_over.load(Ordering::SeqCst) {
+            while !is_finished.load(Ordering::SeqCst) {
                 sent += 1;
                 served += usize::from(self.is_served(entry, &format!("{entry}-{caller}-{sent}")));
                 std::thread::sleep(PAUSE);
@@ -150,7 +150,7 @@
                 .map(|(entry, caller)| scope.spawn(move || call_on(entry, caller)))
                 .collect();
             main();
-            is_over.store(true, Ordering::SeqCst);
+            is_finished.store(true, Ordering::SeqCst);
             let counts = threads.into_iter().map(|thread| thread.join().unwrap());
             counts.fold((0, 0), |(served, sent), (more, of)| (served + more, sent + of))
         })
@@ -164,100 +164,100 @@
 
 /// Sets a limit at the busiest upstream after the warm-up; returns it and the instant by which all
 /// hosts must know the limit.
-fn name_limit(limits: &[SharedLimit]) -> (&SharedLimit, Instant) {
+fn limit_busiest(limits: &[SharedLimit]) -> (&SharedLimit, Instant) {
     std::thread::sleep(WARM_UP);
     let limit = busiest(limits);
     limit.set(Some(LIMIT_PER_S));
-    (limit, Instant::now() + CONTACT)
+    (limit, Instant::now() + PROPAGATION_TIME)
 }
 
 /// Guards against hosts that each use a limit in full: an upstream with a limit of one request per
 /// second received 26 requests within four seconds.
 #[rstest]
-#[case::engines(Served::ByEngines)]
-#[case::service(Served::ByService)]
-fn hosts_told_of_a_limit_stay_below_it_together(#[case] served: Served) {
-    let limited = Limited::start(served);
+#[case::engines(UpstreamKind::Engines)]
+#[case::service(UpstreamKind::Service)]
+fn hosts_told_of_a_limit_stay_below_it_together(#[case] kind: UpstreamKind) {
+    let limited = LimitedSystem::start(kind);
     let mut most = 0;
-    let (served, sent) = limited.beside_callers(|| {
-        let (limit, since) = name_limit(&limited.limits);
-        std::thread::sleep(CONTACT + RUN);
-        most = most_in_window(limit, Some(since));
+    let (served, sent) = limited.run_with_callers(|| {
+        let (limit, since) = limit_busiest(&limited.limits);
+        std::thread::sleep(PROPAGATION_TIME + RUN);
+        most = max_in_window(limit, Some(since));
     });
-    println!("{}", limited.told_sends());
-    println!("{most} in a span, {} allowed; {served} of {sent} served", most_allowed(LIMIT_PER_S));
-    assert!(most <= most_allowed(LIMIT_PER_S), "{most} in a span of {WINDOW:?}");
+    println!("{}", limited.logged_sends());
+    println!("{most} in a span, {} allowed; {served} of {sent} served", max_allowed(LIMIT_PER_S));
+    assert!(most <= max_allowed(LIMIT_PER_S), "{most} in a span of {WINDOW:?}");
     assert!(served * 100 >= sent * 98, "{served} of {sent} were served, beside upstreams at rest");
 }
 
 /// The leader is killed while an upstream has a limit, which the next leader must know.
 #[rstest]
-#[case::engines(Served::ByEngines)]
-#[case::service(Served::ByService)]
-fn a_limit_is_kept_also_when_the_leader_changes(#[case] served: Served) {
-    let mut limited = Limited::start(served);
+#[case::engines(UpstreamKind::Engines)]
+#[case::service(UpstreamKind::Service)]
+fn a_limit_survives_a_change_of_leader(#[case] kind: UpstreamKind) {
+    let mut limited = LimitedSystem::start(kind);
     let first = leader(&limited.system);
     let mut most = 0;
-    let (served, sent) = limited.beside_callers(|| {
-        let (limit, since) = name_limit(&limited.limits);
-        std::thread::sleep(CONTACT);
+    let (served, sent) = limited.run_with_callers(|| {
+        let (limit, since) = limit_busiest(&limited.limits);
+        std::thread::sleep(PROPAGATION_TIME);
         limited.system.keepers[first].signal("-KILL");
         std::thread::sleep(RUN);
-        most = most_in_window(limit, Some(since));
+        most = max_in_window(limit, Some(since));
     });
-    println!("{most} in a span, {} allowed; {served} of {sent} served", most_allowed(LIMIT_PER_S));
+    println!("{most} in a span, {} allowed; {served} of {sent} served", max_allowed(LIMIT_PER_S));
     limited.system.keepers[first].kill();
-    assert!(most <= most_allowed(LIMIT_PER_S), "{most} in a span of {WINDOW:?}");
+    assert!(most <= max_allowed(LIMIT_PER_S), "{most} in a span of {WINDOW:?}");
     assert!(served * 10 >= sent * 9, "{served} of {sent} were served");
 }
 
 /// All upstreams have a limit far below the request rate. Their capacity is used, and excess
 /// requests are refused immediately with a `retry-after` time.
 #[rstest]
-#[case::engines(Served::ByEngines)]
-#[case::service(Served::ByService)]
-fn what_upstreams_with_a_limit_take_is_used(#[case] served: Served) {
-    const EACH_PER_S: f64 = 2.0;
-    let limited = Limited::start(served);
+#[case::engines(UpstreamKind::Engines)]
+#[case::service(UpstreamKind::Service)]
+fn what_upstreams_with_a_limit_take_is_used(#[case] kind: UpstreamKind) {
+    const EACH_LIMIT_PER_S: f64 = 2.0;
+    let limited = LimitedSystem::start(kind);
     let mut most = Vec::new();
     let mut refused = Answer::default();
-    let (served, sent) = limited.beside_callers(|| {
+    let (served, sent) = limited.run_with_callers(|| {
         std::thread::sleep(WARM_UP);
-        limited.limits.iter().for_each(|limit| limit.set(Some(EACH_PER_S)));
-        let since = Instant::now() + CONTACT;
-        std::thread::sleep(CONTACT);
+        limited.limits.iter().for_each(|limit| limit.set(Some(EACH_LIMIT_PER_S)));
+        let since = Instant::now() + PROPAGATION_TIME;
+        std::thread::sleep(PROPAGATION_TIME);
         let mut number = 0;
         wait_for("a refusal", || {
             number += 1;
-            refused = limited.ask(0, &format!("refused-{number}"));
+            refused = limited.request(0, &format!("refused-{number}"));
             refused.status != 200
         });
         std::thread::sleep(RUN);
-        most = limited.limits.iter().map(|limit| most_in_window(limit, Some(since))).collect();
+        most = limited.limits.iter().map(|limit| max_in_window(limit, Some(since))).collect();
     });
-    let run_s = (CONTACT + RUN).as_secs_f64();
-    let taken = EACH_PER_S * limited.limits.len() as f64 * run_s;
+    let run_s = (PROPAGATION_TIME + RUN).as_secs_f64();
+    let taken = EACH_LIMIT_PER_S * limited.limits.len() as f64 * run_s;
     println!("{most:?} in a span; {served} of {sent} served, {taken} could be");
-    assert!(most.iter().all(|most| *most <= most_allowed(EACH_PER_S)), "{most:?} in a span");
+    assert!(most.iter().all(|most| *most <= max_allowed(EACH_LIMIT_PER_S)), "{most:?} in a span");
     assert!(served as f64 > taken / 2.0, "{served} of {taken} that could be were served");
     assert_eq!(refused.status, 503, "{}", refused.text());
     assert!(refused.header("retry-after").is_some());
 }
 
 #[rstest]
-#[case::engines(Served::ByEngines)]
-#[case::service(Served::ByService)]
-fn a_limit_that_is_lifted_holds_no_longer(#[case] served: Served) {
-    const IN_A_ROW: usize = 40;
-    let limited = Limited::start(served);
+#[case::engines(UpstreamKind::Engines)]
+#[case::service(UpstreamKind::Service)]
+fn a_removed_limit_no_longer_applies(#[case] kind: UpstreamKind) {
+    const CONSECUTIVE_SERVED: usize = 40;
+    let limited = LimitedSystem::start(kind);
     limited.limits.iter().for_each(|limit| limit.set(Some(LIMIT_PER_S)));
-    limited.beside_callers(|| std::thread::sleep(CONTACT));
+    limited.run_with_callers(|| std::thread::sleep(PROPAGATION_TIME));
     limited.limits.iter().for_each(|limit| limit.set(None));
-    let (mut number, mut row) = (0, 0);
+    let (mut number, mut streak) = (0, 0);
     wait_for("requests that are all served", || {
         number += 1;
         let is_served = limited.is_served(number % ENTRIES, &format!("after-{number}"));
-        row = if is_served { row + 1 } else { 0 };
-        row >= IN_A_ROW
+        streak = if is_served { streak + 1 } else { 0 };
+        streak >= CONSECUTIVE_SERVED
     });
 }
--- a/clayplankd/tests/seeded/main.rs
+++ b/clayplankd/tests/seeded/main.rs
@@ -6,18 +6,18 @@
 
 #[path = "../harness/answer.rs"]
 mod answer;
-mod both;
 mod client;
+mod combined_roles;
 mod cordons;
 mod crashing;
 mod crashing_upstreams;
 mod failover;
+mod guarantees;
 mod host;
 mod limited;
-mod promises;
 mod proxy;
 mod replacement;
-mod returning;
 mod soak;
 mod system;
+mod upstream_restarts;
 mod upstreams;
--- a/clayplankd/tests/seeded/proxy.rs
+++ b/clayplankd/tests/seeded/proxy.rs
@@ -20,11 +20,11 @@
     /// Closes all connections, and new ones immediately.
     Reset,
     /// Blocks both directions without closing connections.
-    Silence,
+    Blackhole,
     /// Blocks the direction to the process behind the proxy.
-    CutIn,
+    BlockInbound,
     /// Blocks the direction from the process behind the proxy.
-    CutOut,
+    BlockOutbound,
 }
 
 /// Direction of data through the proxy.
@@ -35,12 +35,12 @@
 }
 
 impl Fault {
-    fn holds(self, direction: Direction) -> bool {
+    fn blocks(self, direction: Direction) -> bool {
         match self {
             Self::None | Self::Delay(_) | Self::Reset => false,
-            Self::Silence => true,
-            Self::CutIn => direction == Direction::In,
-            Self::CutOut => direction == Direction::Out,
+            Self::Blackhole => true,
+            Self::BlockInbound => direction == Direction::In,
+            Self::BlockOutbound => direction == Direction::Out,
         }
     }
 }
@@ -99,7 +99,7 @@
 
 /// Waits while the fault blocks this direction.
 async fn wait_until_open(fault: &mut watch::Receiver<Fault>, direction: Direction) {
-    fault.wait_for(|fault| !fault.holds(direction)).await.ok();
+    fault.wait_for(|fault| !fault.blocks(direction)).await.ok();
 }
 
 async fn copy(
@@ -110,8 +110,8 @@
 ) {
     let mut buffer = vec![0; 16 << 10];
     while let Ok(size) = from.read(&mut buffer).await {
-        let held = *fault.borrow();
-        if let Fault::Delay(delay_ms) = held {
+        let current = *fault.borrow();
+        if let Fault::Delay(delay_ms) = current {
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
         wait_until_open(&mut fault, direction).await;
--- a/clayplankd/tests/seeded/replacement.rs
+++ b/clayplankd/tests/seeded/replacement.rs
@@ -17,21 +17,21 @@
 
 use crate::client::call;
 use crate::failover::leader;
-use crate::host::{CONTROL, Host, INNER};
-use crate::system::{Shape, System, plan, publish, wait_for};
+use crate::host::{CONTROL_PORT, Host, INNER_PORT};
+use crate::system::{System, Topology, plan, publish, wait_for};
 
 /// Time within which the keepers must have repaired one loss before the next one.
-pub const CATCH_UP: Duration = Duration::from_secs(4);
+pub const REPAIR_TIME: Duration = Duration::from_secs(4);
 
 /// Whether a keeper knows from a committed entry that it is itself a voter.
 fn votes(keeper: &Host) -> bool {
-    let told = keeper.lines("The keepers' members changed");
-    let own = format!("{}#", keeper.ip);
-    let names_own = |line: &Value| line["voters"].as_str().unwrap_or_default().contains(&own);
-    told.last().is_some_and(|line| line["is_committed"] == true && names_own(line))
+    let changes = keeper.lines("The keepers' members changed");
+    let local = format!("{}#", keeper.ip);
+    let names_local = |line: &Value| line["voters"].as_str().unwrap_or_default().contains(&local);
+    changes.last().is_some_and(|line| line["is_committed"] == true && names_local(line))
 }
 
-fn held_version(keeper: &Host) -> Option<u64> {
+fn confirmed_plan_version(keeper: &Host) -> Option<u64> {
     let answer = call(keeper.control(), "GET", "/v1/plan", &[], "");
     serde_json::from_str::<Value>(&answer.text()).ok()?["version"].as_u64()
 }
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum End {
+enum Stop {
     /// SIGTERM, once the new keeper votes.
     Planned,
     /// SIGKILL, without notice to the other keepers.
@@ -57,26 +57,29 @@
 }
 
 #[rstest]
-#[case::a_follower_is_stopped(End::Planned, false)]
-#[case::the_leader_is_stopped(End::Planned, true)]
-#[case::a_follower_dies(End::Sudden, false)]
-fn two_lost_disks_after_a_replacement_are_survived(#[case] end: End, #[case] ends_leader: bool) {
-    let mut system = System::start_as(Shape { keepers: 5, entries: 1, ..Shape::default() });
+#[case::a_follower_is_stopped(Stop::Planned, false)]
+#[case::the_leader_is_stopped(Stop::Planned, true)]
+#[case::a_follower_is_killed(Stop::Sudden, false)]
+fn two_lost_disks_after_a_replacement_are_tolerated(
+    #[case] stop: Stop,
+    #[case] stops_leader: bool,
+) {
+    let mut system = System::start_with(Topology { keepers: 5, entries: 1, ..Topology::default() });
     wait_for("five voters", || system.keepers.iter().all(votes));
-    let newcomer = system.add_keeper();
-    wait_for("a sixth keeper that votes", || votes(&system.keepers[newcomer]));
-    let former = match ends_leader {
+    let added_keeper = system.add_keeper();
+    wait_for("a sixth keeper that votes", || votes(&system.keepers[added_keeper]));
+    let former = match stops_leader {
         true => leader(&system),
-        false => (leader(&system) + 1) % newcomer,
+        false => (leader(&system) + 1) % added_keeper,
     };
-    match end {
-        End::Planned => {
+    match stop {
+        Stop::Planned => {
             system.keepers[former].terminate();
             wait_for("the end of the former keeper", || system.keepers[former].has_ended());
         }
-        End::Sudden => {
+        Stop::Sudden => {
             system.keepers[former].kill();
-            std::thread::sleep(CATCH_UP);
+            std::thread::sleep(REPAIR_TIME);
         }
     }
     system.keepers.remove(former);
@@ -86,7 +89,7 @@
     lose_two_disks(&mut system, [1, 4]);
 
     wait_for("the plan that was acknowledged", || {
-        system.keepers.iter().any(|keeper| held_version(keeper) == Some(2))
+        system.keepers.iter().any(|keeper| confirmed_plan_version(keeper) == Some(2))
     });
     assert_eq!(publish(&system.keepers[0], &plan(3)).status, 200);
 }
@@ -94,7 +97,7 @@
 /// Tolerating two lost disks takes three copies. A plan stored by two keepers only would be lost
 /// with these two.
 #[test]
-fn a_plan_is_acknowledged_only_once_it_survives_the_losses_that_are_tolerated() {
+fn a_plan_is_acknowledged_only_once_it_survives_the_tolerated_losses() {
     let mut system = System::start();
     for keeper in &mut system.keepers {
         keeper.kill();
@@ -119,59 +122,61 @@
 
 /// Sets entry hosts as the only bootstrap addresses of a keeper. A host has at most three bootstrap
 /// addresses, which need not be keepers, and may be entry hosts without a disk.
-fn tell_of_entry_hosts_alone(system: &System, keeper: &Host) {
-    let doors: Vec<_> = system.entries.iter().map(Host::control).collect();
-    keeper.tell_of(&doors);
+fn bootstrap_from_entries(system: &System, keeper: &Host) {
+    let controls: Vec<_> = system.entries.iter().map(Host::control).collect();
+    keeper.set_bootstrap_addresses(&controls);
 }
 
-fn with_doors() -> System {
-    let has_doors = Shape { keepers: 3, entries: 3, all_serve: true, ..Shape::default() };
-    System::start_as(has_doors)
+fn start_with_control_listeners() -> System {
+    let topology =
+        Topology { keepers: 3, entries: 3, has_combined_roles: true, ..Topology::default() };
+    System::start_with(topology)
 }
 
 /// Guards against a keeper that never joins: after a replacement or a lost disk, a keeper logged
 /// `Started` and nothing more, because its bootstrap addresses were entry hosts, which did not
 /// answer peers at all.
 #[test]
-fn a_keeper_that_is_told_of_entry_hosts_alone_finds_the_others() {
-    let mut system = with_doors();
+fn a_keeper_bootstrapped_from_entry_hosts_finds_the_others() {
+    let mut system = start_with_control_listeners();
     wait_for("three voters", || system.keepers.iter().all(votes));
     system.keepers[2].kill();
     std::fs::remove_dir_all(&system.keepers[2].data).unwrap();
     std::fs::remove_file(system.keepers[2].settings.with_extension("log")).unwrap();
-    tell_of_entry_hosts_alone(&system, &system.keepers[2]);
+    bootstrap_from_entries(&system, &system.keepers[2]);
     system.keepers[2].start();
     wait_for("a keeper with an empty disk that votes", || votes(&system.keepers[2]));
 }
 
 /// All bootstrap addresses belong to hosts that have just started and do not know the keepers yet.
 #[test]
-fn hosts_that_are_told_of_entry_hosts_alone_find_the_keepers() {
-    let mut system = with_doors();
+fn hosts_bootstrapped_from_entry_hosts_find_the_keepers() {
+    let mut system = start_with_control_listeners();
     for host in system.entries.iter().chain(&system.keepers) {
-        tell_of_entry_hosts_alone(&system, host);
+        bootstrap_from_entries(&system, host);
     }
     let all = system.entries.iter_mut().chain(&mut system.keepers);
     all.for_each(|host| {
         host.kill();
         host.start();
     });
-    system.beat_until_served();
+    system.send_heartbeats_until_served();
     // Now only the entry hosts restart.
     system.entries.iter_mut().for_each(|host| {
         host.kill();
         host.start();
     });
-    system.beat_until_served();
+    system.send_heartbeats_until_served();
 }
 
 /// Restarts all hosts, each with only the entry hosts that `seeds_of` returns as bootstrap
 /// addresses, and waits until all entry hosts are ready.
-fn restart_told_of_entry_hosts(system: &mut System, seeds_of: impl Fn(usize) -> Vec<usize>) {
+fn restart_with_bootstrap_entries(system: &mut System, bootstrap_of: impl Fn(usize) -> Vec<usize>) {
     let all = system.keepers.iter().chain(&system.entries);
     for (number, host) in all.enumerate() {
-        let seeds = seeds_of(number).into_iter().map(|entry| system.entries[entry].control());
-        host.tell_of(&seeds.collect::<Vec<_>>());
+        let bootstrap =
+            bootstrap_of(number).into_iter().map(|entry| system.entries[entry].control());
+        host.set_bootstrap_addresses(&bootstrap.collect::<Vec<_>>());
     }
     system.restart_all();
     wait_for("a confirmed plan at all hosts", || system.entries.iter().all(Host::is_ready));
@@ -179,27 +184,31 @@
 
 /// Hosts that no keeper contacts have to query their peers for the keepers.
 #[rstest]
-#[case::all_of_the_same_three(|_| vec![0, 1, 2])]
-#[case::keepers_of_others_than_hosts(|host| if host < 3 { vec![0, 1, 2] } else { vec![3, 4, 5] })]
-#[case::each_of_the_next_three(|host| if host < 3 { vec![0] } else { vec![host % 7, (host + 1) % 7] })]
-fn hosts_to_which_no_keeper_makes_itself_known_find_the_keepers(
-    #[case] seeds_of: fn(usize) -> Vec<usize>,
-) {
-    let shape = Shape { keepers: 3, entries: 7, all_serve: true, ..Shape::default() };
-    let mut system = System::start_as(shape);
-    restart_told_of_entry_hosts(&mut system, seeds_of);
+#[case::all_from_the_same_three(|_| vec![0, 1, 2])]
+#[case::keepers_from_others_than_hosts(|host| if host < 3 { vec![0, 1, 2] } else { vec![3, 4, 5] })]
+#[case::each_from_the_next_two(|host| if host < 3 { vec![0] } else { vec![host % 7, (host + 1) % 7] })]
+fn hosts_that_no_keeper_contacts_find_the_keepers(#[case] bootstrap_of: fn(usize) -> Vec<usize>) {
+    let topology =
+        Topology { keepers: 3, entries: 7, has_combined_roles: true, ..Topology::default() };
+    let mut system = System::start_with(topology);
+    restart_with_bootstrap_entries(&mut system, bootstrap_of);
 }
 
 /// One bootstrap address accepts connections without answering, and nothing listens at another.
 #[test]
-fn hosts_told_of_one_that_is_silent_and_one_that_is_gone_find_the_keepers() {
-    let shape = Shape { keepers: 3, entries: 3, all_serve: true, ..Shape::default() };
-    let mut system = System::start_as(shape);
-    let silent = SocketAddr::new(IpAddr::V4(system.upstream_ip(91)), INNER);
-    let _listener = TcpListener::bind(silent).unwrap();
-    let of = |last| SocketAddr::new(IpAddr::V4(system.upstream_ip(last)), CONTROL);
-    let seeds = [of(91), of(92), system.entries[0].control()];
-    system.keepers.iter().chain(&system.entries).for_each(|host| host.tell_of(&seeds));
+fn hosts_find_the_keepers_with_an_unresponsive_and_a_departed_bootstrap_host() {
+    let topology =
+        Topology { keepers: 3, entries: 3, has_combined_roles: true, ..Topology::default() };
+    let mut system = System::start_with(topology);
+    let unresponsive = SocketAddr::new(IpAddr::V4(system.upstream_ip(91)), INNER_PORT);
+    let _listener = TcpListener::bind(unresponsive).unwrap();
+    let of = |last| SocketAddr::new(IpAddr::V4(system.upstream_ip(last)), CONTROL_PORT);
+    let bootstrap = [of(91), of(92), system.entries[0].control()];
+    system
+        .keepers
+        .iter()
+        .chain(&system.entries)
+        .for_each(|host| host.set_bootstrap_addresses(&bootstrap));
     system.restart_all();
     wait_for("a confirmed plan at all hosts", || system.entries.iter().all(Host::is_ready));
 }
@@ -207,35 +216,40 @@
 /// The addresses of replaced keepers stay unresponsive, or may belong to other machines later, so
 /// hosts must forget them.
 #[test]
-fn hosts_count_on_keepers_that_were_replaced_no_more() {
-    let mut system = System::start_as(Shape { keepers: 3, entries: 2, ..Shape::default() });
+fn hosts_forget_replaced_keepers() {
+    let mut system = System::start_with(Topology { keepers: 3, entries: 2, ..Topology::default() });
     wait_for("three voters", || system.keepers.iter().all(votes));
-    let newcomer = system.add_keeper();
-    wait_for("a newcomer that votes", || votes(&system.keepers[newcomer]));
+    let added_keeper = system.add_keeper();
+    wait_for("a newcomer that votes", || votes(&system.keepers[added_keeper]));
     system.keepers[0].terminate();
     wait_for("the end of the replaced keeper", || system.keepers[0].has_ended());
     wait_for("three keepers that are known", || {
-        let knows_three = |host: &Host| host.figures().contains("clayplank_follow_keepers 3\n");
+        let knows_three = |host: &Host| host.metrics().contains("clayplank_follow_keepers 3\n");
         system.entries.iter().all(knows_three)
     });
 }
 
 /// Only one bootstrap address is still in use, and its host is not a keeper.
 #[test]
-fn hosts_find_the_keepers_after_all_that_they_were_told_of_were_replaced() {
-    let shape = Shape { keepers: 3, entries: 2, all_serve: true, ..Shape::default() };
-    let mut system = System::start_as(shape);
+fn hosts_find_the_keepers_after_all_bootstrap_keepers_were_replaced() {
+    let topology =
+        Topology { keepers: 3, entries: 2, has_combined_roles: true, ..Topology::default() };
+    let mut system = System::start_with(topology);
     wait_for("three voters", || system.keepers.iter().all(votes));
-    let gone = [system.keepers[0].control(), system.keepers[1].control()];
-    for _ in 0..shape.keepers {
-        let newcomer = system.add_keeper();
-        wait_for("a newcomer that votes", || votes(&system.keepers[newcomer]));
+    let replaced = [system.keepers[0].control(), system.keepers[1].control()];
+    for _ in 0..topology.keepers {
+        let added_keeper = system.add_keeper();
+        wait_for("a newcomer that votes", || votes(&system.keepers[added_keeper]));
         system.keepers[0].terminate();
         wait_for("the end of the replaced keeper", || system.keepers[0].has_ended());
         system.keepers.remove(0);
     }
-    let seeds = [gone[0], gone[1], system.entries[0].control()];
-    system.keepers.iter().chain(&system.entries).for_each(|host| host.tell_of(&seeds));
+    let bootstrap = [replaced[0], replaced[1], system.entries[0].control()];
+    system
+        .keepers
+        .iter()
+        .chain(&system.entries)
+        .for_each(|host| host.set_bootstrap_addresses(&bootstrap));
     system.entries[1].kill();
     system.entries[1].start();
     wait_for("a confirmed plan at one host", || system.entries[1].is_ready());
@@ -245,9 +259,14 @@
 
 /// Only one of the bootstrap addresses at the first start belongs to a keeper.
 #[test]
-fn a_first_start_with_entry_hosts_among_the_seeds_begins() {
-    let shape =
-        Shape { keepers: 3, entries: 2, all_serve: true, names_entries: true, ..Shape::default() };
-    let system = System::start_as(shape);
+fn a_first_start_with_entry_hosts_among_the_bootstrap_addresses_succeeds() {
+    let topology = Topology {
+        keepers: 3,
+        entries: 2,
+        has_combined_roles: true,
+        bootstraps_from_entries: true,
+        ..Topology::default()
+    };
+    let system = System::start_with(topology);
     wait_for("three voters", || system.keepers.iter().all(votes));
 }
--- a/clayplankd/tests/seeded/soak/crashing.rs
+++ b/clayplankd/tests/seeded/soak/crashing.rs
@@ -17,7 +17,7 @@
 
 /// Once one host refuses the request, all others must do so within the lease of their settings (3.2
 /// s) plus the longest pause of a process (4 s).
-const KNOWN_TO_ALL: Duration = Duration::from_secs(8);
+const PROPAGATION_TIME: Duration = Duration::from_secs(8);
 
 /// Instant of the first refusal of the request because it terminates upstreams.
 #[derive(Debug, Default)]
@@ -33,7 +33,7 @@
 pub fn run_crashing(shared: &Shared, refused: &Refused, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     for number in 0_u64.. {
-        if shared.is_over.load(Ordering::SeqCst) {
+        if shared.is_finished.load(Ordering::SeqCst) {
             return;
         }
         let entry = rng.random_range(0..ENTRIES);
@@ -47,7 +47,7 @@
 
 /// Checks that the request was quarantined at all hosts, and that other requests to its service are
 /// served.
-pub fn check_held_back(shared: &Shared, fleet: &Fleet, refused: &Refused) -> Vec<String> {
+pub fn check_quarantine(shared: &Shared, fleet: &Fleet, refused: &Refused) -> Vec<String> {
     for entry in 0..ENTRIES {
         let mut number = 0;
         wait_for("service where a request ended upstreams", || {
@@ -58,8 +58,8 @@
     let Some(refused) = *refused.0.lock().unwrap() else {
         return vec!["the crashing request was never held back".to_owned()];
     };
-    let story = fleet.story();
-    let late = story.begun.iter().filter(|begun| **begun > refused + KNOWN_TO_ALL);
+    let events = fleet.events();
+    let late = events.begun.iter().filter(|begun| **begun > refused + PROPAGATION_TIME);
     late.map(|begun| {
         let after_ms = begun.duration_since(refused).as_millis();
         format!("the crashing request reached an upstream {after_ms} ms after it was held back")
--- a/clayplankd/tests/seeded/soak/limited.rs
+++ b/clayplankd/tests/seeded/soak/limited.rs
@@ -7,8 +7,8 @@
 
 use super::run::Shared;
 use super::schedule::ENTRIES;
-use crate::limited::{most_allowed, most_in_window};
-use crate::system::{LIMITED, System, call_with_key};
+use crate::limited::{max_allowed, max_in_window};
+use crate::system::{LIMITED_SERVICE, System, call_with_key};
 
 /// Limit of each upstream in requests per second.
 const LIMIT_PER_S: f64 = 2.0;
@@ -22,7 +22,12 @@
     let limits = [SharedLimit::default(), SharedLimit::default()];
     for (number, limit) in (1_u8..).zip(&limits) {
         limit.set(Some(LIMIT_PER_S));
-        system.start_limited_service(LIMITED, &format!("l{number}"), 30 + number, limit.clone());
+        system.start_limited_service(
+            LIMITED_SERVICE,
+            &format!("l{number}"),
+            30 + number,
+            limit.clone(),
+        );
     }
     limits
 }
@@ -30,7 +35,7 @@
 /// Sends requests to one entry host until the run is finished.
 pub fn run_limited(shared: &Shared, entry: usize, seed: u64) {
     for number in 0_u64.. {
-        if shared.is_over.load(Ordering::SeqCst) {
+        if shared.is_finished.load(Ordering::SeqCst) {
             return;
         }
         let address = shared.system.lock().unwrap().entries[entry].callers();
@@ -43,8 +48,8 @@
 /// Checks that each upstream received no more than its limit allows. A host that restarts or
 /// resumes may send one request before it has received the limit.
 pub fn check_limits(limits: &[SharedLimit]) -> Vec<String> {
-    let allowed = most_allowed(LIMIT_PER_S) + ENTRIES;
-    let most = limits.iter().map(|limit| most_in_window(limit, None));
+    let allowed = max_allowed(LIMIT_PER_S) + ENTRIES;
+    let most = limits.iter().map(|limit| max_in_window(limit, None));
     most.filter(|most| *most > allowed)
         .map(|most| {
             format!(
--- a/clayplankd/tests/seeded/soak/mod.rs
+++ b/clayplankd/tests/seeded/soak/mod.rs
@@ -9,18 +9,18 @@
 mod crashing;
 mod limited;
 mod operators;
-mod play;
 mod record;
 mod run;
+mod run_schedule;
 mod schedule;
-mod told;
+mod setup;
 
 use run::run_seed;
 
 /// Seeds of a default test run, and every seed that once failed, with its cause.
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-fn chosen_seeds() -> Vec<u64> {
+fn selected_seeds() -> Vec<u64> {
     let Ok(text) = std::env::var("CLAYPLANK_SOAK_SEEDS") else {
         return SEEDS.to_vec();
     };
@@ -31,13 +31,13 @@
 }
 
 #[test]
-fn promises_hold_under_random_faults() {
+fn guarantees_hold_under_random_faults() {
     let mut failed = Vec::new();
-    for seed in chosen_seeds() {
+    for seed in selected_seeds() {
         match run_seed(seed) {
             Ok(summary) => println!("soak seed {seed}: {summary}"),
-            Err(broken) => {
-                println!("soak seed {seed}: BROKEN\n{broken}");
+            Err(violations) => {
+                println!("soak seed {seed}: BROKEN\n{violations}");
                 failed.push(seed);
             }
         }
--- a/clayplankd/tests/seeded/soak/operators.rs
+++ b/clayplankd/tests/seeded/soak/operators.rs
@@ -11,21 +11,21 @@
 use crate::system::plan;
 
 /// Heartbeat interval of the upstreams.
-const BEAT_EVERY: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Pause of an operator between two plans.
-const PLAN_EVERY: Duration = Duration::from_millis(400);
+const PLAN_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Sends heartbeats of the upstreams until the run is finished.
 pub fn run_heartbeats(shared: &Shared) {
     let mut sequence = 1_000_000;
-    while !shared.is_over.load(Ordering::SeqCst) {
+    while !shared.is_finished.load(Ordering::SeqCst) {
         sequence += 1;
         let calls = shared.system.lock().unwrap().heartbeat_calls(sequence);
         for (address, path, body) in calls {
             std::thread::spawn(move || call(address, "PUT", &path, &[], &body));
         }
-        std::thread::sleep(BEAT_EVERY);
+        std::thread::sleep(HEARTBEAT_INTERVAL);
     }
 }
 
@@ -33,7 +33,7 @@
 /// even and the other odd versions.
 pub fn run_operator(shared: &Shared, number: u64) {
     for round in 1_u64.. {
-        if shared.is_over.load(Ordering::SeqCst) {
+        if shared.is_finished.load(Ordering::SeqCst) {
             return;
         }
         let version = 2 * round + number;
@@ -47,7 +47,7 @@
             }
         }
         read_back(shared, control);
-        std::thread::sleep(PLAN_EVERY);
+        std::thread::sleep(PLAN_INTERVAL);
     }
 }
 
@@ -56,13 +56,13 @@
 pub fn read_back(shared: &Shared, control: SocketAddr) {
     let acknowledged = shared.acknowledged.load(Ordering::SeqCst);
     let answer = call(control, "GET", "/v1/plan", &[], "");
-    if answer.status != 200 || !answer.is_whole {
+    if answer.status != 200 || !answer.is_complete {
         return;
     }
     let read: Value = serde_json::from_str(&answer.text()).unwrap();
     let version = read["version"].as_u64().unwrap();
     if version < acknowledged {
-        shared.record.note_broken(format!(
+        shared.record.record_violation(format!(
             "{control} showed plan {version} after {acknowledged} was acknowledged"
         ));
     }
--- a/clayplankd/tests/seeded/soak/record.rs
+++ b/clayplankd/tests/seeded/soak/record.rs
@@ -15,48 +15,48 @@
 
 /// One request and its result; `answer` is `None` if the connection gave no answer.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ObservedRequest {
     pub attempt: String,
     pub kind: Kind,
     pub entry: usize,
     pub sent_at: Instant,
     pub ended_at: Instant,
     /// Fault that the request asked its upstream to show.
-    pub wish: Option<&'static str>,
+    pub requested_fault: Option<&'static str>,
     pub answer: Option<Answer>,
 }
 
 /// Recorded requests and violated guarantees.
 #[derive(Debug, Default)]
 pub struct Record {
-    seen: Mutex<Vec<Seen>>,
-    broken: Mutex<Vec<String>>,
+    observed: Mutex<Vec<ObservedRequest>>,
+    violations: Mutex<Vec<String>>,
 }
 
 impl Record {
-    pub fn push(&self, seen: Seen) {
-        self.seen.lock().unwrap().push(seen);
+    pub fn push(&self, observed: ObservedRequest) {
+        self.observed.lock().unwrap().push(observed);
     }
 
-    pub fn note_broken(&self, promise: String) {
-        self.broken.lock().unwrap().push(promise);
+    pub fn record_violation(&self, promise: String) {
+        self.violations.lock().unwrap().push(promise);
     }
 
-    pub fn take(self) -> (Vec<Seen>, Vec<String>) {
-        (self.seen.into_inner().unwrap(), self.broken.into_inner().unwrap())
+    pub fn take(self) -> (Vec<ObservedRequest>, Vec<String>) {
+        (self.observed.into_inner().unwrap(), self.violations.into_inner().unwrap())
     }
 }
 
 /// Guarantee violated by this request alone; `runs` is the number of times upstreams ran it.
-pub fn check_seen(seen: &Seen, runs: usize) -> Option<String> {
-    let Seen { attempt, kind, .. } = seen;
+pub fn check_observed(observed: &ObservedRequest, runs: usize) -> Option<String> {
+    let ObservedRequest { attempt, kind, .. } = observed;
     if *kind == Kind::Once && runs > 1 {
         return Some(format!("{attempt} ran {runs} times, and may run once"));
     }
-    let answer = seen.answer.as_ref()?;
+    let answer = observed.answer.as_ref()?;
     match answer.status {
-        200 if !answer.is_whole => None,
-        200 if is_own(seen, answer) => None,
+        200 if !answer.is_complete => None,
+        200 if is_expected(observed, answer) => None,
         200 => Some(format!("{attempt} got a whole answer that is not its own: {}", answer.text())),
         503 if runs > 0 && *kind == Kind::Once => {
             Some(format!("{attempt} was told that it had not run, and ran {runs} times"))
@@ -66,9 +66,9 @@
     }
 }
 
-fn is_own(seen: &Seen, answer: &Answer) -> bool {
-    match seen.kind {
-        Kind::Repeatable | Kind::Once => answer.text() == seen.attempt,
+fn is_expected(observed: &ObservedRequest, answer: &Answer) -> bool {
+    match observed.kind {
+        Kind::Repeatable | Kind::Once => answer.text() == observed.attempt,
         Kind::Stream { events } => {
             let text = answer.text();
             let ids =
@@ -79,7 +79,7 @@
 }
 
 /// Whether a request that ran got no complete answer although it asked for no fault.
-pub fn is_cut_off(seen: &Seen, runs: usize) -> bool {
-    let is_whole = seen.answer.as_ref().is_some_and(|answer| answer.is_whole);
-    runs > 0 && seen.wish.is_none() && !is_whole
+pub fn is_interrupted(observed: &ObservedRequest, runs: usize) -> bool {
+    let is_complete = observed.answer.as_ref().is_some_and(|answer| answer.is_complete);
+    runs > 0 && observed.requested_fault.is_none() && !is_complete
 }
--- a/clayplankd/tests/seeded/soak/run.rs
+++ b/clayplankd/tests/seeded/soak/run.rs
@@ -8,17 +8,17 @@
 use std::time::{Duration, Instant};
 
 use super::callers::run_caller;
-use super::checks::{check_cut_off, check_missed, check_plan, wait_until_served};
-use super::crashing::{Refused, UPSTREAMS, check_held_back, run_crashing};
+use super::checks::{check_interrupted, check_missed_plans, check_plan, wait_until_served};
+use super::crashing::{Refused, UPSTREAMS, check_quarantine, run_crashing};
 use super::limited::{check_limits, run_limited, start_limited};
 use super::operators::{run_heartbeats, run_operator};
-use super::play::{play, play_closing};
-use super::record::{Record, check_seen};
-use super::schedule::{ENTRIES, Step, draw_closing, draw_schedule};
-use super::told::draw_setup;
+use super::record::{Record, check_observed};
+use super::run_schedule::{run_final_restart, run_schedule};
+use super::schedule::{ENTRIES, Step, draw_final_disk_losses, draw_schedule};
+use super::setup::draw_setup;
 use crate::crashing_upstreams::Fleet;
 use crate::host::Host;
-use crate::replacement::CATCH_UP;
+use crate::replacement::REPAIR_TIME;
 use crate::system::System;
 
 /// Period without faults in which plans continue to change.
@@ -31,7 +31,7 @@
 pub struct Shared {
     pub system: Mutex<System>,
     pub record: Record,
-    pub is_over: AtomicBool,
+    pub is_finished: AtomicBool,
     /// Highest acknowledged plan version.
     pub acknowledged: AtomicU64,
     /// Versions that were the highest ones when they were acknowledged, in that order.
@@ -46,9 +46,9 @@
 }
 
 /// Stops all threads of a run when dropped, also if a check panics.
-struct EndsRun<'a>(&'a AtomicBool);
+struct StopRunOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for EndsRun<'_> {
+impl Drop for StopRunOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
@@ -58,9 +58,9 @@
 pub fn run_seed(seed: u64) -> Result<String, String> {
     let schedule = draw_schedule(seed);
     let setup = draw_setup(seed);
-    let mut system = System::start_as(setup.shape());
+    let mut system = System::start_with(setup.topology());
     // From now on a keeper with an empty disk joins the existing ones.
-    setup.tell(&mut system, seed);
+    setup.write_restart_settings(&mut system, seed);
     let fleet = Fleet::start(&system, UPSTREAMS);
     let limits = start_limited(&system);
     let refused = Refused::default();
@@ -69,20 +69,20 @@
     let shared = Arc::new(Shared {
         system: Mutex::new(system),
         record: Record::default(),
-        is_over: AtomicBool::new(false),
+        is_finished: AtomicBool::new(false),
         acknowledged: AtomicU64::new(1),
         acknowledged_plans: Mutex::default(),
     });
     let mut missed = Vec::new();
-    let mut all_ended_at = None;
-    let began = Instant::now();
+    let mut all_killed_at = None;
+    let started_at = Instant::now();
     std::thread::scope(|scope| {
         for (entry, &address) in callers.iter().enumerate() {
             for caller in 0..CALLERS {
                 let id = seed * 1_000 + entry as u64 * 10 + caller;
                 let shared = &shared;
                 scope.spawn(move || {
-                    run_caller(id, (entry, address), &shared.record, &shared.is_over);
+                    run_caller(id, (entry, address), &shared.record, &shared.is_finished);
                 });
             }
         }
@@ -94,53 +94,65 @@
         scope.spawn(|| run_operator(&shared, 0));
         scope.spawn(|| run_operator(&shared, 1));
         scope.spawn(|| run_crashing(&shared, &refused, seed));
-        let _ends = EndsRun(&shared.is_over);
-        play(&shared, &schedule, began);
+        let _ends = StopRunOnDrop(&shared.is_finished);
+        run_schedule(&shared, &schedule, started_at);
         wait_until_served(&shared, seed);
-        std::thread::sleep(CATCH_UP);
+        std::thread::sleep(REPAIR_TIME);
         let calm_from = shared.acknowledged.load(Ordering::SeqCst);
         std::thread::sleep(CALM);
-        missed = check_missed(&shared, calm_from);
-        all_ended_at = setup.ends_all.then(Instant::now);
-        play_closing(&mut shared.system.lock().unwrap(), draw_closing(seed), setup.ends_all);
+        missed = check_missed_plans(&shared, calm_from);
+        all_killed_at = setup.restarts_all_hosts.then(Instant::now);
+        run_final_restart(
+            &mut shared.system.lock().unwrap(),
+            draw_final_disk_losses(seed),
+            setup.restarts_all_hosts,
+        );
         wait_until_served(&shared, seed);
     });
     let shared = Arc::into_inner(shared).unwrap();
     check_plan(&shared);
-    let not_held_back = check_held_back(&shared, &fleet, &refused);
-    let (seen, mut broken) = shared.record.take();
+    let not_quarantined = check_quarantine(&shared, &fleet, &refused);
+    let (observed, mut violations) = shared.record.take();
     let count = |attempt: &str| runs.count(attempt);
-    broken.extend(seen.iter().filter_map(|seen| check_seen(seen, count(&seen.attempt))));
-    broken.extend(check_cut_off(&seen, &schedule, began, all_ended_at, count));
-    broken.extend(not_held_back);
-    broken.extend(missed);
-    broken.extend(check_limits(&limits));
-    let served = seen.iter().filter(|seen| seen.answer.as_ref().is_some_and(|a| a.status == 200));
+    violations.extend(
+        observed.iter().filter_map(|observed| check_observed(observed, count(&observed.attempt))),
+    );
+    violations.extend(check_interrupted(&observed, &schedule, started_at, all_killed_at, count));
+    violations.extend(not_quarantined);
+    violations.extend(missed);
+    violations.extend(check_limits(&limits));
+    let served = observed
+        .iter()
+        .filter(|observed| observed.answer.as_ref().is_some_and(|a| a.status == 200));
     let summary = format!(
         "{} of {} requests served, plan {}, {} upstreams ended under one, {:?} requests where a limit is named, {} steps, {setup:?}",
         served.count(),
-        seen.len(),
+        observed.len(),
         shared.acknowledged.load(Ordering::SeqCst),
-        fleet.story().ended.len(),
+        fleet.events().ended.len(),
         limits.each_ref().map(|limit| limit.arrivals().len()),
         schedule.len()
     );
-    if broken.is_empty() { Ok(summary) } else { Err(report(&schedule, &broken, &shared.system)) }
+    if violations.is_empty() {
+        Ok(summary)
+    } else {
+        Err(report(&schedule, &violations, &shared.system))
+    }
 }
 
 /// The schedule, the violations, and the log lines that mention their requests.
-fn report(schedule: &[Step], broken: &[String], system: &Mutex<System>) -> String {
+fn report(schedule: &[Step], violations: &[String], system: &Mutex<System>) -> String {
     let mut text = String::new();
     for step in schedule {
         writeln!(text, "  {step:?}").unwrap();
     }
-    for promise in broken.iter().take(20) {
+    for promise in violations.iter().take(20) {
         writeln!(text, "broken: {promise}").unwrap();
     }
     let words: BTreeSet<_> =
-        broken.iter().filter_map(|promise| promise.split(' ').next()).take(5).collect();
+        violations.iter().filter_map(|promise| promise.split(' ').next()).take(5).collect();
     let system = system.lock().unwrap();
-    for host in system.keepers.iter().chain(&system.entries).chain(&system.bystanders) {
+    for host in system.keepers.iter().chain(&system.entries).chain(&system.idle_entries) {
         let log = host.log();
         let lines = log.lines().filter(|line| words.iter().any(|word| line.contains(word)));
         lines.take(20).for_each(|line| writeln!(text, "{line}").unwrap());
--- a/clayplankd/tests/seeded/soak/play.rs
+++ b/clayplankd/tests/seeded/soak/run_schedule.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use super::run::Shared;
-use super::schedule::{Act, Blow, Step, Target};
+use super::schedule::{Action, ProcessFault, Step, Target};
 use crate::host::Host;
 use crate::proxy::Fault;
 use crate::system::System;
@@ -20,15 +20,15 @@
 }
 
 /// Injects the faults of the schedule on time, and undoes each after its duration.
-pub fn play(shared: &Shared, schedule: &[Step], began: Instant) {
+pub fn run_schedule(shared: &Shared, schedule: &[Step], started_at: Instant) {
     let mut steps = schedule.iter().peekable();
     let mut pending: Vec<Pending> = Vec::new();
     while steps.peek().is_some() || !pending.is_empty() {
         while let Some(step) =
-            steps.next_if(|step| began.elapsed().as_millis() as u64 >= step.at_ms)
+            steps.next_if(|step| started_at.elapsed().as_millis() as u64 >= step.start_ms)
         {
-            let until = Instant::now() + Duration::from_millis(step.for_ms);
-            let process = begin(&mut shared.system.lock().unwrap(), step);
+            let until = Instant::now() + Duration::from_millis(step.duration_ms);
+            let process = inject(&mut shared.system.lock().unwrap(), step);
             pending.push(Pending { until, step: *step, process });
         }
         let mut system = shared.system.lock().unwrap();
@@ -39,48 +39,48 @@
 }
 
 /// Injects a fault; returns the id of the affected process, if it is a single one.
-fn begin(system: &mut System, step: &Step) -> Option<u32> {
-    match (step.target, step.act) {
-        (Target::Link(last), Act::Network(fault)) => system.proxy(last).set(fault),
+fn inject(system: &mut System, step: &Step) -> Option<u32> {
+    match (step.target, step.action) {
+        (Target::Link(last), Action::Network(fault)) => system.proxy(last).set(fault),
         (Target::AllKeepers, _) => system.keepers.iter_mut().for_each(Host::kill),
-        (Target::Keeper(number), Act::Blow(Blow::ReplaceAsPlanned)) => {
-            system.start_newcomer(number);
+        (Target::Keeper(number), Action::ProcessFault(ProcessFault::ReplacePlanned)) => {
+            system.start_replacement(number);
             return system.keepers[number].process();
         }
-        (Target::Keeper(number), Act::Blow(blow)) => {
-            return strike(&mut system.keepers[number], blow);
+        (Target::Keeper(number), Action::ProcessFault(fault)) => {
+            return inject_process_fault(&mut system.keepers[number], fault);
         }
-        (Target::Entry(number), Act::Blow(blow)) => {
-            return strike(&mut system.entries[number], blow);
+        (Target::Entry(number), Action::ProcessFault(fault)) => {
+            return inject_process_fault(&mut system.entries[number], fault);
         }
-        (Target::Link(_), Act::Blow(_))
-        | (Target::Keeper(_) | Target::Entry(_), Act::Network(_)) => {
+        (Target::Link(_), Action::ProcessFault(_))
+        | (Target::Keeper(_) | Target::Entry(_), Action::Network(_)) => {
             unreachable!("schedules draw blows for processes and faults for links")
         }
     }
     None
 }
 
-fn strike(host: &mut Host, blow: Blow) -> Option<u32> {
+fn inject_process_fault(host: &mut Host, fault: ProcessFault) -> Option<u32> {
     let process = host.process();
     if process.is_none() || host.has_ended() {
         return None;
     }
-    match blow {
-        Blow::Kill | Blow::ReplaceSuddenly => host.kill(),
-        Blow::Stop => host.terminate(),
-        Blow::Pause => host.signal("-STOP"),
-        Blow::Reload => host.change_settings(|settings| {
+    match fault {
+        ProcessFault::Kill | ProcessFault::ReplaceUnplanned => host.kill(),
+        ProcessFault::Stop => host.terminate(),
+        ProcessFault::Pause => host.signal("-STOP"),
+        ProcessFault::Reload => host.change_settings(|settings| {
             let ratio = settings["bounds"]["retry_ratio"].as_f64().unwrap_or(0.2);
             settings["bounds"]["retry_ratio"] = json!(ratio + 0.001);
         }),
-        Blow::LoseDisk => {
+        ProcessFault::LoseDisk => {
             host.kill();
             // A keeper that has never started has no data directory.
             std::fs::remove_dir_all(&host.data).ok();
         }
-        Blow::FillDisk => limit_files(host),
-        Blow::ReplaceAsPlanned => unreachable!("the newcomer starts first"),
+        ProcessFault::FillDisk => limit_files(host),
+        ProcessFault::ReplacePlanned => unreachable!("the newcomer starts first"),
     }
     process
 }
@@ -96,69 +96,73 @@
     match pending.step.target {
         Target::Link(last) => system.proxy(last).set(Fault::None),
         Target::AllKeepers => system.keepers.iter_mut().for_each(restart),
-        Target::Keeper(number) => match pending.step.act {
-            Act::Blow(Blow::ReplaceAsPlanned) => return end_replaced(system, number),
-            Act::Blow(Blow::ReplaceSuddenly) => {
+        Target::Keeper(number) => match pending.step.action {
+            Action::ProcessFault(ProcessFault::ReplacePlanned) => {
+                return finish_replacement(system, number);
+            }
+            Action::ProcessFault(ProcessFault::ReplaceUnplanned) => {
                 system.keepers[number].kill();
-                system.start_newcomer(number);
-                system.take_newcomer(number);
+                system.start_replacement(number);
+                system.install_replacement(number);
             }
-            Act::Blow(_) | Act::Network(_) => {
-                return end_blow(&mut system.keepers[number], pending);
+            Action::ProcessFault(_) | Action::Network(_) => {
+                return undo_process_fault(&mut system.keepers[number], pending);
             }
         },
-        Target::Entry(number) => return end_blow(&mut system.entries[number], pending),
+        Target::Entry(number) => return undo_process_fault(&mut system.entries[number], pending),
     }
     true
 }
 
 /// Stops a replaced keeper for good; `false` while it has not exited yet.
-fn end_replaced(system: &mut System, number: usize) -> bool {
+fn finish_replacement(system: &mut System, number: usize) -> bool {
     let former = &mut system.keepers[number];
     if !former.has_ended() {
         former.signal("-CONT");
         former.terminate();
         return false;
     }
-    system.take_newcomer(number);
+    system.install_replacement(number);
     true
 }
 
-fn end_blow(host: &mut Host, pending: &Pending) -> bool {
-    let is_struck = pending.process.is_some() && host.process() == pending.process;
-    match pending.step.act {
-        Act::Blow(Blow::Pause) if is_struck => host.signal("-CONT"),
-        Act::Blow(Blow::Stop) if is_struck && !host.has_ended() => return false,
-        Act::Blow(Blow::FillDisk) if is_struck => {
+fn undo_process_fault(host: &mut Host, pending: &Pending) -> bool {
+    let is_affected = pending.process.is_some() && host.process() == pending.process;
+    match pending.step.action {
+        Action::ProcessFault(ProcessFault::Pause) if is_affected => host.signal("-CONT"),
+        Action::ProcessFault(ProcessFault::Stop) if is_affected && !host.has_ended() => {
+            return false;
+        }
+        Action::ProcessFault(ProcessFault::FillDisk) if is_affected => {
             host.kill();
             restart(host);
         }
-        Act::Blow(
-            Blow::Kill
-            | Blow::Stop
-            | Blow::Pause
-            | Blow::Reload
-            | Blow::LoseDisk
-            | Blow::FillDisk
-            | Blow::ReplaceAsPlanned
-            | Blow::ReplaceSuddenly,
+        Action::ProcessFault(
+            ProcessFault::Kill
+            | ProcessFault::Stop
+            | ProcessFault::Pause
+            | ProcessFault::Reload
+            | ProcessFault::LoseDisk
+            | ProcessFault::FillDisk
+            | ProcessFault::ReplacePlanned
+            | ProcessFault::ReplaceUnplanned,
         )
-        | Act::Network(_) => restart(host),
+        | Action::Network(_) => restart(host),
     }
     true
 }
 
 /// Kills all keepers at once, or all hosts, and restarts them; two keepers lose their disks.
-pub fn play_closing(system: &mut System, lost: [usize; 2], ends_all: bool) {
+pub fn run_final_restart(system: &mut System, lost: [usize; 2], restarts_all_hosts: bool) {
     system.keepers.iter_mut().for_each(Host::kill);
-    if ends_all {
-        system.entries.iter_mut().chain(&mut system.bystanders).for_each(Host::kill);
+    if restarts_all_hosts {
+        system.entries.iter_mut().chain(&mut system.idle_entries).for_each(Host::kill);
     }
     for number in lost {
         std::fs::remove_dir_all(&system.keepers[number].data).unwrap();
     }
     system.keepers.iter_mut().for_each(Host::start);
-    system.entries.iter_mut().chain(&mut system.bystanders).for_each(restart);
+    system.entries.iter_mut().chain(&mut system.idle_entries).for_each(restart);
 }
 
 /// Starts a process that is down.
--- a/clayplankd/tests/seeded/soak/schedule.rs
+++ b/clayplankd/tests/seeded/soak/schedule.rs
@@ -6,7 +6,7 @@
 use crate::proxy::Fault;
 
 /// Period in which faults start, in ms.
-pub const SPAN_MS: u64 = 12_000;
+pub const FAULT_PERIOD_MS: u64 = 12_000;
 
 /// Keepers and entry hosts of a run.
 pub const KEEPERS: usize = 5;
@@ -17,7 +17,7 @@
 
 /// Fault of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Blow {
+pub enum ProcessFault {
     /// SIGKILL, then a restart.
     Kill,
     /// SIGTERM, then a restart once the process has exited.
@@ -31,15 +31,15 @@
     /// Writes to the disk fail, which ends the process; then a restart.
     FillDisk,
     /// An empty keeper starts; then this one gets SIGTERM and does not return.
-    ReplaceAsPlanned,
+    ReplacePlanned,
     /// SIGKILL without a return; then an empty keeper starts.
-    ReplaceSuddenly,
+    ReplaceUnplanned,
 }
 
-impl Blow {
+impl ProcessFault {
     /// Whether the fault loses a disk.
-    fn takes_disk(self) -> bool {
-        matches!(self, Self::LoseDisk | Self::ReplaceAsPlanned | Self::ReplaceSuddenly)
+    fn loses_disk(self) -> bool {
+        matches!(self, Self::LoseDisk | Self::ReplacePlanned | Self::ReplaceUnplanned)
     }
 }
 
@@ -54,25 +54,30 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    Blow(Blow),
+pub enum Action {
+    ProcessFault(ProcessFault),
     Network(Fault),
 }
 
 /// One fault with its start and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    pub at_ms: u64,
-    pub for_ms: u64,
+    pub start_ms: u64,
+    pub duration_ms: u64,
     pub target: Target,
-    pub act: Act,
+    pub action: Action,
 }
 
 impl Step {
     /// Whether the step is planned work, such as a stop or a reload, which must not interrupt any
     /// request.
     pub fn is_planned(&self) -> bool {
-        matches!(self.act, Act::Blow(Blow::Stop | Blow::Reload | Blow::ReplaceAsPlanned))
+        matches!(
+            self.action,
+            Action::ProcessFault(
+                ProcessFault::Stop | ProcessFault::Reload | ProcessFault::ReplacePlanned
+            )
+        )
     }
 }
 
@@ -85,46 +90,49 @@
     let mut steps: Vec<_> = (0..count).map(|_| draw_step(&mut rng, is_planned_only)).collect();
     let replaced = rng.random_range(0..3);
     steps.extend((0..replaced).map(|_| draw_replacement(&mut rng, is_planned_only)));
-    steps.sort_by_key(|step| step.at_ms);
-    space_disks(&mut steps);
+    steps.sort_by_key(|step| step.start_ms);
+    space_disk_losses(&mut steps);
     steps
 }
 
 fn draw_step(rng: &mut SmallRng, is_planned_only: bool) -> Step {
-    let at_ms = rng.random_range(0..SPAN_MS);
-    let for_ms = rng.random_range(200..4_000);
+    let start_ms = rng.random_range(0..FAULT_PERIOD_MS);
+    let duration_ms = rng.random_range(200..4_000);
     let keeper = Target::Keeper(rng.random_range(0..KEEPERS));
     let entry = Target::Entry(rng.random_range(0..ENTRIES));
     let kind = if is_planned_only { rng.random_range(0..3) } else { rng.random_range(0..12) };
-    let (target, act) = match kind {
-        0 => (keeper, Act::Blow(Blow::Stop)),
-        1 => (entry, Act::Blow(Blow::Stop)),
-        2 => (entry, Act::Blow(Blow::Reload)),
-        3 => (keeper, Act::Blow(Blow::Kill)),
-        4 => (entry, Act::Blow(Blow::Kill)),
-        5 => (keeper, Act::Blow(Blow::Pause)),
-        6 => (entry, Act::Blow(Blow::Pause)),
-        7 => (keeper, Act::Blow(Blow::LoseDisk)),
-        8 => (keeper, Act::Blow(Blow::FillDisk)),
-        9 if rng.random_range(0..3) == 0 => (Target::AllKeepers, Act::Blow(Blow::Kill)),
-        _ => (draw_link(rng), Act::Network(draw_network(rng))),
+    let (target, action) = match kind {
+        0 => (keeper, Action::ProcessFault(ProcessFault::Stop)),
+        1 => (entry, Action::ProcessFault(ProcessFault::Stop)),
+        2 => (entry, Action::ProcessFault(ProcessFault::Reload)),
+        3 => (keeper, Action::ProcessFault(ProcessFault::Kill)),
+        4 => (entry, Action::ProcessFault(ProcessFault::Kill)),
+        5 => (keeper, Action::ProcessFault(ProcessFault::Pause)),
+        6 => (entry, Action::ProcessFault(ProcessFault::Pause)),
+        7 => (keeper, Action::ProcessFault(ProcessFault::LoseDisk)),
+        8 => (keeper, Action::ProcessFault(ProcessFault::FillDisk)),
+        9 if rng.random_range(0..3) == 0 => {
+            (Target::AllKeepers, Action::ProcessFault(ProcessFault::Kill))
+        }
+        _ => (draw_link(rng), Action::Network(draw_network(rng))),
     };
-    Step { at_ms, for_ms, target, act }
+    Step { start_ms, duration_ms, target, action }
 }
 
 fn draw_replacement(rng: &mut SmallRng, is_planned: bool) -> Step {
     let is_planned = is_planned || rng.random_range(0..2) == 0;
-    let blow = if is_planned { Blow::ReplaceAsPlanned } else { Blow::ReplaceSuddenly };
+    let fault =
+        if is_planned { ProcessFault::ReplacePlanned } else { ProcessFault::ReplaceUnplanned };
     Step {
-        at_ms: rng.random_range(0..SPAN_MS),
-        for_ms: rng.random_range(200..4_000),
+        start_ms: rng.random_range(0..FAULT_PERIOD_MS),
+        duration_ms: rng.random_range(200..4_000),
         target: Target::Keeper(rng.random_range(0..KEEPERS)),
-        act: Act::Blow(blow),
+        action: Action::ProcessFault(fault),
     }
 }
 
 /// The two keepers that lose their disks in the final restart.
-pub fn draw_closing(seed: u64) -> [usize; 2] {
+pub fn draw_final_disk_losses(seed: u64) -> [usize; 2] {
     let mut rng = SmallRng::seed_from_u64(seed);
     let first = rng.random_range(0..KEEPERS);
     [first, (first + rng.random_range(1..KEEPERS)) % KEEPERS]
@@ -144,22 +152,23 @@
     match rng.random_range(0..5) {
         0 => Fault::Delay(rng.random_range(20..300)),
         1 => Fault::Reset,
-        2 => Fault::CutIn,
-        3 => Fault::CutOut,
-        _ => Fault::Silence,
+        2 => Fault::BlockInbound,
+        3 => Fault::BlockOutbound,
+        _ => Fault::Blackhole,
     }
 }
 
 /// Replaces disk losses by kills where they follow too closely.
-fn space_disks(steps: &mut [Step]) {
+fn space_disk_losses(steps: &mut [Step]) {
     let mut last_ms = None;
-    let takes_disk = |step: &&mut Step| matches!(step.act, Act::Blow(blow) if blow.takes_disk());
-    for step in steps.iter_mut().filter(takes_disk) {
-        let is_soon = last_ms.is_some_and(|last_ms| step.at_ms < last_ms + DISK_GAP_MS);
+    let loses_disk =
+        |step: &&mut Step| matches!(step.action, Action::ProcessFault(fault) if fault.loses_disk());
+    for step in steps.iter_mut().filter(loses_disk) {
+        let is_soon = last_ms.is_some_and(|last_ms| step.start_ms < last_ms + DISK_GAP_MS);
         if is_soon {
-            step.act = Act::Blow(Blow::Kill);
+            step.action = Action::ProcessFault(ProcessFault::Kill);
         } else {
-            last_ms = Some(step.at_ms + step.for_ms);
+            last_ms = Some(step.start_ms + step.duration_ms);
         }
     }
 }
--- a/clayplankd/tests/seeded/system.rs
+++ b/clayplankd/tests/seeded/system.rs
@@ -15,59 +15,59 @@
 
 use crate::answer::Answer;
 use crate::client::call;
-use crate::crashing_upstreams::FLEET;
-use crate::host::{CONTROL, Host, INNER, Part, UPSTREAM};
+use crate::crashing_upstreams::FLEET_SERVICE;
+use crate::host::{CONTROL_PORT, Host, INNER_PORT, Role, UPSTREAM_PORT};
 use crate::proxy::Proxy;
 
 /// A service whose upstreams have limits.
-pub const LIMITED: &str = "limited";
+pub const LIMITED_SERVICE: &str = "limited";
 
 pub const KEY: &str = "timekeeper-key";
 
 /// Time limit of every wait. It only bounds a failing test; no measurement depends on it.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-pub fn wait_for(what: &str, mut is_so: impl FnMut() -> bool) {
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !is_so() {
-        assert!(started.elapsed() < PATIENCE, "{what} did not happen");
+    while !condition() {
+        assert!(started.elapsed() < WAIT_TIMEOUT, "{what} did not happen");
         std::thread::sleep(Duration::from_millis(25));
     }
 }
 
 /// Number of hosts, and how they are configured and connected.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct Topology {
     pub keepers: usize,
     pub entries: usize,
     pub has_proxies: bool,
     /// Whether the keepers are entry hosts too, and the entry hosts have control listeners.
-    pub all_serve: bool,
+    pub has_combined_roles: bool,
     /// Whether the bootstrap addresses are the first keeper and the entry hosts, instead of all
     /// keepers.
-    pub names_entries: bool,
+    pub bootstraps_from_entries: bool,
     /// Additional entry hosts without a control listener, to which tests send no requests.
-    pub bystanders: usize,
+    pub idle_entries: usize,
 }
 
-impl Default for Shape {
+impl Default for Topology {
     fn default() -> Self {
         Self {
             keepers: 3,
             entries: 2,
             has_proxies: false,
-            all_serve: false,
-            names_entries: false,
-            bystanders: 0,
+            has_combined_roles: false,
+            bootstraps_from_entries: false,
+            idle_entries: 0,
         }
     }
 }
 
 /// Last address byte of the first idle entry host.
-const FIRST_BYSTANDER: usize = 70;
+const FIRST_IDLE_ENTRY: usize = 70;
 
 /// Maximum number of bootstrap addresses of a host.
-const SEEDS: usize = 3;
+const MAX_BOOTSTRAP_ADDRESSES: usize = 3;
 
 /// Listening address of a process that is reached at `ip` through a proxy.
 pub fn behind_proxy(ip: Ipv4Addr) -> Ipv4Addr {
@@ -76,111 +76,111 @@
 }
 
 pub struct System {
-    pub shape: Shape,
+    pub topology: Topology,
     proxies: BTreeMap<Ipv4Addr, Proxy>,
     dir: tempfile::TempDir,
     pub keepers: Vec<Host>,
     /// New keepers, by the index of the keeper that each is to replace.
-    newcomers: BTreeMap<usize, Host>,
+    replacements: BTreeMap<usize, Host>,
     /// Number of keepers started after the initial ones.
     added: u8,
     pub entries: Vec<Host>,
-    pub bystanders: Vec<Host>,
+    pub idle_entries: Vec<Host>,
     /// Addresses from which each host that starts from now on gets three bootstrap addresses; if
     /// empty, it gets all keepers.
-    told_of: Vec<SocketAddr>,
+    bootstrap_addresses: Vec<SocketAddr>,
     pub runs: SharedRuns,
     pub runtime: Runtime,
     pub net: [u8; 2],
     /// Sequence number of the last heartbeat sent by `send_heartbeat` and its variants.
-    pub beats: u64,
+    pub last_sequence: u64,
 }
 
 impl System {
     /// Starts all hosts and two upstreams, publishes the first plan, and waits until requests are
     /// served.
     pub fn start() -> Self {
-        Self::start_as(Shape::default())
+        Self::start_with(Topology::default())
     }
 
     /// Like `start`, with another number of hosts, or with proxies between the processes.
-    pub fn start_as(shape: Shape) -> Self {
+    pub fn start_with(topology: Topology) -> Self {
         static NEXT: AtomicU8 = AtomicU8::new(1);
         let net = [(std::process::id() % 200) as u8 + 20, NEXT.fetch_add(1, Ordering::SeqCst)];
         let dir = tempfile::tempdir().unwrap();
-        let host = |part, last: usize| {
+        let host = |role, last: usize| {
             let ip = Ipv4Addr::new(127, net[0], net[1], last as u8);
-            let bind_ip = if shape.has_proxies { behind_proxy(ip) } else { ip };
+            let bind_ip = if topology.has_proxies { behind_proxy(ip) } else { ip };
             let settings = dir.path().join(format!("{last}.json"));
             let data = dir.path().join(format!("data-{last}"));
-            Host { ip, bind_ip, part, settings, data, child: None }
+            Host { ip, bind_ip, role, settings, data, child: None }
         };
-        let keeper = if shape.all_serve { Part::Both } else { Part::Keeper };
-        let entry = Part::Entry { has_door: shape.all_serve };
-        let keepers: Vec<_> = (0..shape.keepers).map(|n| host(keeper, n + 1)).collect();
-        let entries: Vec<_> = (0..shape.entries).map(|n| host(entry, n + 11)).collect();
-        let bystanders = (0..shape.bystanders)
-            .map(|n| host(Part::Entry { has_door: false }, n + FIRST_BYSTANDER));
-        let bystanders = bystanders.collect();
+        let keeper = if topology.has_combined_roles { Role::EntryAndKeeper } else { Role::Keeper };
+        let entry = Role::Entry { has_control_listener: topology.has_combined_roles };
+        let keepers: Vec<_> = (0..topology.keepers).map(|n| host(keeper, n + 1)).collect();
+        let entries: Vec<_> = (0..topology.entries).map(|n| host(entry, n + 11)).collect();
+        let idle_entries = (0..topology.idle_entries)
+            .map(|n| host(Role::Entry { has_control_listener: false }, n + FIRST_IDLE_ENTRY));
+        let idle_entries = idle_entries.collect();
         let mut system = Self {
-            shape,
+            topology,
             keepers,
             entries,
-            bystanders,
-            told_of: Vec::new(),
-            newcomers: BTreeMap::new(),
+            idle_entries,
+            bootstrap_addresses: Vec::new(),
+            replacements: BTreeMap::new(),
             added: 0,
             proxies: BTreeMap::new(),
             runs: SharedRuns::default(),
             runtime: Runtime::new().unwrap(),
             net,
-            beats: 0,
+            last_sequence: 0,
             dir,
         };
         system.write_settings(true);
         system.start_proxies();
         system.keepers.iter_mut().for_each(Host::start);
         system.entries.iter_mut().for_each(Host::start);
-        system.bystanders.iter_mut().for_each(Host::start);
+        system.idle_entries.iter_mut().for_each(Host::start);
         system.start_upstream("u1", 21);
         system.start_upstream("u2", 22);
         system.wait_for_plan(&plan(1));
         let entries = &system.entries;
         wait_for("readiness", || entries.iter().all(Host::is_ready));
-        system.beat_until_served();
+        system.send_heartbeats_until_served();
         system
     }
 
     /// Writes the settings of all hosts.
     pub fn write_settings(&self, is_first_start: bool) {
-        let keepers = if self.shape.names_entries { 1 } else { self.keepers.len() };
-        let entries = if self.shape.names_entries { self.entries.len() } else { 0 };
+        let keepers = if self.topology.bootstraps_from_entries { 1 } else { self.keepers.len() };
+        let entries = if self.topology.bootstraps_from_entries { self.entries.len() } else { 0 };
         let keepers = self.keepers.iter().take(keepers);
-        let seeds: Vec<_> =
+        let bootstrap: Vec<_> =
             keepers.chain(self.entries.iter().take(entries)).map(Host::control).collect();
-        for host in self.keepers.iter().chain(&self.entries).chain(&self.bystanders) {
-            host.write_settings(&seeds, is_first_start);
+        for host in self.keepers.iter().chain(&self.entries).chain(&self.idle_entries) {
+            host.write_settings(&bootstrap, is_first_start);
         }
     }
 
     /// Gives hosts that start from now on three of these addresses as bootstrap addresses.
-    pub fn tell_of(&mut self, doors: Vec<SocketAddr>, rng: &mut SmallRng) {
-        self.told_of = doors;
-        for host in self.keepers.iter().chain(&self.entries).chain(&self.bystanders) {
-            host.tell_of(&self.draw_seeds(rng));
+    pub fn set_bootstrap_addresses(&mut self, controls: Vec<SocketAddr>, rng: &mut SmallRng) {
+        self.bootstrap_addresses = controls;
+        for host in self.keepers.iter().chain(&self.entries).chain(&self.idle_entries) {
+            host.set_bootstrap_addresses(&self.draw_bootstrap_addresses(rng));
         }
     }
 
-    fn draw_seeds(&self, rng: &mut SmallRng) -> Vec<SocketAddr> {
-        if self.told_of.is_empty() {
+    fn draw_bootstrap_addresses(&self, rng: &mut SmallRng) -> Vec<SocketAddr> {
+        if self.bootstrap_addresses.is_empty() {
             return self.keepers.iter().map(Host::control).collect();
         }
-        self.told_of.iter().copied().sample(rng, SEEDS)
+        self.bootstrap_addresses.iter().copied().sample(rng, MAX_BOOTSTRAP_ADDRESSES)
     }
 
     /// Kills all hosts, then restarts them.
     pub fn restart_all(&mut self) {
-        let hosts = self.keepers.iter_mut().chain(&mut self.entries).chain(&mut self.bystanders);
+        let hosts = self.keepers.iter_mut().chain(&mut self.entries).chain(&mut self.idle_entries);
         let mut hosts: Vec<_> = hosts.collect();
         hosts.iter_mut().for_each(|host| host.kill());
         hosts.iter_mut().for_each(|host| host.start());
@@ -195,35 +195,36 @@
     }
 
     /// Starts an empty keeper that is to replace another one.
-    pub fn start_newcomer(&mut self, replaced: usize) {
+    pub fn start_replacement(&mut self, replaced: usize) {
         let keeper = self.new_keeper();
-        self.newcomers.insert(replaced, keeper);
+        self.replacements.insert(replaced, keeper);
     }
 
     /// Puts the new keeper at the index of the keeper that it replaces.
-    pub fn take_newcomer(&mut self, replaced: usize) {
-        self.keepers[replaced] = self.newcomers.remove(&replaced).unwrap();
+    pub fn install_replacement(&mut self, replaced: usize) {
+        self.keepers[replaced] = self.replacements.remove(&replaced).unwrap();
     }
 
     fn new_keeper(&mut self) -> Host {
         self.added += 1;
-        let last = (self.shape.keepers as u8) + self.added;
-        let seeds = self.draw_seeds(&mut SmallRng::seed_from_u64(u64::from(last)));
+        let last = (self.topology.keepers as u8) + self.added;
+        let bootstrap =
+            self.draw_bootstrap_addresses(&mut SmallRng::seed_from_u64(u64::from(last)));
         let ip = self.upstream_ip(last);
-        if self.shape.has_proxies {
-            self.start_proxy(ip, &[INNER, CONTROL]);
+        if self.topology.has_proxies {
+            self.start_proxy(ip, &[INNER_PORT, CONTROL_PORT]);
         }
         let mut keeper = Host {
             ip,
-            bind_ip: if self.shape.has_proxies { behind_proxy(ip) } else { ip },
-            part: self.keepers[0].part,
+            bind_ip: if self.topology.has_proxies { behind_proxy(ip) } else { ip },
+            role: self.keepers[0].role,
             settings: self.dir.path().join(format!("{last}.json")),
             data: self.dir.path().join(format!("data-{last}")),
             child: None,
         };
-        keeper.write_settings(&seeds, false);
+        keeper.write_settings(&bootstrap, false);
         keeper.change_settings_file(|settings| {
-            settings["tolerated_losses"] = ((self.shape.keepers - 1) / 2).into();
+            settings["tolerated_losses"] = ((self.topology.keepers - 1) / 2).into();
         });
         keeper.start();
         keeper
@@ -231,12 +232,12 @@
 
     /// Starts one proxy in front of each host and each upstream.
     fn start_proxies(&mut self) {
-        if !self.shape.has_proxies {
+        if !self.topology.has_proxies {
             return;
         }
-        let hosts = self.keepers.iter().chain(&self.entries).chain(&self.bystanders);
-        let of_hosts = hosts.map(|host| (host.ip, vec![INNER, CONTROL]));
-        let upstreams = [21, 22].map(|last| (self.upstream_ip(last), vec![UPSTREAM]));
+        let hosts = self.keepers.iter().chain(&self.entries).chain(&self.idle_entries);
+        let of_hosts = hosts.map(|host| (host.ip, vec![INNER_PORT, CONTROL_PORT]));
+        let upstreams = [21, 22].map(|last| (self.upstream_ip(last), vec![UPSTREAM_PORT]));
         for (ip, ports) in of_hosts.chain(upstreams).collect::<Vec<_>>() {
             self.start_proxy(ip, &ports);
         }
@@ -258,12 +259,12 @@
     }
 
     /// Sends heartbeats of both upstreams until every entry host serves requests.
-    pub fn beat_until_served(&mut self) {
+    pub fn send_heartbeats_until_served(&mut self) {
         for number in 0.. {
             assert!(number < 400, "requests are not served");
             for keeper in 0..self.keepers.len() {
-                self.beat(keeper, "u1", "ready");
-                self.beat(keeper, "u2", "ready");
+                self.send_heartbeat(keeper, "u1", "ready");
+                self.send_heartbeat(keeper, "u2", "ready");
             }
             let is_served = |entry: usize| {
                 self.send(entry, &format!("warm-{number}-{entry}"), "/repeatable/x", &[]).status
@@ -354,12 +355,12 @@
         })
     };
     let mut crashing = route("crashing", "repeatable");
-    crashing["targets"] = json!([{ "service": FLEET, "weight": 1 }]);
+    crashing["targets"] = json!([{ "service": FLEET_SERVICE, "weight": 1 }]);
     let mut limited = route("limited", "repeatable");
-    limited["targets"] = json!([{ "service": LIMITED, "weight": 1 }]);
+    limited["targets"] = json!([{ "service": LIMITED_SERVICE, "weight": 1 }]);
     json!({
         "version": version,
-        "services": [{ "name": "app" }, { "name": FLEET }, { "name": LIMITED }],
+        "services": [{ "name": "app" }, { "name": FLEET_SERVICE }, { "name": LIMITED_SERVICE }],
         "routes": [
             route("repeatable", "repeatable"),
             route("once", "unrepeatable"),
--- a/clayplankd/tests/seeded/returning.rs
+++ b/clayplankd/tests/seeded/upstream_restarts.rs
@@ -13,9 +13,9 @@
 
 /// Sends a heartbeat of one incarnation of an upstream (id, last address byte, `born_ms`) to a
 /// keeper.
-fn tell(system: &System, life: (&str, u8, u64), sequence: u64, standing: &str) {
-    let (name, last, born_ms) = life;
-    let mut body = system.heartbeat(name, last, sequence, standing);
+fn send_heartbeat_of(system: &System, incarnation: (&str, u8, u64), sequence: u64, status: &str) {
+    let (name, last, born_ms) = incarnation;
+    let mut body = system.heartbeat(name, last, sequence, status);
     body["born_ms"] = born_ms.into();
     let keeper = system.keepers[0].control();
     let path = heartbeat_path(name);
@@ -35,8 +35,8 @@
     wait_for("the end of the other upstream", || {
         call(keeper, "DELETE", &heartbeat_path("u2"), &[], "").status == 200
     });
-    tell(&system, ("u1", 21, 1_000), 5_000, "ready");
-    tell(&system, ("u1", 21, 1_000), 5_001, "draining");
+    send_heartbeat_of(&system, ("u1", 21, 1_000), 5_000, "ready");
+    send_heartbeat_of(&system, ("u1", 21, 1_000), 5_001, "draining");
     let mut number = 0;
     wait_for("no upstream that takes work", || {
         number += 1;
@@ -46,18 +46,18 @@
 }
 
 #[test]
-fn an_upstream_that_starts_again_under_its_name_is_used() {
+fn an_upstream_that_restarts_under_its_id_is_used() {
     let system = drain_all();
-    tell(&system, ("u1", 21, 2_000), 1, "ready");
+    send_heartbeat_of(&system, ("u1", 21, 2_000), 1, "ready");
     let mut number = 0;
     wait_for("service by the new life", || {
         number += 1;
         is_served(&system, &format!("again-{number}"))
     });
     // The last heartbeat of the former incarnation arrives again, followed by its next one.
-    tell(&system, ("u1", 21, 1_000), 5_001, "draining");
-    tell(&system, ("u1", 21, 1_000), 5_002, "draining");
-    tell(&system, ("u1", 21, 2_000), 2, "ready");
+    send_heartbeat_of(&system, ("u1", 21, 1_000), 5_001, "draining");
+    send_heartbeat_of(&system, ("u1", 21, 1_000), 5_002, "draining");
+    send_heartbeat_of(&system, ("u1", 21, 2_000), 2, "ready");
     for number in 0..20 {
         assert!(is_served(&system, &format!("late-{number}")), "request {number}");
         std::thread::sleep(std::time::Duration::from_millis(50));
--- a/clayplankd/tests/seeded/upstreams.rs
+++ b/clayplankd/tests/seeded/upstreams.rs
@@ -11,7 +11,7 @@
 
 use crate::answer::Answer;
 use crate::client::call;
-use crate::host::{Host, UPSTREAM};
+use crate::host::{Host, UPSTREAM_PORT};
 use crate::system::{System, behind_proxy};
 
 /// Concurrent requests of an upstream of the service `app`.
@@ -26,8 +26,8 @@
     /// singly.
     pub fn start_upstream(&self, id: &str, last: u8) {
         let ip = self.upstream_ip(last);
-        let bind_ip = if self.shape.has_proxies { behind_proxy(ip) } else { ip };
-        let address = SocketAddr::new(IpAddr::V4(bind_ip), UPSTREAM);
+        let bind_ip = if self.topology.has_proxies { behind_proxy(ip) } else { ip };
+        let address = SocketAddr::new(IpAddr::V4(bind_ip), UPSTREAM_PORT);
         let (id, runs) = (id.to_owned(), self.runs.clone());
         let listener = self.runtime.block_on(clayplank_standin::bind(address)).unwrap();
         self.runtime.spawn(serve_upstream(listener, id, runs, None, SharedLimit::default()));
@@ -84,29 +84,29 @@
     }
 
     fn upstream_address(&self, last: u8) -> SocketAddr {
-        SocketAddr::new(IpAddr::V4(self.upstream_ip(last)), UPSTREAM)
+        SocketAddr::new(IpAddr::V4(self.upstream_ip(last)), UPSTREAM_PORT)
     }
 
     /// Sends one heartbeat of an upstream to one keeper.
-    pub fn beat(&mut self, keeper: usize, id: &str, standing: &str) -> Answer {
-        self.beat_at(self.keepers[keeper].control(), id, standing)
+    pub fn send_heartbeat(&mut self, keeper: usize, id: &str, status: &str) -> Answer {
+        self.send_heartbeat_to(self.keepers[keeper].control(), id, status)
     }
 
     /// Sends one heartbeat of an upstream to the control listener of an entry host.
-    pub fn beat_at_entry(&mut self, entry: usize, id: &str, standing: &str) -> Answer {
-        self.beat_at(self.entries[entry].control(), id, standing)
+    pub fn send_heartbeat_to_entry(&mut self, entry: usize, id: &str, status: &str) -> Answer {
+        self.send_heartbeat_to(self.entries[entry].control(), id, status)
     }
 
-    fn beat_at(&mut self, door: SocketAddr, id: &str, standing: &str) -> Answer {
-        self.beats += 1;
+    fn send_heartbeat_to(&mut self, control: SocketAddr, id: &str, status: &str) -> Answer {
+        self.last_sequence += 1;
         let last = match id {
             "u1" => 21,
             "u2" => 22,
             _ => 23,
         };
-        let body = self.heartbeat(id, last, self.beats, standing);
+        let body = self.heartbeat(id, last, self.last_sequence, status);
         let path = format!("/v1/upstreams/{id}");
-        call(door, "PUT", &path, &[], &body.to_string())
+        call(control, "PUT", &path, &[], &body.to_string())
     }
 
     /// Requests that carry heartbeats of both upstreams to every keeper.
@@ -122,7 +122,7 @@
         [of_upstream("u1", 21), of_upstream("u2", 22)].concat()
     }
 
-    pub fn heartbeat(&self, id: &str, last: u8, sequence: u64, standing: &str) -> Value {
-        self.registration(id, "app", last, APP_SLOTS).heartbeat(sequence, standing)
+    pub fn heartbeat(&self, id: &str, last: u8, sequence: u64, status: &str) -> Value {
+        self.registration(id, "app", last, APP_SLOTS).heartbeat(sequence, status)
     }
 }
