--- a/clayplankd/tests/faults/capacity.rs
+++ b/clayplankd/tests/faults/capacity.rs
@@ -8,9 +8,9 @@
     let mut system = System::start(slow_engines());
     let _streams: Vec<_> = (0..4).map(|_| start_stream(&system, 1, 60)).collect();
     system.kill(1);
-    wait_for("the return of the memory", || system.reserved_tokens() == Some(0));
-    let held: u64 = system.engines.iter().map(Engine::reserved_tokens).sum();
-    assert_eq!(held, 0, "and the engines run nothing");
+    wait_for("the release of all memory", || system.reserved_tokens() == Some(0));
+    let reserved: u64 = system.engines.iter().map(Engine::reserved_tokens).sum();
+    assert_eq!(reserved, 0, "and the engines run nothing");
 }
 
 #[test]
@@ -18,7 +18,7 @@
     let system = System::start(vec![Engine::start(400, 40.0), Engine::start(400, 40.0)]);
     let streams: Vec<_> = (0..3).map(|_| start_stream(&system, 2, 400)).collect();
     system.signal(2, "STOP");
-    wait_for("the return of the memory", || {
+    wait_for("the release of all memory", || {
         (0..2)
             .filter_map(|host| system.get_operator_view(host, "/upstreams"))
             .any(|shown| shown["owned_pools"][0]["granted_tokens"] == 0)
@@ -27,11 +27,11 @@
     system.signal(2, "CONT");
     for stream in streams {
         let answer = stream.join().unwrap();
-        assert!(!answer.text().contains("[DONE]"), "a cancelled answer is not whole");
+        assert!(!answer.text().contains("[DONE]"), "a cancelled answer is not complete");
     }
-    wait_for("health after the thaw", || system.is_healthy(2));
+    wait_for("health after SIGCONT", || system.is_healthy(2));
     wait_for("an answer", || system.complete(2, "again", 1).status == 200);
-    wait_for("no leak", || system.reserved_tokens() == Some(0));
+    wait_for("the release of all memory", || system.reserved_tokens() == Some(0));
 }
 
 #[test]
--- a/clayplankd/tests/faults/claims.rs
+++ b/clayplankd/tests/faults/claims.rs
@@ -53,10 +53,10 @@
         for (key, outcomes) in &reported {
             let ran = runs.contains_key(key);
             if outcomes.iter().all(|outcome| outcome == "not-run") {
-                assert!(!ran, "{key} was told `not-run` and ran");
+                assert!(!ran, "{key} was reported as `not-run`, but ran");
             }
             if outcomes.iter().any(|outcome| outcome == "answered") {
-                assert!(ran, "{key} was answered and did not run");
+                assert!(ran, "{key} was answered, but did not run");
             }
         }
         reported.values().flatten().filter(|outcome| *outcome == "answered").count()
--- a/clayplankd/tests/faults/crashing.rs
+++ b/clayplankd/tests/faults/crashing.rs
@@ -45,7 +45,7 @@
         if let Some(busy) = busy {
             let logged = system.count_logged(LOGGED_FAILURE);
             system.engines[busy].terminate();
-            wait_for("the word of the host that the engine ended", || {
+            wait_for("the log line about the terminated engine", || {
                 system.count_logged(LOGGED_FAILURE) > logged
             });
             system.engines[busy].restart();
@@ -79,6 +79,6 @@
         assert_eq!(answer.status, 503, "{}", answer.text());
         assert!(answer.text().contains("held-back"), "{}", answer.text());
     }
-    assert_eq!(started_attempts(&system), before, "no engine began it again");
+    assert_eq!(started_attempts(&system), before, "no engine started it again");
     assert_eq!(system.complete(0, "another prompt", 8).status, 200);
 }
--- a/clayplankd/tests/faults/failure_pairs.rs
+++ b/clayplankd/tests/faults/failure_pairs.rs
@@ -124,8 +124,8 @@
         is_finished.store(true, Ordering::SeqCst);
     });
     reported.check(&system.service.runs());
-    assert!(complete.load(Ordering::SeqCst) > 10, "only {complete:?} whole answers");
-    wait_for("the return of the memory", || {
+    assert!(complete.load(Ordering::SeqCst) > 10, "only {complete:?} complete answers");
+    wait_for("the release of all memory", || {
         system.reserved_tokens() == Some(0)
             && system.engines.iter().all(|engine| engine.reserved_tokens() == 0)
     });
--- a/clayplankd/tests/faults/settings.rs
+++ b/clayplankd/tests/faults/settings.rs
@@ -129,8 +129,8 @@
     assert_eq!((refused.status, refused.outcome()), (503, "not-run"));
     assert!(refused.header("retry-after").is_some());
     let changed = system.put_setting(0, DALA_KEY, "templates/cut", "c", 0, &template(5));
-    assert_eq!(changed.status, 200, "the others go on: {}", changed.text());
-    wait_for("answers of the others", || system.complete(0, "q", 1).status == 200);
+    assert_eq!(changed.status, 200, "the peers continue: {}", changed.text());
+    wait_for("answers at the peers", || system.complete(0, "q", 1).status == 200);
     system.links.set_partitioned(2, false);
     system.wait_healthy(2);
     wait_in_force(&system, "cut", 5);
--- a/clayplankd/tests/harness/mod.rs
+++ b/clayplankd/tests/harness/mod.rs
@@ -70,7 +70,7 @@
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < WAIT_TIMEOUT, "{what} did not happen");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "{what} did not happen within {WAIT_TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(30));
     }
 }
--- a/clayplankd/tests/seeded/combined_roles.rs
+++ b/clayplankd/tests/seeded/combined_roles.rs
@@ -75,7 +75,7 @@
         system.send_heartbeat_to_entry(0, "u1", "draining").status == 200
     });
     for (number, host) in system.keepers.iter().chain(&system.entries).enumerate() {
-        wait_for("news at the host", || {
+        wait_for("the update at the host", || {
             served_by(&system, host, &format!("d{number}")).as_deref() == Some("u2")
         });
         for again in 0..8 {
@@ -100,11 +100,13 @@
     wait_for("readiness without a disk", || host.is_ready());
     assert!(served_by(&system, host, "f1").is_some());
     let log = host.log();
-    assert_eq!(log.matches("The disk is full; waits for room").count(), 1, "it is told once");
+    assert_eq!(log.matches("The disk is full; waits for room").count(), 1, "logged once");
 
     fs::remove_file(&first_file).unwrap();
-    wait_for("room", || host.log().contains("The disk has room again"));
-    wait_for("the plan at its door", || confirmed_plan(host) == Some(plan(1)));
+    wait_for("the log line about free disk space", || {
+        host.log().contains("The disk has room again")
+    });
+    wait_for("the plan at its control listener", || confirmed_plan(host) == Some(plan(1)));
     assert!(!system.keepers[2].has_ended());
 }
 
@@ -146,7 +148,7 @@
         std::thread::sleep(STREAK_PAUSE);
         system.send(0, &format!("l{number}"), "/prompt/x", &short).status == 200
     };
-    wait_for("choices of the leader alone", || {
+    wait_for("placements by the leader only", || {
         let before = local_choices();
         (0..STREAK).all(|_| is_placed_by_leader()) && local_choices() == before
     });
--- a/clayplankd/tests/seeded/cordons.rs
+++ b/clayplankd/tests/seeded/cordons.rs
@@ -17,7 +17,7 @@
 /// Sends a command to a host until it is acknowledged.
 fn send_command(host: &Host, method: &str, data_centre: &str) {
     let path = cordon_path(data_centre);
-    wait_for("the acknowledgement of an order", || {
+    wait_for("the acknowledgement of a command", || {
         call(host.control(), method, &path, &[], "").status == 200
     });
 }
@@ -35,7 +35,7 @@
 
 /// Waits until every entry host has applied this number of cordon changes.
 fn wait_until_known(system: &System, changes: usize) {
-    wait_for("news of a cordon at all hosts", || {
+    wait_for("the cordon change at all hosts", || {
         let is_logged = |host: &Host| host.lines("Cordons are in force").len() >= changes;
         system.entries.iter().all(is_logged)
     });
@@ -44,8 +44,8 @@
 fn assert_refused(system: &System, entry: usize, attempt: &str) {
     let answer = system.send(entry, attempt, "/once/x", &[]);
     assert_eq!(answer.status, 503, "{}", answer.text());
-    assert!(answer.header("retry-after").is_some(), "it says when to come back");
-    assert_eq!(system.runs.count(attempt), 0, "not run is true");
+    assert!(answer.header("retry-after").is_some(), "the answer has a retry time");
+    assert_eq!(system.runs.count(attempt), 0, "a refused request did not run");
 }
 
 #[test]
--- a/clayplankd/tests/seeded/crashing.rs
+++ b/clayplankd/tests/seeded/crashing.rs
@@ -152,13 +152,13 @@
 
 /// Instant from which all hosts must know that the request has terminated three upstreams.
 fn known_at(events: &FleetEvents) -> Instant {
-    events.ended.get(2).copied().unwrap_or_else(Instant::now) + PROPAGATION_TIME
+    events.terminations.get(2).copied().unwrap_or_else(Instant::now) + PROPAGATION_TIME
 }
 
 /// Number of times that the request reached an upstream after that instant.
 fn late_sends(events: &FleetEvents) -> usize {
     let known_at = known_at(events);
-    events.begun.iter().filter(|begun| **begun > known_at).count()
+    events.request_starts.iter().filter(|started| **started > known_at).count()
 }
 
 fn served(observed: &[ObservedRequest]) -> (usize, usize) {
@@ -184,8 +184,8 @@
     let late = late_sends(&events);
     let after: Vec<_> = observed.iter().filter(|one| one.sent_at > known_at).copied().collect();
     println!(
-        "{} upstreams ended, {late} sends late; others served {:?}, after that time {:?}; the caller got {:?}",
-        events.ended.len(),
+        "{} upstreams terminated, {late} late sends; others served {:?}, after that time {:?}; statuses for the caller {:?}",
+        events.terminations.len(),
         served(&observed),
         served(&after),
         statuses.iter().fold(std::collections::BTreeMap::new(), |mut counts, status| {
@@ -193,7 +193,10 @@
             counts
         }),
     );
-    assert!(late <= MAX_LATE, "{late} sends later than {PROPAGATION_TIME:?} after the third end");
+    assert!(
+        late <= MAX_LATE,
+        "{late} sends later than {PROPAGATION_TIME:?} after the third termination"
+    );
     let (good, all) = served(&after);
     assert!(good * 100 >= all * 99, "of {all} other requests after that time {good} were served");
 }
@@ -212,8 +215,8 @@
     });
     let (good, all) = served(&observed);
     let quarantined = observed.iter().filter(|one| one.is_quarantined).count();
-    println!("{good} of {all} served, {quarantined} held back");
-    assert_eq!(quarantined, 0, "requests that were held back for what they did not do");
+    println!("{good} of {all} served, {quarantined} quarantined");
+    assert_eq!(quarantined, 0, "quarantined requests that terminated no upstream");
     // Some requests have both attempts at upstreams that are killed: 795 of 800 were served without
     // quarantine.
     assert!(good * 100 >= all * 98, "{good} of {all} requests were served");
@@ -221,7 +224,7 @@
 
 /// Number of times that the crashing request has reached an upstream.
 fn crashing_starts(fleet: &Fleet) -> usize {
-    fleet.events().begun.len()
+    fleet.events().request_starts.len()
 }
 
 /// The leader is killed while the request is repeated. The next leader must retain what is known of
@@ -238,8 +241,11 @@
     system.keepers[leader].start();
     let events = fleet.events();
     let late = late_sends(&events);
-    println!("{} upstreams ended, {late} sends late", events.ended.len());
-    assert!(late <= MAX_LATE, "{late} sends later than {PROPAGATION_TIME:?} after the third end");
+    println!("{} upstreams terminated, {late} late sends", events.terminations.len());
+    assert!(
+        late <= MAX_LATE,
+        "{late} sends later than {PROPAGATION_TIME:?} after the third termination"
+    );
 }
 
 /// All processes are killed and restarted with nothing but the keepers' disks, from which the
@@ -273,8 +279,8 @@
     assert_eq!(quarantined(&system), Vec::<Value>::new());
     send_repeatedly(&system, "/repeatable/x", Duration::from_secs(2));
     let before = crashing_starts(&fleet);
-    let held = quarantined(&system);
-    let [one] = held.as_slice() else { panic!("{held:?}") };
+    let requests = quarantined(&system);
+    let [one] = requests.as_slice() else { panic!("{requests:?}") };
     assert_eq!(one["caller"], "timekeepers");
     assert!(one["ended"].as_array().unwrap().len() >= 3, "{one}");
     let metrics = system.entries[0].metrics();
@@ -282,7 +288,7 @@
     let path = format!("/v1/held-back/{}", one["fingerprint"].as_str().unwrap());
     let control = system.keepers[1].control();
     assert_eq!(call(control, "DELETE", &path, &[], "").status, 200);
-    assert_eq!(call(control, "DELETE", &path, &[], "").status, 404, "it is lifted already");
+    assert_eq!(call(control, "DELETE", &path, &[], "").status, 404, "already lifted");
     assert_eq!(call(control, "DELETE", "/v1/held-back/7", &[], "").status, 400);
     wait_for("hosts that send the request again", || {
         send_repeatedly(&system, "/repeatable/x", Duration::from_millis(200));
--- a/clayplankd/tests/seeded/crashing_upstreams.rs
+++ b/clayplankd/tests/seeded/crashing_upstreams.rs
@@ -32,9 +32,9 @@
 #[derive(Debug, Default)]
 pub struct FleetEvents {
     /// Times at which the crashing request started at an upstream.
-    pub begun: Vec<Instant>,
+    pub request_starts: Vec<Instant>,
     /// Times at which an upstream terminated because of it.
-    pub ended: Vec<Instant>,
+    pub terminations: Vec<Instant>,
 }
 
 /// Upstreams that terminate under the crashing request, or when they are killed.
@@ -115,7 +115,7 @@
             }
             let was_terminated_by_request = self.run_incarnation(incarnation, &mut killed);
             if was_terminated_by_request {
-                self.events.lock().unwrap().ended.push(Instant::now());
+                self.events.lock().unwrap().terminations.push(Instant::now());
             }
             std::thread::sleep(RESTART_DELAY);
             // Kills that arrive while the upstream is down have no effect.
@@ -170,9 +170,9 @@
         was_terminated_by_request
     }
 
-    fn record_start(&self, begun: Option<()>) {
-        if begun.is_some() {
-            self.events.lock().unwrap().begun.push(Instant::now());
+    fn record_start(&self, start: Option<()>) {
+        if start.is_some() {
+            self.events.lock().unwrap().request_starts.push(Instant::now());
         }
     }
 }
--- a/clayplankd/tests/seeded/failover.rs
+++ b/clayplankd/tests/seeded/failover.rs
@@ -48,7 +48,7 @@
         system.entries.iter().all(is_back)
     });
     let after: Vec<_> = system.entries.iter().map(follow_failures).collect();
-    assert_eq!(before, after, "a keeper was asked to be followed that did not lead");
+    assert_eq!(before, after, "a follow request reached a keeper that did not lead");
     if is_paused {
         system.keepers[former].signal("-CONT");
     }
@@ -96,7 +96,7 @@
     });
     let unanswered = system.entries[0].lines("A keeper does not choose engines");
     let of = |ip: &str| unanswered.iter().filter(|line| line["keeper"] == ip).count();
-    assert!(of(&first_ip) > 0, "prompts came while nobody led");
+    assert!(of(&first_ip) > 0, "prompts were sent while there was no leader");
     assert_eq!(of(&failed_ip), 0, "{unanswered:?}");
 }
 
--- a/clayplankd/tests/seeded/guarantees.rs
+++ b/clayplankd/tests/seeded/guarantees.rs
@@ -34,7 +34,7 @@
     let again = system.send(0, "a7", "/repeatable/x", &[("x-standin-fault", "lose")]);
     assert_eq!((again.status, system.runs.count("a7")), (200, 2));
     let foreign = system.send(0, "a8", "/once/x", &[("x-standin-fault", "foreign")]);
-    assert_eq!(foreign.status, 502, "an answer to another request is nobody's");
+    assert_eq!(foreign.status, 502, "an answer to another request is discarded");
     let unsealed = system.send(0, "a9", "/repeatable/x", &[("x-standin-fault", "unsealed")]);
     assert_eq!((unsealed.status, system.runs.count("a9")), (200, 2));
     assert!(system.entries[0].metrics().contains("clayplank_entry_requests_total"));
@@ -49,7 +49,7 @@
     let ids: Vec<u64> =
         text.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect();
     assert_eq!(ids, (1..=12).collect::<Vec<_>>());
-    assert!(text.contains("data: u1") && text.contains("data: u2"), "both wrote a part");
+    assert!(text.contains("data: u1") && text.contains("data: u2"), "both sent a part");
     assert_eq!(system.runs.count("s1"), 2);
 
     let later = system.send(0, "s2", "/stream/events/5", &[("last-event-id", "3")]);
@@ -81,10 +81,10 @@
          x-standin-fault: slow\r\ncontent-length: 0\r\n\r\n"
     );
     caller.write_all(request.as_bytes()).unwrap();
-    wait_for("the run", || system.runs.count("gone-1") == 1);
+    wait_for("the start of the request", || system.runs.count("gone-1") == 1);
     drop(caller);
     let line = "\"message\":\"The caller left before an answer\"";
-    wait_for("the line", || {
+    wait_for("the log line", || {
         let log = system.entries[0].log();
         log.lines().any(|one| one.contains(line) && one.contains("gone-1") && one.contains("\"u"))
     });
@@ -118,9 +118,9 @@
          x-clayplank-tokens: {tokens}\r\ncontent-length: 0\r\n\r\n"
     );
     caller.write_all(request.as_bytes()).unwrap();
-    wait_for("its work", || memory_in_use(engine) > 1_000_000);
+    wait_for("work at the engine", || memory_in_use(engine) > 1_000_000);
     drop(caller);
-    wait_for("the end of its work", || memory_in_use(engine) == 0);
+    wait_for("the end of work at the engine", || memory_in_use(engine) == 0);
 }
 
 #[test]
@@ -130,7 +130,7 @@
     second["routes"][0]["path_prefix"] = json!("/renamed/");
     assert_eq!(publish(&system.keepers[1], &second).status, 200);
     wait_for("the new route", || system.send(0, "p1", "/renamed/x", &[]).status == 200);
-    assert_eq!(publish(&system.keepers[2], &plan(3)).status, 200, "it was overtaken");
+    assert_eq!(publish(&system.keepers[2], &plan(3)).status, 200, "superseded by version 5");
     assert_eq!(publish(&system.keepers[2], &second).status, 200, "a resend");
     assert_eq!(publish(&system.keepers[2], &plan(5)).status, 409, "another plan of this version");
     let mut wrong = plan(6);
@@ -147,7 +147,7 @@
             confirmed = answer.text();
             answer.status == 200
         });
-        assert_eq!(confirmed, second.to_string(), "as it was sent");
+        assert_eq!(confirmed, second.to_string(), "the plan is stored as it was sent");
     }
 }
 
@@ -170,7 +170,7 @@
     let mut system = System::start();
     wait_for("the acknowledgement", || system.send_heartbeat(0, "u1", "draining").status == 200);
     // The update reaches each entry host with its next exchange with a keeper.
-    wait_for("news at the entry hosts", || {
+    wait_for("the update at the entry hosts", || {
         (0..40).all(|number| {
             let attempt = format!("d{number}-{}", rand_suffix());
             let answer = system.send(number % 2, &attempt, "/repeatable/x", &[]);
@@ -219,7 +219,7 @@
     for keeper in 0..system.keepers.len() {
         system.keepers[keeper].start();
     }
-    wait_for("the plan after all were down", || {
+    wait_for("the plan after a restart of all keepers", || {
         let confirmed = call(system.keepers[2].control(), "GET", "/v1/plan", &[], "");
         confirmed.text() == fourth_text
     });
@@ -240,13 +240,13 @@
         ];
         call(callers, "POST", "/once/x", &headers, "body")
     });
-    wait_for("the run", || system.runs.count("slow-1") == 1);
+    wait_for("the start of the request", || system.runs.count("slow-1") == 1);
     system.entries[0].terminate();
     wait_for("the end of readiness", || !system.entries[0].is_ready());
     let answer = slow.join().unwrap();
     assert_eq!((answer.status, answer.is_complete), (200, true));
     wait_for("the end of the process", || system.entries[0].has_ended());
-    assert_eq!(system.send(1, "after", "/once/x", &[]).status, 200, "the other host serves on");
+    assert_eq!(system.send(1, "after", "/once/x", &[]).status, 200, "the other host still serves");
 }
 
 /// An engine too small for the long prompt below, which fits into three of them together.
@@ -294,7 +294,7 @@
     });
     assert!(answer.is_complete);
     assert_eq!(answer.text().matches("id: ").count(), 3, "{}", answer.text());
-    wait_for("the return of all memory", || {
+    wait_for("the release of all memory", || {
         engines.iter().all(|&engine| memory_in_use(engine) == 0)
     });
 }
@@ -310,7 +310,7 @@
         settings["log"] = json!({ "level": "debug" });
     });
     let line = "\"message\":\"Took in changed settings\"";
-    wait_for("the line that tells of it", || entry.log().contains(line));
+    wait_for("the log line about changed settings", || entry.log().contains(line));
     assert!(entry.log().contains("\"for_next_start\":\"data_centre\""));
     // One retry per window is always allowed; the second shows that the budget is empty.
     for (attempt, status) in [("h1", 200), ("h2", 502)] {
@@ -322,7 +322,11 @@
         entry.log().contains("Changed settings were not taken")
     });
     assert!(entry.log().contains("/bounds/grace_s"));
-    assert_eq!(system.send(0, "h3", "/once/x", &[]).status, 200, "the former ones are in force");
+    assert_eq!(
+        system.send(0, "h3", "/once/x", &[]).status,
+        200,
+        "the former settings are in force"
+    );
 }
 
 #[test]
@@ -362,7 +366,7 @@
     wait_for("the route", || system.send(0, "route", "/prompt/x", &[]).status != 404);
     let long = [("x-clayplank-tokens", "240000,92")];
     let mut number = 0;
-    wait_for("a prompt for which the missing helper was named", || {
+    wait_for("the log line about the missing helper", || {
         number += 1;
         let answer = system.send(0, &format!("named-{number}"), "/prompt/x", &long);
         assert!(matches!(answer.status, 200 | 503), "{}", answer.status);
--- a/clayplankd/tests/seeded/host.rs
+++ b/clayplankd/tests/seeded/host.rs
@@ -117,7 +117,7 @@
 
     /// Writes the complete settings file; `seeds` are control addresses of hosts to contact at
     /// start (bootstrap addresses).
-    pub fn write_settings(&self, bootstrap: &[SocketAddr], is_first_start: bool) {
+    pub fn write_settings(&self, bootstrap_addresses: &[SocketAddr], is_first_start: bool) {
         let behind = |port| SocketAddr::new(IpAddr::V4(self.bind_ip), port);
         let mut listen = json!({ "inner": behind(INNER_PORT), "metrics": self.at(METRICS_PORT) });
         if self.role != (Role::Entry { has_control_listener: false }) {
@@ -135,10 +135,10 @@
             "data_centre": "hall",
             "data_centres": ["hall", "annex"],
             "listen": listen,
-            "seeds": bootstrap,
+            "seeds": bootstrap_addresses,
             "is_first_start": is_first_start,
             "data_dir": has_disk.then_some(&self.data),
-            "tolerated_losses": (bootstrap.len() - 1) / 2,
+            "tolerated_losses": (bootstrap_addresses.len() - 1) / 2,
             "bounds": { "heartbeat_ms": 300, "revoke_ms": 4000, "grace_s": 6.0 },
         });
         std::fs::write(&self.settings, settings.to_string()).unwrap();
--- a/clayplankd/tests/seeded/limited.rs
+++ b/clayplankd/tests/seeded/limited.rs
@@ -178,16 +178,22 @@
 #[case::service(UpstreamKind::Service)]
 fn hosts_told_of_a_limit_stay_below_it_together(#[case] kind: UpstreamKind) {
     let limited = LimitedSystem::start(kind);
-    let mut most = 0;
+    let mut max = 0;
     let (served, sent) = limited.run_with_callers(|| {
         let (limit, since) = limit_busiest(&limited.limits);
         std::thread::sleep(PROPAGATION_TIME + RUN);
-        most = max_in_window(limit, Some(since));
+        max = max_in_window(limit, Some(since));
     });
     println!("{}", limited.logged_sends());
-    println!("{most} in a span, {} allowed; {served} of {sent} served", max_allowed(LIMIT_PER_S));
-    assert!(most <= max_allowed(LIMIT_PER_S), "{most} in a span of {WINDOW:?}");
-    assert!(served * 100 >= sent * 98, "{served} of {sent} were served, beside upstreams at rest");
+    println!(
+        "{max} requests in a window, {} allowed; {served} of {sent} served",
+        max_allowed(LIMIT_PER_S)
+    );
+    assert!(max <= max_allowed(LIMIT_PER_S), "{max} requests in a window of {WINDOW:?}");
+    assert!(
+        served * 100 >= sent * 98,
+        "{served} of {sent} were served, with free capacity at other upstreams"
+    );
 }
 
 /// The leader is killed while an upstream has a limit, which the next leader must know.
@@ -197,17 +203,20 @@
 fn a_limit_survives_a_change_of_leader(#[case] kind: UpstreamKind) {
     let mut limited = LimitedSystem::start(kind);
     let first = leader(&limited.system);
-    let mut most = 0;
+    let mut max = 0;
     let (served, sent) = limited.run_with_callers(|| {
         let (limit, since) = limit_busiest(&limited.limits);
         std::thread::sleep(PROPAGATION_TIME);
         limited.system.keepers[first].signal("-KILL");
         std::thread::sleep(RUN);
-        most = max_in_window(limit, Some(since));
+        max = max_in_window(limit, Some(since));
     });
-    println!("{most} in a span, {} allowed; {served} of {sent} served", max_allowed(LIMIT_PER_S));
+    println!(
+        "{max} requests in a window, {} allowed; {served} of {sent} served",
+        max_allowed(LIMIT_PER_S)
+    );
     limited.system.keepers[first].kill();
-    assert!(most <= max_allowed(LIMIT_PER_S), "{most} in a span of {WINDOW:?}");
+    assert!(max <= max_allowed(LIMIT_PER_S), "{max} requests in a window of {WINDOW:?}");
     assert!(served * 10 >= sent * 9, "{served} of {sent} were served");
 }
 
@@ -219,7 +228,7 @@
 fn what_upstreams_with_a_limit_take_is_used(#[case] kind: UpstreamKind) {
     const EACH_LIMIT_PER_S: f64 = 2.0;
     let limited = LimitedSystem::start(kind);
-    let mut most = Vec::new();
+    let mut max = Vec::new();
     let mut refused = Answer::default();
     let (served, sent) = limited.run_with_callers(|| {
         std::thread::sleep(WARM_UP);
@@ -233,13 +242,16 @@
             refused.status != 200
         });
         std::thread::sleep(RUN);
-        most = limited.limits.iter().map(|limit| max_in_window(limit, Some(since))).collect();
+        max = limited.limits.iter().map(|limit| max_in_window(limit, Some(since))).collect();
     });
     let run_s = (PROPAGATION_TIME + RUN).as_secs_f64();
-    let taken = EACH_LIMIT_PER_S * limited.limits.len() as f64 * run_s;
-    println!("{most:?} in a span; {served} of {sent} served, {taken} could be");
-    assert!(most.iter().all(|most| *most <= max_allowed(EACH_LIMIT_PER_S)), "{most:?} in a span");
-    assert!(served as f64 > taken / 2.0, "{served} of {taken} that could be were served");
+    let capacity = EACH_LIMIT_PER_S * limited.limits.len() as f64 * run_s;
+    println!("{max:?} requests in a window; {served} of {sent} served, capacity for {capacity}");
+    assert!(
+        max.iter().all(|max| *max <= max_allowed(EACH_LIMIT_PER_S)),
+        "{max:?} requests in a window"
+    );
+    assert!(served as f64 > capacity / 2.0, "{served} served, capacity for {capacity}");
     assert_eq!(refused.status, 503, "{}", refused.text());
     assert!(refused.header("retry-after").is_some());
 }
--- a/clayplankd/tests/seeded/main.rs
+++ b/clayplankd/tests/seeded/main.rs
@@ -2,7 +2,7 @@
 //! processes: their guarantees one by one, and randomised runs of all of them (`soak`).
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![allow(clippy::print_stdout, reason = "the soak tells its seeds, and what each came to")]
+#![allow(clippy::print_stdout, reason = "the soak prints its seeds and their results")]
 
 #[path = "../harness/answer.rs"]
 mod answer;
--- a/clayplankd/tests/seeded/replacement.rs
+++ b/clayplankd/tests/seeded/replacement.rs
@@ -114,7 +114,7 @@
     for _ in 0..3 {
         let text = plan(3).to_string();
         let answer = call(system.keepers[leading].control(), "PUT", "/v1/plan", &[], &text);
-        assert_eq!(answer.status, 503, "two disks hold it: {}", answer.text());
+        assert_eq!(answer.status, 503, "only two disks store the plan: {}", answer.text());
     }
     system.keepers[paused].signal("-CONT");
     system.wait_for_plan(&plan(3));
@@ -171,12 +171,15 @@
 
 /// Restarts all hosts, each with only the entry hosts that `seeds_of` returns as bootstrap
 /// addresses, and waits until all entry hosts are ready.
-fn restart_with_bootstrap_entries(system: &mut System, bootstrap_of: impl Fn(usize) -> Vec<usize>) {
+fn restart_with_bootstrap_entries(
+    system: &mut System,
+    bootstrap_entries_of: impl Fn(usize) -> Vec<usize>,
+) {
     let all = system.keepers.iter().chain(&system.entries);
     for (number, host) in all.enumerate() {
-        let bootstrap =
-            bootstrap_of(number).into_iter().map(|entry| system.entries[entry].control());
-        host.set_bootstrap_addresses(&bootstrap.collect::<Vec<_>>());
+        let bootstrap_addresses =
+            bootstrap_entries_of(number).into_iter().map(|entry| system.entries[entry].control());
+        host.set_bootstrap_addresses(&bootstrap_addresses.collect::<Vec<_>>());
     }
     system.restart_all();
     wait_for("a confirmed plan at all hosts", || system.entries.iter().all(Host::is_ready));
@@ -187,11 +190,13 @@
 #[case::all_from_the_same_three(|_| vec![0, 1, 2])]
 #[case::keepers_from_others_than_hosts(|host| if host < 3 { vec![0, 1, 2] } else { vec![3, 4, 5] })]
 #[case::each_from_the_next_two(|host| if host < 3 { vec![0] } else { vec![host % 7, (host + 1) % 7] })]
-fn hosts_that_no_keeper_contacts_find_the_keepers(#[case] bootstrap_of: fn(usize) -> Vec<usize>) {
+fn hosts_that_no_keeper_contacts_find_the_keepers(
+    #[case] bootstrap_entries_of: fn(usize) -> Vec<usize>,
+) {
     let topology =
         Topology { keepers: 3, entries: 7, has_combined_roles: true, ..Topology::default() };
     let mut system = System::start_with(topology);
-    restart_with_bootstrap_entries(&mut system, bootstrap_of);
+    restart_with_bootstrap_entries(&mut system, bootstrap_entries_of);
 }
 
 /// One bootstrap address accepts connections without answering, and nothing listens at another.
@@ -203,12 +208,12 @@
     let unresponsive = SocketAddr::new(IpAddr::V4(system.upstream_ip(91)), INNER_PORT);
     let _listener = TcpListener::bind(unresponsive).unwrap();
     let of = |last| SocketAddr::new(IpAddr::V4(system.upstream_ip(last)), CONTROL_PORT);
-    let bootstrap = [of(91), of(92), system.entries[0].control()];
+    let bootstrap_addresses = [of(91), of(92), system.entries[0].control()];
     system
         .keepers
         .iter()
         .chain(&system.entries)
-        .for_each(|host| host.set_bootstrap_addresses(&bootstrap));
+        .for_each(|host| host.set_bootstrap_addresses(&bootstrap_addresses));
     system.restart_all();
     wait_for("a confirmed plan at all hosts", || system.entries.iter().all(Host::is_ready));
 }
@@ -223,7 +228,7 @@
     wait_for("a newcomer that votes", || votes(&system.keepers[added_keeper]));
     system.keepers[0].terminate();
     wait_for("the end of the replaced keeper", || system.keepers[0].has_ended());
-    wait_for("three keepers that are known", || {
+    wait_for("exactly three known keepers", || {
         let knows_three = |host: &Host| host.metrics().contains("clayplank_follow_keepers 3\n");
         system.entries.iter().all(knows_three)
     });
@@ -244,12 +249,12 @@
         wait_for("the end of the replaced keeper", || system.keepers[0].has_ended());
         system.keepers.remove(0);
     }
-    let bootstrap = [replaced[0], replaced[1], system.entries[0].control()];
+    let bootstrap_addresses = [replaced[0], replaced[1], system.entries[0].control()];
     system
         .keepers
         .iter()
         .chain(&system.entries)
-        .for_each(|host| host.set_bootstrap_addresses(&bootstrap));
+        .for_each(|host| host.set_bootstrap_addresses(&bootstrap_addresses));
     system.entries[1].kill();
     system.entries[1].start();
     wait_for("a confirmed plan at one host", || system.entries[1].is_ready());
--- a/clayplankd/tests/seeded/soak/checks.rs
+++ b/clayplankd/tests/seeded/soak/checks.rs
@@ -61,7 +61,7 @@
     });
     missed
         .filter(|(_, missed)| *missed > MAX_MISSED)
-        .map(|(ip, missed)| format!("{ip} missed {missed} changes in a row, of {}", plans.len()))
+        .map(|(ip, missed)| format!("{ip} missed {missed} consecutive plans of {}", plans.len()))
         .collect()
 }
 
@@ -103,10 +103,10 @@
         .filter(is_calm)
         .filter(|observed| is_interrupted(observed, count(&observed.attempt)));
     cut.map(|observed| {
-        let start_ms = observed.sent_at.duration_since(started_at).as_millis();
+        let sent_ms = observed.sent_at.duration_since(started_at).as_millis();
         let status = observed.answer.as_ref().map(|answer| answer.status);
         format!(
-            "{} at entry {} was cut off, sent at {start_ms} ms: {status:?}",
+            "{} at entry {} was interrupted, sent at {sent_ms} ms: {status:?}",
             observed.attempt, observed.entry
         )
     })
--- a/clayplankd/tests/seeded/soak/crashing.rs
+++ b/clayplankd/tests/seeded/soak/crashing.rs
@@ -50,19 +50,20 @@
 pub fn check_quarantine(shared: &Shared, fleet: &Fleet, refused: &Refused) -> Vec<String> {
     for entry in 0..ENTRIES {
         let mut number = 0;
-        wait_for("service where a request ended upstreams", || {
+        wait_for("service at upstreams that a request terminated", || {
             number += 1;
             send(shared, entry, &format!("beside-{entry}-{number}"), "beside").0 == 200
         });
     }
     let Some(refused) = *refused.0.lock().unwrap() else {
-        return vec!["the crashing request was never held back".to_owned()];
+        return vec!["the crashing request was never quarantined".to_owned()];
     };
     let events = fleet.events();
-    let late = events.begun.iter().filter(|begun| **begun > refused + PROPAGATION_TIME);
-    late.map(|begun| {
-        let after_ms = begun.duration_since(refused).as_millis();
-        format!("the crashing request reached an upstream {after_ms} ms after it was held back")
+    let late =
+        events.request_starts.iter().filter(|started| **started > refused + PROPAGATION_TIME);
+    late.map(|started| {
+        let after_ms = started.duration_since(refused).as_millis();
+        format!("the crashing request reached an upstream {after_ms} ms after it was quarantined")
     })
     .collect()
 }
--- a/clayplankd/tests/seeded/soak/limited.rs
+++ b/clayplankd/tests/seeded/soak/limited.rs
@@ -49,12 +49,10 @@
 /// resumes may send one request before it has received the limit.
 pub fn check_limits(limits: &[SharedLimit]) -> Vec<String> {
     let allowed = max_allowed(LIMIT_PER_S) + ENTRIES;
-    let most = limits.iter().map(|limit| max_in_window(limit, None));
-    most.filter(|most| *most > allowed)
-        .map(|most| {
-            format!(
-                "an upstream that names a limit got {most} requests in a span, {allowed} allowed"
-            )
+    let max = limits.iter().map(|limit| max_in_window(limit, None));
+    max.filter(|max| *max > allowed)
+        .map(|max| {
+            format!("an upstream with a limit got {max} requests in a window, {allowed} allowed")
         })
         .collect()
 }
--- a/clayplankd/tests/seeded/soak/mod.rs
+++ b/clayplankd/tests/seeded/soak/mod.rs
@@ -42,5 +42,5 @@
             }
         }
     }
-    assert!(failed.is_empty(), "seeds {failed:?}; replay one with CLAYPLANK_SOAK_SEEDS");
+    assert!(failed.is_empty(), "failed seeds {failed:?}; replay one with CLAYPLANK_SOAK_SEEDS");
 }
--- a/clayplankd/tests/seeded/soak/record.rs
+++ b/clayplankd/tests/seeded/soak/record.rs
@@ -51,17 +51,19 @@
 pub fn check_observed(observed: &ObservedRequest, runs: usize) -> Option<String> {
     let ObservedRequest { attempt, kind, .. } = observed;
     if *kind == Kind::Once && runs > 1 {
-        return Some(format!("{attempt} ran {runs} times, and may run once"));
+        return Some(format!("{attempt} ran {runs} times, but may run only once"));
     }
     let answer = observed.answer.as_ref()?;
     match answer.status {
         200 if !answer.is_complete => None,
         200 if is_expected(observed, answer) => None,
-        200 => Some(format!("{attempt} got a whole answer that is not its own: {}", answer.text())),
+        200 => {
+            Some(format!("{attempt} got a complete answer to another request: {}", answer.text()))
+        }
         503 if runs > 0 && *kind == Kind::Once => {
-            Some(format!("{attempt} was told that it had not run, and ran {runs} times"))
+            Some(format!("{attempt} was reported as not run, and ran {runs} times"))
         }
-        401 | 404 => Some(format!("{attempt} was denied with {}", answer.status)),
+        401 | 404 => Some(format!("{attempt} was rejected with {}", answer.status)),
         _ => None,
     }
 }
--- a/clayplankd/tests/seeded/soak/run.rs
+++ b/clayplankd/tests/seeded/soak/run.rs
@@ -125,11 +125,11 @@
         .iter()
         .filter(|observed| observed.answer.as_ref().is_some_and(|a| a.status == 200));
     let summary = format!(
-        "{} of {} requests served, plan {}, {} upstreams ended under one, {:?} requests where a limit is named, {} steps, {setup:?}",
+        "{} of {} requests served, plan {}, {} upstreams terminated by the crashing request, {:?} requests at upstreams with a limit, {} steps, {setup:?}",
         served.count(),
         observed.len(),
         shared.acknowledged.load(Ordering::SeqCst),
-        fleet.events().ended.len(),
+        fleet.events().terminations.len(),
         limits.each_ref().map(|limit| limit.arrivals().len()),
         schedule.len()
     );
@@ -146,11 +146,11 @@
     for step in schedule {
         writeln!(text, "  {step:?}").unwrap();
     }
-    for promise in violations.iter().take(20) {
-        writeln!(text, "broken: {promise}").unwrap();
+    for violation in violations.iter().take(20) {
+        writeln!(text, "violated: {violation}").unwrap();
     }
     let words: BTreeSet<_> =
-        violations.iter().filter_map(|promise| promise.split(' ').next()).take(5).collect();
+        violations.iter().filter_map(|violation| violation.split(' ').next()).take(5).collect();
     let system = system.lock().unwrap();
     for host in system.keepers.iter().chain(&system.entries).chain(&system.idle_entries) {
         let log = host.log();
--- a/clayplankd/tests/seeded/system.rs
+++ b/clayplankd/tests/seeded/system.rs
@@ -30,7 +30,7 @@
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < WAIT_TIMEOUT, "{what} did not happen");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "{what} did not happen within {WAIT_TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(25));
     }
 }
@@ -156,10 +156,10 @@
         let keepers = if self.topology.bootstraps_from_entries { 1 } else { self.keepers.len() };
         let entries = if self.topology.bootstraps_from_entries { self.entries.len() } else { 0 };
         let keepers = self.keepers.iter().take(keepers);
-        let bootstrap: Vec<_> =
+        let bootstrap_addresses: Vec<_> =
             keepers.chain(self.entries.iter().take(entries)).map(Host::control).collect();
         for host in self.keepers.iter().chain(&self.entries).chain(&self.idle_entries) {
-            host.write_settings(&bootstrap, is_first_start);
+            host.write_settings(&bootstrap_addresses, is_first_start);
         }
     }
 
@@ -208,7 +208,7 @@
     fn new_keeper(&mut self) -> Host {
         self.added += 1;
         let last = (self.topology.keepers as u8) + self.added;
-        let bootstrap =
+        let bootstrap_addresses =
             self.draw_bootstrap_addresses(&mut SmallRng::seed_from_u64(u64::from(last)));
         let ip = self.upstream_ip(last);
         if self.topology.has_proxies {
@@ -222,7 +222,7 @@
             data: self.dir.path().join(format!("data-{last}")),
             child: None,
         };
-        keeper.write_settings(&bootstrap, false);
+        keeper.write_settings(&bootstrap_addresses, false);
         keeper.change_settings_file(|settings| {
             settings["tolerated_losses"] = ((self.topology.keepers - 1) / 2).into();
         });
@@ -338,7 +338,7 @@
 /// can happen with a busy disk, and that it should be sent again.
 pub fn publish(keeper: &Host, plan: &Value) -> Answer {
     let mut answer = Answer::default();
-    wait_for("a clear answer to a plan", || {
+    wait_for("a definite answer to a plan", || {
         answer = call(keeper.control(), "PUT", "/v1/plan", &[], &plan.to_string());
         answer.status != 503 && answer.status != 0
     });
--- a/clayplankd/tests/seeded/upstream_restarts.rs
+++ b/clayplankd/tests/seeded/upstream_restarts.rs
@@ -19,7 +19,7 @@
     body["born_ms"] = born_ms.into();
     let keeper = system.keepers[0].control();
     let path = heartbeat_path(name);
-    wait_for("a keeper that takes a heartbeat", || {
+    wait_for("a keeper that accepts a heartbeat", || {
         call(keeper, "PUT", &path, &[], &body.to_string()).status == 200
     });
 }
@@ -32,13 +32,13 @@
 fn drain_all() -> System {
     let system = System::start();
     let keeper = system.keepers[0].control();
-    wait_for("the end of the other upstream", || {
+    wait_for("the departure of the other upstream", || {
         call(keeper, "DELETE", &heartbeat_path("u2"), &[], "").status == 200
     });
     send_heartbeat_of(&system, ("u1", 21, 1_000), 5_000, "ready");
     send_heartbeat_of(&system, ("u1", 21, 1_000), 5_001, "draining");
     let mut number = 0;
-    wait_for("no upstream that takes work", || {
+    wait_for("no upstream that accepts requests", || {
         number += 1;
         !is_served(&system, &format!("drained-{number}"))
     });
@@ -50,7 +50,7 @@
     let system = drain_all();
     send_heartbeat_of(&system, ("u1", 21, 2_000), 1, "ready");
     let mut number = 0;
-    wait_for("service by the new life", || {
+    wait_for("service by the new incarnation", || {
         number += 1;
         is_served(&system, &format!("again-{number}"))
     });
