--- a/clayplankd/tests/seeded/combined_roles.rs
+++ b/clayplankd/tests/seeded/combined_roles.rs
@@ -166,8 +166,8 @@
 fn after_a_power_loss_upstreams_are_known_before_they_send_heartbeats() {
     let mut system = start();
     let is_saved = |host: &Host| {
-        let note = fs::read(host.data.join("upstreams")).unwrap_or_default();
-        ["u1", "u2"].iter().all(|id| note.windows(id.len()).any(|role| role == id.as_bytes()))
+        let saved = fs::read(host.data.join("upstreams")).unwrap_or_default();
+        ["u1", "u2"].iter().all(|id| saved.windows(id.len()).any(|part| part == id.as_bytes()))
     };
     wait_for("the saved upstreams", || system.keepers.iter().all(is_saved));
     restart_all_with_rare_heartbeats(&mut system);
--- a/clayplankd/tests/seeded/crashing.rs
+++ b/clayplankd/tests/seeded/crashing.rs
@@ -265,7 +265,7 @@
 }
 
 /// Quarantined requests as shown to an operator.
-fn quarantined(system: &System) -> Vec<Value> {
+fn list_quarantined(system: &System) -> Vec<Value> {
     let answer = call(system.keepers[0].control(), "GET", "/v1/held-back", &[], "");
     assert_eq!(answer.status, 200, "{}", answer.text());
     serde_json::from_str(&answer.text()).unwrap()
@@ -276,10 +276,10 @@
 #[test]
 fn an_operator_reads_and_lifts_a_quarantine() {
     let (system, fleet) = start();
-    assert_eq!(quarantined(&system), Vec::<Value>::new());
+    assert_eq!(list_quarantined(&system), Vec::<Value>::new());
     send_repeatedly(&system, "/repeatable/x", Duration::from_secs(2));
     let before = crashing_starts(&fleet);
-    let requests = quarantined(&system);
+    let requests = list_quarantined(&system);
     let [one] = requests.as_slice() else { panic!("{requests:?}") };
     assert_eq!(one["caller"], "timekeepers");
     assert!(one["ended"].as_array().unwrap().len() >= 3, "{one}");
--- a/clayplankd/tests/seeded/failover.rs
+++ b/clayplankd/tests/seeded/failover.rs
@@ -148,9 +148,9 @@
         let unresponsive: Vec<_> = unresponsive.map(|(_, keeper)| keeper.ip.to_string()).collect();
         failures.retain(|line| {
             let cause = line["cause"].as_str().unwrap();
-            let is_of_silent = unresponsive.iter().any(|ip| line["keeper"] == ip.as_str());
+            let is_of_unresponsive = unresponsive.iter().any(|ip| line["keeper"] == ip.as_str());
             cause.ends_with("did not answer in time")
-                && is_of_silent
+                && is_of_unresponsive
                 && line["time"].as_str() < time
         });
         assert!(failures.is_empty(), "{in_force} after {failures:?}");
--- a/clayplankd/tests/seeded/host.rs
+++ b/clayplankd/tests/seeded/host.rs
@@ -151,9 +151,9 @@
     }
 
     /// Sets the bootstrap addresses for the next start, which is not the first start of the system.
-    pub fn set_bootstrap_addresses(&self, controls: &[SocketAddr]) {
+    pub fn set_bootstrap_addresses(&self, addresses: &[SocketAddr]) {
         self.change_settings_file(|settings| {
-            settings["seeds"] = controls.iter().map(ToString::to_string).collect();
+            settings["seeds"] = addresses.iter().map(ToString::to_string).collect();
             settings["is_first_start"] = false.into();
         });
     }
--- a/clayplankd/tests/seeded/limited.rs
+++ b/clayplankd/tests/seeded/limited.rs
@@ -225,7 +225,7 @@
 #[rstest]
 #[case::engines(UpstreamKind::Engines)]
 #[case::service(UpstreamKind::Service)]
-fn what_upstreams_with_a_limit_take_is_used(#[case] kind: UpstreamKind) {
+fn the_capacity_of_upstreams_with_a_limit_is_used(#[case] kind: UpstreamKind) {
     const EACH_LIMIT_PER_S: f64 = 2.0;
     let limited = LimitedSystem::start(kind);
     let mut max = Vec::new();
--- a/clayplankd/tests/seeded/replacement.rs
+++ b/clayplankd/tests/seeded/replacement.rs
@@ -26,9 +26,10 @@
 /// Whether a keeper knows from a committed entry that it is itself a voter.
 fn votes(keeper: &Host) -> bool {
     let changes = keeper.lines("The keepers' members changed");
-    let local = format!("{}#", keeper.ip);
-    let names_local = |line: &Value| line["voters"].as_str().unwrap_or_default().contains(&local);
-    changes.last().is_some_and(|line| line["is_committed"] == true && names_local(line))
+    let id_prefix = format!("{}#", keeper.ip);
+    let includes_keeper =
+        |line: &Value| line["voters"].as_str().unwrap_or_default().contains(&id_prefix);
+    changes.last().is_some_and(|line| line["is_committed"] == true && includes_keeper(line))
 }
 
 fn confirmed_plan_version(keeper: &Host) -> Option<u64> {
@@ -123,8 +124,8 @@
 /// Sets entry hosts as the only bootstrap addresses of a keeper. A host has at most three bootstrap
 /// addresses, which need not be keepers, and may be entry hosts without a disk.
 fn bootstrap_from_entries(system: &System, keeper: &Host) {
-    let controls: Vec<_> = system.entries.iter().map(Host::control).collect();
-    keeper.set_bootstrap_addresses(&controls);
+    let addresses: Vec<_> = system.entries.iter().map(Host::control).collect();
+    keeper.set_bootstrap_addresses(&addresses);
 }
 
 fn start_with_control_listeners() -> System {
@@ -169,7 +170,7 @@
     system.send_heartbeats_until_served();
 }
 
-/// Restarts all hosts, each with only the entry hosts that `seeds_of` returns as bootstrap
+/// Restarts all hosts, each with only the entry hosts that `bootstrap_entries_of` returns as bootstrap
 /// addresses, and waits until all entry hosts are ready.
 fn restart_with_bootstrap_entries(
     system: &mut System,
--- a/clayplankd/tests/seeded/soak/record.rs
+++ b/clayplankd/tests/seeded/soak/record.rs
@@ -38,8 +38,8 @@
         self.observed.lock().unwrap().push(observed);
     }
 
-    pub fn record_violation(&self, promise: String) {
-        self.violations.lock().unwrap().push(promise);
+    pub fn record_violation(&self, violation: String) {
+        self.violations.lock().unwrap().push(violation);
     }
 
     pub fn take(self) -> (Vec<ObservedRequest>, Vec<String>) {
@@ -80,7 +80,8 @@
     }
 }
 
-/// Whether a request that ran got no complete answer although it asked for no fault.
+/// Whether a request that ran got no complete answer although it asked for no fault. Outside the
+/// periods of unplanned faults, only planned work on the host of the caller can cause this.
 pub fn is_interrupted(observed: &ObservedRequest, runs: usize) -> bool {
     let is_complete = observed.answer.as_ref().is_some_and(|answer| answer.is_complete);
     runs > 0 && observed.requested_fault.is_none() && !is_complete
--- a/clayplankd/tests/seeded/soak/run_schedule.rs
+++ b/clayplankd/tests/seeded/soak/run_schedule.rs
@@ -32,7 +32,7 @@
             pending.push(Pending { until, step: *step, process });
         }
         let mut system = shared.system.lock().unwrap();
-        pending.retain(|one| Instant::now() < one.until || !end(&mut system, one));
+        pending.retain(|one| Instant::now() < one.until || !undo(&mut system, one));
         drop(system);
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -55,7 +55,9 @@
         }
         (Target::Link(_), Action::ProcessFault(_))
         | (Target::Keeper(_) | Target::Entry(_), Action::Network(_)) => {
-            unreachable!("schedules draw blows for processes and faults for links")
+            unreachable!(
+                "schedules contain process faults for processes and network faults for links"
+            )
         }
     }
     None
@@ -80,7 +82,7 @@
             std::fs::remove_dir_all(&host.data).ok();
         }
         ProcessFault::FillDisk => limit_files(host),
-        ProcessFault::ReplacePlanned => unreachable!("the newcomer starts first"),
+        ProcessFault::ReplacePlanned => unreachable!("the new keeper starts first"),
     }
     process
 }
@@ -92,7 +94,7 @@
 }
 
 /// Undoes a fault; `false` while a process that is stopping has not exited yet.
-fn end(system: &mut System, pending: &Pending) -> bool {
+fn undo(system: &mut System, pending: &Pending) -> bool {
     match pending.step.target {
         Target::Link(last) => system.proxy(last).set(Fault::None),
         Target::AllKeepers => system.keepers.iter_mut().for_each(restart),
--- a/clayplankd/tests/seeded/soak/setup.rs
+++ b/clayplankd/tests/seeded/soak/setup.rs
@@ -64,11 +64,11 @@
     pub fn write_restart_settings(&self, system: &mut System, seed: u64) {
         let keepers = system.keepers.iter().map(Host::control);
         let entries = system.entries.iter().map(Host::control);
-        let controls: Vec<_> = match self.bootstrap_choice {
+        let addresses: Vec<_> = match self.bootstrap_choice {
             BootstrapChoice::Keepers => return system.write_settings(false),
             BootstrapChoice::AnyThree => keepers.chain(entries).collect(),
             BootstrapChoice::EntriesOnly => entries.collect(),
         };
-        system.set_bootstrap_addresses(controls, &mut SmallRng::seed_from_u64(seed));
+        system.set_bootstrap_addresses(addresses, &mut SmallRng::seed_from_u64(seed));
     }
 }
--- a/clayplankd/tests/seeded/system.rs
+++ b/clayplankd/tests/seeded/system.rs
@@ -164,8 +164,8 @@
     }
 
     /// Gives hosts that start from now on three of these addresses as bootstrap addresses.
-    pub fn set_bootstrap_addresses(&mut self, controls: Vec<SocketAddr>, rng: &mut SmallRng) {
-        self.bootstrap_addresses = controls;
+    pub fn set_bootstrap_addresses(&mut self, addresses: Vec<SocketAddr>, rng: &mut SmallRng) {
+        self.bootstrap_addresses = addresses;
         for host in self.keepers.iter().chain(&self.entries).chain(&self.idle_entries) {
             host.set_bootstrap_addresses(&self.draw_bootstrap_addresses(rng));
         }
