--- a/clayplankd/tests/seeded/host.rs
+++ b/clayplankd/tests/seeded/host.rs
@@ -115,8 +115,8 @@
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// Writes the complete settings file; `seeds` are control addresses of hosts to contact at
-    /// start (bootstrap addresses).
+    /// Writes the complete settings file. The bootstrap addresses are control addresses of
+    /// hosts to contact at the start.
     pub fn write_settings(&self, bootstrap_addresses: &[SocketAddr], is_first_start: bool) {
         let behind = |port| SocketAddr::new(IpAddr::V4(self.bind_ip), port);
         let mut listen = json!({ "inner": behind(INNER_PORT), "metrics": self.at(METRICS_PORT) });
--- a/clayplankd/tests/seeded/limited.rs
+++ b/clayplankd/tests/seeded/limited.rs
@@ -37,8 +37,8 @@
 const CALLERS: usize = 2;
 const PAUSE: Duration = Duration::from_millis(330);
 
-/// Maximum number of requests from all hosts within one window: 1.5 times the limit plus 5
-/// requests.
+/// Maximum number of requests from all hosts within one window: 1.5 times what the
+/// limit allows, plus 5.
 pub fn max_allowed(limit_per_s: f64) -> usize {
     (1.5 * limit_per_s * WINDOW.as_secs_f64() + 5.0) as usize
 }
--- a/clayplankd/tests/seeded/replacement.rs
+++ b/clayplankd/tests/seeded/replacement.rs
@@ -170,8 +170,8 @@
     system.send_heartbeats_until_served();
 }
 
-/// Restarts all hosts, each with only the entry hosts that `bootstrap_entries_of` returns as bootstrap
-/// addresses, and waits until all entry hosts are ready.
+/// Restarts all hosts, each with only the entry hosts that `bootstrap_entries_of` returns as
+/// bootstrap addresses, and waits until all entry hosts are ready.
 fn restart_with_bootstrap_entries(
     system: &mut System,
     bootstrap_entries_of: impl Fn(usize) -> Vec<usize>,
