--- a/clayplankd/tests/faults/common.rs
+++ b/clayplankd/tests/faults/common.rs
@@ -1,10 +1,10 @@
-//! Engines, streams and texts that several tests use.
+//! Engines, streams and text helpers shared by several tests.
 
 use serde_json::{Value, json};
 
 use crate::harness::{ACCOUNT_KEY, Answer, Engine, System, bearer, send};
 
-pub fn quick_engines() -> Vec<Engine> {
+pub fn fast_engines() -> Vec<Engine> {
     vec![Engine::start(8, 2.0), Engine::start(8, 2.0)]
 }
 
@@ -12,7 +12,7 @@
     vec![Engine::start(60, 40.0), Engine::start(60, 40.0)]
 }
 
-/// Starts a streamed answer and reads until its first bytes are there.
+/// Starts a streamed answer and returns once its first byte has arrived.
 pub fn start_stream(
     system: &System,
     host: usize,
@@ -24,14 +24,14 @@
     let stream =
         send(address, "POST", "/v1/completions", &[bearer(ACCOUNT_KEY)], body.as_bytes()).unwrap();
     stream.peek(&mut [0; 1]).unwrap();
-    std::thread::spawn(move || harness_read(stream))
+    std::thread::spawn(move || read_to_end(stream))
 }
 
-pub fn harness_read(stream: std::net::TcpStream) -> Answer {
+pub fn read_to_end(stream: std::net::TcpStream) -> Answer {
     crate::harness::read_answer(stream).unwrap_or_default()
 }
 
-/// The texts of a streamed answer, joined.
+/// Concatenated text of the events of a streamed answer.
 pub fn streamed_text(answer: &Answer) -> String {
     let text = answer.text();
     let events = text
@@ -42,15 +42,15 @@
     texts.filter_map(|event| event["choices"][0]["text"].as_str().map(str::to_owned)).collect()
 }
 
-/// A whole answer of the stand-in counts its tokens from 0, without a gap.
-pub fn assert_whole(text: &str, tokens: u64) {
+/// Checks for a complete answer: the stand-in engine numbers its tokens from 0 without a gap.
+pub fn assert_complete(text: &str, tokens: u64) {
     let offsets: Vec<_> =
         text.split_whitespace().map(|word| word.rsplit('-').next().unwrap().to_owned()).collect();
     let wanted: Vec<_> = (0..tokens).map(|offset| offset.to_string()).collect();
     assert_eq!(offsets, wanted, "{text}");
 }
 
-pub fn whole_text(answer: &Answer) -> String {
+pub fn completion_text(answer: &Answer) -> String {
     let body: Value = serde_json::from_slice(&answer.body).unwrap();
     body["choices"][0]["text"].as_str().unwrap().to_owned()
 }
--- a/clayplankd/tests/harness/mod.rs
+++ b/clayplankd/tests/harness/mod.rs
@@ -1,4 +1,5 @@
-//! A small system of real daemons, with stand-ins in the test's own process.
+//! A system of three daemon processes, with stand-in engines, a service and the platform in the
+//! test process.
 
 mod answer;
 mod client;
@@ -24,13 +25,13 @@
 pub const DALA_KEY: &str = "dala-operator-key";
 pub const ROTAFOLD_KEY: &str = "rotafold-operator-key";
 
-/// What a wait may take before the test counts as failed; nothing is timed by it.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time limit of every wait. It only bounds a failing test; no measurement depends on it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Lines of a daemon's log that a failed test prints.
+/// Lines of each daemon's log that are printed when a test fails.
 const LOG_LINES: usize = 40;
 
-/// One daemon and where it listens.
+/// One daemon process and its listening addresses.
 pub struct Host {
     pub callers: SocketAddr,
     pub operators: SocketAddr,
@@ -40,7 +41,7 @@
     child: Option<Child>,
 }
 
-/// Three hosts, each entry and keeper, with engines, a service and the platform's list.
+/// Three hosts, each entry host and keeper, with engines, a service and the platform's host list.
 pub struct System {
     dir: tempfile::TempDir,
     pub hosts: Vec<Host>,
@@ -50,31 +51,32 @@
     pub links: Links,
 }
 
-/// Below the ports that the system gives to outgoing connections, so that none of those takes it.
-const PORTS: std::ops::Range<u16> = 10_000..32_000;
+/// Ports for listeners, below the ephemeral range, so that no outgoing connection occupies them.
+const PORT_RANGE: std::ops::Range<u16> = 10_000..32_000;
 
 fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
         let number =
             std::process::id().wrapping_mul(97).wrapping_add(NEXT.fetch_add(1, Ordering::SeqCst));
-        let port = PORTS.start + (number % u32::from(PORTS.end - PORTS.start)) as u16;
+        let port =
+            PORT_RANGE.start + (number % u32::from(PORT_RANGE.end - PORT_RANGE.start)) as u16;
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
             return listener.local_addr().unwrap();
         }
     }
 }
 
-pub fn wait_for(what: &str, mut is_so: impl FnMut() -> bool) {
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !is_so() {
-        assert!(started.elapsed() < PATIENCE, "{what} did not happen");
+    while !condition() {
+        assert!(started.elapsed() < WAIT_TIMEOUT, "{what} did not happen within {WAIT_TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(30));
     }
 }
 
 impl System {
-    /// Starts everything and sets one template and one account.
+    /// Starts all processes and sets one template and one account.
     pub fn start(engines: Vec<Engine>) -> Self {
         let dir = tempfile::tempdir().unwrap();
         let hosts = (0..HOSTS).map(|host| Host {
@@ -97,14 +99,20 @@
         (0..HOSTS).for_each(|host| system.wait_healthy(host));
         let template =
             json!({ "deadline_ms": 20_000, "max_output_tokens": 4_000, "model": "base" });
-        assert_eq!(system.set(0, DALA_KEY, "templates/short", "t1", 0, &template).status, 200);
+        assert_eq!(
+            system.put_setting(0, DALA_KEY, "templates/short", "t1", 0, &template).status,
+            200
+        );
         let account = json!({
             "key_sha256": String::from(KeyDigest::of(ACCOUNT_KEY)),
             "template": "short",
             "requests_per_s": 10_000,
             "retry_percent": 100,
         });
-        assert_eq!(system.set(0, DALA_KEY, "accounts/times", "a1", 0, &account).status, 200);
+        assert_eq!(
+            system.put_setting(0, DALA_KEY, "accounts/times", "a1", 0, &account).status,
+            200
+        );
         for host in 0..HOSTS {
             wait_for("a first answer", || system.complete(host, "warm up", 1).status == 200);
         }
@@ -112,10 +120,10 @@
     }
 
     fn write_settings(&self, host: usize) {
-        let own = &self.hosts[host];
+        let local = &self.hosts[host];
         let hosts: Vec<_> = (0..HOSTS)
             .map(|other| {
-                let inner = if other == host { own.inner } else { self.links.address(host, other) };
+                let inner = if other == host { local.inner } else { self.links.address(host, other) };
                 json!({ "host": format!("h{other}"), "data_centre": "hall", "inner": inner, "keeper": true })
             })
             .collect();
@@ -133,15 +141,15 @@
         let settings = json!({
             "host": format!("h{host}"),
             "roles": ["entry", "keeper"],
-            "data_dir": own.data,
-            "listen": { "callers": own.callers, "inner": own.inner, "operators": own.operators },
+            "data_dir": local.data,
+            "listen": { "callers": local.callers, "inner": local.inner, "operators": local.operators },
             "hosts": hosts,
             "platform": { "address": self.platform.address, "poll_interval_ms": 200 },
             "upstreams": engines.chain([service]).collect::<Vec<_>>(),
             "operators": [operator("dala", DALA_KEY), operator("rotafold", ROTAFOLD_KEY)],
             "timing": { "leave_grace_ms": 1_500, "probe_interval_ms": 200, "suspect_ms": 1_000, "upstream_silence_ms": 2_000 },
         });
-        std::fs::write(&own.settings, settings.to_string()).unwrap();
+        std::fs::write(&local.settings, settings.to_string()).unwrap();
     }
 
     pub fn spawn(&mut self, host: usize) {
@@ -163,7 +171,7 @@
         self.dir.path().join(format!("h{host}.log"))
     }
 
-    /// How many lines of all hosts' logs hold a text.
+    /// Number of occurrences of a text in the logs of all hosts.
     pub fn count_logged(&self, text: &str) -> usize {
         let logs = (0..HOSTS).map(|host| std::fs::read_to_string(self.log_path(host)));
         logs.map(|log| log.unwrap_or_default().matches(text).count()).sum()
@@ -177,7 +185,7 @@
         get(self.hosts[host].callers, "/health", None).is_some_and(|answer| answer.status == 200)
     }
 
-    /// Ends a daemon at once.
+    /// Kills a daemon (SIGKILL).
     pub fn kill(&mut self, host: usize) {
         if let Some(mut child) = self.hosts[host].child.take() {
             child.kill().unwrap();
@@ -191,7 +199,7 @@
         assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().unwrap().success());
     }
 
-    /// Waits for a daemon that was told to stop.
+    /// Waits until a daemon that received SIGTERM has exited with success.
     pub fn wait_exit(&mut self, host: usize) {
         let mut child = self.hosts[host].child.take().unwrap();
         let mut status = None;
@@ -202,14 +210,14 @@
         assert!(status.unwrap().success());
     }
 
-    /// Kills a daemon and takes its disk away.
+    /// Kills a daemon and deletes its data directory.
     pub fn lose_disk(&mut self, host: usize) {
         self.kill(host);
         std::fs::remove_dir_all(&self.hosts[host].data).unwrap();
     }
 
-    /// Changes a setting at a host.
-    pub fn set(
+    /// Changes a setting at the operators' endpoint of a host; retries until there is an answer.
+    pub fn put_setting(
         &self,
         host: usize,
         key: &str,
@@ -221,18 +229,18 @@
         let body =
             json!({ "change_id": change_id, "expected_version": from, "value": value }).to_string();
         let path = format!("/settings/{name}");
-        wait_answer(|| {
+        retry_until_answered(|| {
             call(self.hosts[host].operators, "PUT", &path, &[bearer(key)], body.as_bytes())
         })
     }
 
-    /// What a host shows its operators.
-    pub fn show(&self, host: usize, path: &str) -> Option<Value> {
+    /// JSON from the operators' endpoint of a host; `None` unless its status is 200.
+    pub fn get_operator_view(&self, host: usize, path: &str) -> Option<Value> {
         let answer = get(self.hosts[host].operators, path, Some(DALA_KEY))?;
         (answer.status == 200).then(|| serde_json::from_slice(&answer.body).unwrap())
     }
 
-    /// Runs a prompt and waits for the whole answer.
+    /// Sends a prompt and waits for the complete answer.
     pub fn complete(&self, host: usize, prompt: &str, max_tokens: u64) -> Answer {
         let body = json!({ "prompt": prompt, "max_tokens": max_tokens }).to_string();
         let answer = call(
@@ -245,18 +253,18 @@
         answer.unwrap_or_default()
     }
 
-    /// Posts to the service under a key.
+    /// Posts to the service with an idempotency key.
     pub fn post(&self, host: usize, key: &str) -> Answer {
         let headers = [bearer(ACCOUNT_KEY), ("idempotency-key".to_owned(), key.to_owned())];
         call(self.hosts[host].callers, "POST", "/results/times", &headers, b"{}")
             .unwrap_or_default()
     }
 
-    /// Memory reserved at all engines, as the owner of the pool counts it.
+    /// Memory reserved at all engines according to the owner of the pool.
     pub fn reserved_tokens(&self) -> Option<u64> {
         let totals =
             (0..HOSTS).filter(|&host| self.hosts[host].child.is_some()).filter_map(|host| {
-                let shown = self.show(host, "/upstreams")?;
+                let shown = self.get_operator_view(host, "/upstreams")?;
                 let pool = shown["owned_pools"].as_array()?.first()?.clone();
                 Some(pool["granted_tokens"].as_u64()? + pool["foreign_tokens"].as_u64()?)
             });
@@ -284,10 +292,10 @@
     ("authorization".to_owned(), format!("Bearer {key}"))
 }
 
-fn wait_answer(mut ask: impl FnMut() -> Option<Answer>) -> Answer {
+fn retry_until_answered(mut request: impl FnMut() -> Option<Answer>) -> Answer {
     let mut found = None;
     wait_for("an answer", || {
-        found = ask();
+        found = request();
         found.is_some()
     });
     found.unwrap()
--- a/clayplankd/tests/seeded/promises.rs
+++ b/clayplankd/tests/seeded/guarantees.rs
@@ -1,4 +1,4 @@
-//! The promises of seeded hosts, over real processes.
+//! Guarantees of seeded hosts, tested with real processes.
 
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::system::{KEY, System, plan, publish, wait_for};
 
 #[test]
-fn answers_pass_unchanged_and_faults_are_told_truly() {
+fn answers_pass_unchanged_and_faults_are_reported_accurately() {
     let system = System::start();
     let plain = system.send(0, "a1", "/repeatable/x?y=1", &[]);
     assert_eq!((plain.status, plain.text().as_str()), (200, "body"));
@@ -34,22 +34,22 @@
     let again = system.send(0, "a7", "/repeatable/x", &[("x-standin-fault", "lose")]);
     assert_eq!((again.status, system.runs.count("a7")), (200, 2));
     let foreign = system.send(0, "a8", "/once/x", &[("x-standin-fault", "foreign")]);
-    assert_eq!(foreign.status, 502, "an answer to another request is nobody's");
+    assert_eq!(foreign.status, 502, "an answer to another request is discarded");
     let unsealed = system.send(0, "a9", "/repeatable/x", &[("x-standin-fault", "unsealed")]);
     assert_eq!((unsealed.status, system.runs.count("a9")), (200, 2));
-    assert!(system.entries[0].figures().contains("clayplank_entry_requests_total"));
+    assert!(system.entries[0].metrics().contains("clayplank_entry_requests_total"));
 }
 
 #[test]
-fn a_stream_that_breaks_inside_an_event_goes_on_elsewhere() {
+fn a_stream_that_breaks_inside_an_event_resumes_at_another_upstream() {
     let system = System::start();
     let answer = system.send(0, "s1", "/stream/events/12", &[("x-standin-fault", "break")]);
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
     let text = answer.text();
     let ids: Vec<u64> =
         text.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect();
     assert_eq!(ids, (1..=12).collect::<Vec<_>>());
-    assert!(text.contains("data: u1") && text.contains("data: u2"), "both wrote a part");
+    assert!(text.contains("data: u1") && text.contains("data: u2"), "both sent a part");
     assert_eq!(system.runs.count("s1"), 2);
 
     let later = system.send(0, "s2", "/stream/events/5", &[("last-event-id", "3")]);
@@ -57,20 +57,21 @@
 }
 
 #[test]
-fn a_stream_that_falters_and_then_breaks_is_sent_no_further_than_its_route_allows() {
+fn a_stream_that_stalls_and_then_breaks_uses_no_more_attempts_than_its_route_allows() {
     let mut system = System::start();
     system.start_upstream("u3", 23);
     for keeper in 0..system.keepers.len() {
-        system.beat(keeper, "u3", "ready");
+        system.send_heartbeat(keeper, "u3", "ready");
     }
-    // While the first upstream is silent a second one is asked, and left when the first goes on.
+    // While the first upstream is unresponsive, the request is also sent to a second one, which is
+    // cancelled when the first continues. Both count as attempts.
     let answer = system.send(0, "f1", "/stream/events/12", &[("x-standin-fault", "falter")]);
-    assert!(!answer.is_whole, "no third upstream may finish it");
+    assert!(!answer.is_complete, "no third upstream may finish it");
     assert_eq!(system.runs.count("f1"), 2);
 }
 
 #[test]
-fn a_caller_that_leaves_before_an_answer_has_its_line() {
+fn a_caller_that_disconnects_before_an_answer_is_logged() {
     let system = System::start();
     let callers = system.entries[0].callers();
     let mut caller = std::net::TcpStream::connect(callers).unwrap();
@@ -80,23 +81,24 @@
          x-standin-fault: slow\r\ncontent-length: 0\r\n\r\n"
     );
     caller.write_all(request.as_bytes()).unwrap();
-    wait_for("the run", || system.runs.count("gone-1") == 1);
+    wait_for("the start of the request", || system.runs.count("gone-1") == 1);
     drop(caller);
     let line = "\"message\":\"The caller left before an answer\"";
-    wait_for("the line", || {
+    wait_for("the log line", || {
         let log = system.entries[0].log();
         log.lines().any(|one| one.contains(line) && one.contains("gone-1") && one.contains("\"u"))
     });
 }
 
-/// The longest time limit of the test below, in ms: its answer would take as long.
+/// Time limit of the route in the test below, in ms. The answer would take as long.
 const LONG_LIMIT_MS: u64 = 600_000;
 
-/// Nobody waits for the answer any more: work on it takes the place of work for others.
+/// Guards against work that continues after its caller has disconnected and takes the place of
+/// other work.
 #[rstest]
-#[case::while_its_prompt_is_read("1500000,73")]
-#[case::while_its_answer_is_written("2000,30000000")]
-fn a_caller_that_leaves_stops_its_engine(#[case] tokens: &str) {
+#[case::during_prefill("1500000,73")]
+#[case::during_generation("2000,30000000")]
+fn a_caller_that_disconnects_cancels_work_at_its_engine(#[case] tokens: &str) {
     let system = System::start();
     let model = EngineModel { memory_tokens: 100_000_000, ..EngineModel::default() };
     let engine = system.start_engine("e1", 31, model.clone());
@@ -116,19 +118,19 @@
          x-clayplank-tokens: {tokens}\r\ncontent-length: 0\r\n\r\n"
     );
     caller.write_all(request.as_bytes()).unwrap();
-    wait_for("its work", || memory_in_use(engine) > 1_000_000);
+    wait_for("work at the engine", || memory_in_use(engine) > 1_000_000);
     drop(caller);
-    wait_for("the end of its work", || memory_in_use(engine) == 0);
+    wait_for("the end of work at the engine", || memory_in_use(engine) == 0);
 }
 
 #[test]
-fn plans_are_checked_and_the_highest_version_holds() {
+fn plans_are_validated_and_the_highest_version_is_in_force() {
     let system = System::start();
     let mut second = plan(5);
     second["routes"][0]["path_prefix"] = json!("/renamed/");
     assert_eq!(publish(&system.keepers[1], &second).status, 200);
     wait_for("the new route", || system.send(0, "p1", "/renamed/x", &[]).status == 200);
-    assert_eq!(publish(&system.keepers[2], &plan(3)).status, 200, "it was overtaken");
+    assert_eq!(publish(&system.keepers[2], &plan(3)).status, 200, "superseded by version 5");
     assert_eq!(publish(&system.keepers[2], &second).status, 200, "a resend");
     assert_eq!(publish(&system.keepers[2], &plan(5)).status, 409, "another plan of this version");
     let mut wrong = plan(6);
@@ -139,18 +141,18 @@
     assert!(refused.text().contains("/routes/0/targets/0/service"), "{}", refused.text());
     assert_eq!(publish(&system.keepers[0], &json!("no plan")).status, 400);
     for keeper in &system.keepers {
-        let mut held = String::new();
+        let mut confirmed = String::new();
         wait_for("a confirmed read", || {
             let answer = call(keeper.control(), "GET", "/v1/plan", &[], "");
-            held = answer.text();
+            confirmed = answer.text();
             answer.status == 200
         });
-        assert_eq!(held, second.to_string(), "as it was sent");
+        assert_eq!(confirmed, second.to_string(), "the plan is stored as it was sent");
     }
 }
 
 #[test]
-fn a_key_that_is_taken_away_is_refused_everywhere() {
+fn a_removed_key_is_rejected_at_all_hosts() {
     let system = System::start();
     let mut without = plan(2);
     without["accounts"][0]["keys"] = json!(["another"]);
@@ -164,18 +166,18 @@
 }
 
 #[test]
-fn an_upstream_that_drains_gets_nothing_after_the_acknowledgement() {
+fn a_draining_upstream_gets_no_requests_after_the_acknowledgement() {
     let mut system = System::start();
-    wait_for("the acknowledgement", || system.beat(0, "u1", "draining").status == 200);
-    // The news is on its way to the entry hosts, which hear of it within one exchange.
-    wait_for("news at the entry hosts", || {
+    wait_for("the acknowledgement", || system.send_heartbeat(0, "u1", "draining").status == 200);
+    // The update reaches each entry host with its next exchange with a keeper.
+    wait_for("the update at the entry hosts", || {
         (0..40).all(|number| {
             let attempt = format!("d{number}-{}", rand_suffix());
             let answer = system.send(number % 2, &attempt, "/repeatable/x", &[]);
             answer.header("x-clayplank-seal") == Some("u2")
         })
     });
-    wait_for("an acknowledged heartbeat", || system.beat(1, "u1", "ready").status == 200);
+    wait_for("an acknowledged heartbeat", || system.send_heartbeat(1, "u1", "ready").status == 200);
     for number in 0..20 {
         let attempt = format!("e{number}");
         let answer = system.send(number % 2, &attempt, "/repeatable/x", &[]);
@@ -183,7 +185,7 @@
     }
 }
 
-/// Attempts are named once.
+/// Unique suffix, since each attempt id may be used only once.
 fn rand_suffix() -> u128 {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_nanos()
 }
@@ -197,15 +199,15 @@
     system.keepers[0].kill();
     std::fs::remove_dir_all(&system.keepers[0].data).unwrap();
     wait_for("the plan at the other two", || {
-        let held = call(system.keepers[1].control(), "GET", "/v1/plan", &[], "");
-        held.text() == second_text
+        let confirmed = call(system.keepers[1].control(), "GET", "/v1/plan", &[], "");
+        confirmed.text() == second_text
     });
     system.keepers[0].start();
     wait_for("the repaired keeper", || {
-        let held = call(system.keepers[0].control(), "GET", "/v1/plan", &[], "");
-        held.text() == second_text
+        let confirmed = call(system.keepers[0].control(), "GET", "/v1/plan", &[], "");
+        confirmed.text() == second_text
     });
-    // Once the repaired one votes, the loss of another one is borne.
+    // Once the repaired keeper votes, the loss of another keeper is tolerated.
     let third = plan(3);
     wait_for("a change with all three", || publish(&system.keepers[0], &third).status == 200);
     system.keepers[1].kill();
@@ -217,16 +219,16 @@
     for keeper in 0..system.keepers.len() {
         system.keepers[keeper].start();
     }
-    wait_for("the plan after all were down", || {
-        let held = call(system.keepers[2].control(), "GET", "/v1/plan", &[], "");
-        held.text() == fourth_text
+    wait_for("the plan after a restart of all keepers", || {
+        let confirmed = call(system.keepers[2].control(), "GET", "/v1/plan", &[], "");
+        confirmed.text() == fourth_text
     });
     wait_for("readiness", || system.entries.iter().all(|entry| entry.is_ready()));
-    system.beat_until_served();
+    system.send_heartbeats_until_served();
 }
 
 #[test]
-fn a_planned_stop_cuts_off_nothing() {
+fn a_planned_stop_interrupts_no_request() {
     let mut system = System::start();
     let callers = system.entries[0].callers();
     let slow = std::thread::spawn(move || {
@@ -238,21 +240,21 @@
         ];
         call(callers, "POST", "/once/x", &headers, "body")
     });
-    wait_for("the run", || system.runs.count("slow-1") == 1);
+    wait_for("the start of the request", || system.runs.count("slow-1") == 1);
     system.entries[0].terminate();
     wait_for("the end of readiness", || !system.entries[0].is_ready());
     let answer = slow.join().unwrap();
-    assert_eq!((answer.status, answer.is_whole), (200, true));
+    assert_eq!((answer.status, answer.is_complete), (200, true));
     wait_for("the end of the process", || system.entries[0].has_ended());
-    assert_eq!(system.send(1, "after", "/once/x", &[]).status, 200, "the other host serves on");
+    assert_eq!(system.send(1, "after", "/once/x", &[]).status, 200, "the other host still serves");
 }
 
-/// An engine too small for the prompts below; three of them hold one together.
+/// An engine too small for the long prompt below, which fits into three of them together.
 fn small_engine() -> EngineModel {
     EngineModel { memory_tokens: 40_000, ..EngineModel::default() }
 }
 
-/// A plan with a route to a pool of engines.
+/// A plan with an additional route to a pool of engines.
 pub fn plan_with_engines(version: u64, model: &EngineModel) -> Value {
     let mut plan = plan(version);
     plan["services"].as_array_mut().unwrap().push(json!({ "name": "pool", "engine": model }));
@@ -271,7 +273,7 @@
 }
 
 #[test]
-fn a_prompt_beyond_one_engine_is_read_by_several_and_its_memory_comes_back() {
+fn a_prompt_too_large_for_one_engine_is_prefilled_by_several_and_its_memory_is_released() {
     let system = System::start();
     let engines: Vec<_> = (1..=3_u8)
         .map(|number| system.start_engine(&format!("e{number}"), 30 + number, small_engine()))
@@ -284,21 +286,21 @@
     let long = [("x-clayplank-tokens", "90000,138")];
     let mut answer = Answer::default();
     let mut number = 0;
-    // Engines that have not registered yet are missing: nothing runs until all three have.
+    // The prompt needs all three engines, and is refused until all of them have registered.
     wait_for("an answer to the long prompt", || {
         number += 1;
         answer = system.send(1, &format!("long-{number}"), "/prompt/x", &long);
         answer.status == 200
     });
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
     assert_eq!(answer.text().matches("id: ").count(), 3, "{}", answer.text());
-    wait_for("the return of all memory", || {
+    wait_for("the release of all memory", || {
         engines.iter().all(|&engine| memory_in_use(engine) == 0)
     });
 }
 
 #[test]
-fn changed_settings_are_taken_without_a_restart() {
+fn changed_settings_are_applied_without_a_restart() {
     let system = System::start();
     let entry = &system.entries[0];
     entry.change_settings(|settings| {
@@ -308,9 +310,9 @@
         settings["log"] = json!({ "level": "debug" });
     });
     let line = "\"message\":\"Took in changed settings\"";
-    wait_for("the line that tells of it", || entry.log().contains(line));
+    wait_for("the log line about changed settings", || entry.log().contains(line));
     assert!(entry.log().contains("\"for_next_start\":\"data_centre\""));
-    // One retry in a window is always allowed; the second shows that the budget is empty.
+    // One retry per window is always allowed; the second shows that the budget is empty.
     for (attempt, status) in [("h1", 200), ("h2", 502)] {
         let lost = system.send(0, attempt, "/repeatable/x", &[("x-standin-fault", "lose")]);
         assert_eq!(lost.status, status, "{attempt}");
@@ -320,18 +322,22 @@
         entry.log().contains("Changed settings were not taken")
     });
     assert!(entry.log().contains("/bounds/grace_s"));
-    assert_eq!(system.send(0, "h3", "/once/x", &[]).status, 200, "the former ones are in force");
+    assert_eq!(
+        system.send(0, "h3", "/once/x", &[]).status,
+        200,
+        "the former settings are in force"
+    );
 }
 
 #[test]
-fn logs_that_nobody_reads_hold_up_no_request() {
+fn an_unread_log_pipe_blocks_no_request() {
     let mut system = System::start();
     let entry = &mut system.entries[0];
     entry.kill();
     entry.change_settings_file(|settings| settings["log"] = json!({ "buffered_lines": 16 }));
     let pipe = entry.start_with_pipe();
     wait_for("readiness", || system.entries[0].is_ready());
-    // A refusal at the door is always named: these lines are more than a pipe takes.
+    // A rejection at the listener is always logged. These lines exceed the capacity of a pipe.
     for number in 0..1_000 {
         let attempt = format!("full-{number}");
         assert_eq!(system.send(0, &attempt, "/nowhere/", &[]).status, 404);
@@ -341,26 +347,26 @@
         .lines()
         .map(|line| serde_json::from_str(&line.unwrap()).unwrap())
         .collect();
-    let told = |message: &str| lines.iter().find(|line| line["message"] == message);
-    let dropped = told("Log lines were dropped").expect("the count of dropped lines");
+    let logged = |message: &str| lines.iter().find(|line| line["message"] == message);
+    let dropped = logged("Log lines were dropped").expect("the count of dropped lines");
     assert!(dropped["lines"].as_u64().unwrap() > 0);
-    assert!(told("Stopped").is_some(), "the last line is written before the end");
+    assert!(logged("Stopped").is_some(), "the last line is written before the end");
 }
 
 #[test]
-fn a_helper_that_is_gone_is_named_and_the_prompt_is_read_by_others() {
+fn a_missing_prefill_helper_is_reported_and_others_prefill_the_prompt() {
     let system = System::start();
-    // Of three engines, all read a prompt that is this long.
+    // A prompt of this length is prefilled by all three engines.
     for number in 1..=2_u8 {
         system.start_engine(&format!("e{number}"), 30 + number, EngineModel::default());
     }
-    // It registers, and nothing listens where it says it is.
+    // This engine registers, but nothing listens at its address.
     system.register_engine("e4", 34);
     system.wait_for_plan(&plan_with_engines(2, &EngineModel::default()));
     wait_for("the route", || system.send(0, "route", "/prompt/x", &[]).status != 404);
     let long = [("x-clayplank-tokens", "240000,92")];
     let mut number = 0;
-    wait_for("a prompt for which the missing helper was named", || {
+    wait_for("the log line about the missing helper", || {
         number += 1;
         let answer = system.send(0, &format!("named-{number}"), "/prompt/x", &long);
         assert!(matches!(answer.status, 200 | 503), "{}", answer.status);
--- a/clayplankd/tests/seeded/host.rs
+++ b/clayplankd/tests/seeded/host.rs
@@ -1,4 +1,4 @@
-//! One seeded host as a process: its settings, its life, its log.
+//! One seeded host as a process: its settings, start and stop, and log.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -8,33 +8,34 @@
 
 use crate::client::call;
 
-/// Ports are alike on all hosts, below those that the system gives to outgoing connections.
-pub const CALLERS: u16 = 18_080;
-pub const READINESS: u16 = 18_081;
-pub const CONTROL: u16 = 18_082;
-pub const INNER: u16 = 18_083;
-pub const METRICS: u16 = 18_084;
-pub const UPSTREAM: u16 = 18_085;
+/// All hosts use the same ports, below the ephemeral range, so that no outgoing connection occupies
+/// them.
+pub const CALLERS_PORT: u16 = 18_080;
+pub const READINESS_PORT: u16 = 18_081;
+pub const CONTROL_PORT: u16 = 18_082;
+pub const INNER_PORT: u16 = 18_083;
+pub const METRICS_PORT: u16 = 18_084;
+pub const UPSTREAM_PORT: u16 = 18_085;
 
-/// What a host is.
+/// Role of a host process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Role {
     Keeper,
-    /// An entry host; one that has a door for operators asks the keepers.
+    /// An entry host. One with a control listener forwards operators' requests to the keepers.
     Entry {
-        has_door: bool,
+        has_control_listener: bool,
     },
-    /// An entry host with a disk, and so a keeper too.
-    Both,
+    /// An entry host with a disk, which makes it a keeper as well.
+    EntryAndKeeper,
 }
 
-/// One process, on an address of its own.
+/// One process with its own loopback address.
 pub struct Host {
-    /// Where others reach it.
+    /// Address at which other processes reach the host.
     pub ip: Ipv4Addr,
-    /// Where it listens for other hosts and operators: behind a proxy, perhaps.
+    /// Listening address for peers and operators; differs from `ip` if the host is behind a proxy.
     pub bind_ip: Ipv4Addr,
-    pub part: Part,
+    pub role: Role,
     pub settings: PathBuf,
     pub data: PathBuf,
     pub child: Option<Child>,
@@ -46,23 +47,23 @@
     }
 
     pub fn callers(&self) -> SocketAddr {
-        self.at(CALLERS)
+        self.at(CALLERS_PORT)
     }
 
     pub fn control(&self) -> SocketAddr {
-        self.at(CONTROL)
+        self.at(CONTROL_PORT)
     }
 
     pub fn is_ready(&self) -> bool {
-        call(self.at(READINESS), "GET", "/health", &[], "").status == 200
+        call(self.at(READINESS_PORT), "GET", "/health", &[], "").status == 200
     }
 
-    pub fn figures(&self) -> String {
-        call(self.at(METRICS), "GET", "/metrics", &[], "").text()
+    pub fn metrics(&self) -> String {
+        call(self.at(METRICS_PORT), "GET", "/metrics", &[], "").text()
     }
 
     pub fn start(&mut self) {
-        // Lines of former lives are kept.
+        // Appends, so that the lines of earlier incarnations are kept.
         let log = std::fs::File::options()
             .create(true)
             .append(true)
@@ -83,7 +84,8 @@
         command
     }
 
-    /// Starts with a pipe for the logs, which nobody reads until the caller does.
+    /// Starts the process with its log written to a pipe, which is not read until the caller does
+    /// so.
     pub fn start_with_pipe(&mut self) -> ChildStdout {
         let mut child = self.command().stdout(Stdio::piped()).spawn().unwrap();
         let pipe = child.stdout.take().unwrap();
@@ -91,7 +93,7 @@
         pipe
     }
 
-    /// The process that was started last, if it was not killed.
+    /// Process id of the last start, unless the process was killed through this value.
     pub fn process(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
@@ -107,50 +109,51 @@
         self.signal("-TERM");
     }
 
-    /// Sends a signal, through the tool that every Debian machine has.
+    /// Sends a signal with the `kill` command.
     pub fn signal(&self, signal: &str) {
         let id = self.process().unwrap().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// Writes its settings anew; the seeds are the operators' doors of all keepers.
-    pub fn write_settings(&self, seeds: &[SocketAddr], is_first_start: bool) {
+    /// Writes the complete settings file. The bootstrap addresses are control addresses of
+    /// hosts to contact at the start.
+    pub fn write_settings(&self, bootstrap_addresses: &[SocketAddr], is_first_start: bool) {
         let behind = |port| SocketAddr::new(IpAddr::V4(self.bind_ip), port);
-        let mut listen = json!({ "inner": behind(INNER), "metrics": self.at(METRICS) });
-        if self.part != (Part::Entry { has_door: false }) {
-            listen["control"] = json!(behind(CONTROL));
+        let mut listen = json!({ "inner": behind(INNER_PORT), "metrics": self.at(METRICS_PORT) });
+        if self.role != (Role::Entry { has_control_listener: false }) {
+            listen["control"] = json!(behind(CONTROL_PORT));
         }
-        if self.part != Part::Keeper {
-            listen["callers"] = json!(self.at(CALLERS));
-            listen["readiness"] = json!(self.at(READINESS));
+        if self.role != Role::Keeper {
+            listen["callers"] = json!(self.at(CALLERS_PORT));
+            listen["readiness"] = json!(self.at(READINESS_PORT));
         }
-        let has_disk = matches!(self.part, Part::Keeper | Part::Both);
+        let has_disk = matches!(self.role, Role::Keeper | Role::EntryAndKeeper);
         let settings = json!({
             "name": self.ip.to_string(),
-            "role": if self.part == Part::Keeper { "keeper" } else { "entry" },
+            "role": if self.role == Role::Keeper { "keeper" } else { "entry" },
             "ip": self.ip,
             "data_centre": "hall",
             "data_centres": ["hall", "annex"],
             "listen": listen,
-            "seeds": seeds,
+            "seeds": bootstrap_addresses,
             "is_first_start": is_first_start,
             "data_dir": has_disk.then_some(&self.data),
-            "tolerated_losses": (seeds.len() - 1) / 2,
+            "tolerated_losses": (bootstrap_addresses.len() - 1) / 2,
             "bounds": { "heartbeat_ms": 300, "revoke_ms": 4000, "grace_s": 6.0 },
         });
         std::fs::write(&self.settings, settings.to_string()).unwrap();
     }
 
-    /// Changes its settings file, and tells it so by SIGHUP.
+    /// Changes the settings file and sends SIGHUP, which makes the process reload it.
     pub fn change_settings(&self, change: impl FnOnce(&mut Value)) {
         self.change_settings_file(change);
         self.signal("-HUP");
     }
 
-    /// Has it told of these doors when it starts again, which is no first start.
-    pub fn tell_of(&self, doors: &[SocketAddr]) {
+    /// Sets the bootstrap addresses for the next start, which is not the first start of the system.
+    pub fn set_bootstrap_addresses(&self, addresses: &[SocketAddr]) {
         self.change_settings_file(|settings| {
-            settings["seeds"] = doors.iter().map(ToString::to_string).collect();
+            settings["seeds"] = addresses.iter().map(ToString::to_string).collect();
             settings["is_first_start"] = false.into();
         });
     }
@@ -166,7 +169,7 @@
         std::fs::read_to_string(self.settings.with_extension("log")).unwrap_or_default()
     }
 
-    /// The lines of its log with a message.
+    /// Log lines with this message.
     pub fn lines(&self, message: &str) -> Vec<Value> {
         let text = self.log();
         let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
@@ -184,7 +187,7 @@
         if std::thread::panicking() {
             let log = self.log();
             let last: Vec<_> = log.lines().rev().take(15).collect();
-            eprintln!("{:?} {}:", self.part, self.ip);
+            eprintln!("{:?} {}:", self.role, self.ip);
             last.iter().rev().for_each(|line| eprintln!("  {line}"));
         }
     }
--- a/clayplankd/tests/seeded/main.rs
+++ b/clayplankd/tests/seeded/main.rs
@@ -1,22 +1,23 @@
-//! Seeded hosts as processes: their promises one by one, and a randomised run of them all.
+//! End-to-end tests of seeded hosts (hosts that find each other through bootstrap addresses) as
+//! processes: their guarantees one by one, and randomised runs of all of them (`soak`).
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![allow(clippy::print_stdout, reason = "the soak tells its seeds, and what each came to")]
+#![allow(clippy::print_stdout, reason = "the soak prints its seeds and their results")]
 
 #[path = "../harness/answer.rs"]
 mod answer;
-mod both;
 mod client;
+mod combined_roles;
 mod cordons;
 mod crashing;
 mod crashing_upstreams;
 mod failover;
+mod guarantees;
 mod host;
 mod limited;
-mod promises;
 mod proxy;
 mod replacement;
-mod returning;
 mod soak;
 mod system;
+mod upstream_restarts;
 mod upstreams;
--- a/clayplankd/tests/seeded/soak/mod.rs
+++ b/clayplankd/tests/seeded/soak/mod.rs
@@ -1,26 +1,26 @@
-//! The fault soak: real processes, random faults from outside, callers that never rest,
-//! and the promises checked from what callers and upstreams saw.
+//! Randomised fault tests (soak): real processes, random faults, and continuous callers; the
+//! guarantees are checked against what callers and upstreams observed.
 //!
-//! CLAYPLANK_SOAK_SEEDS names the seeds, such as `7` or `100..150`. The same seed gives
-//! the same schedule; how the processes interleave is the machine's.
+//! CLAYPLANK_SOAK_SEEDS selects the random seeds, such as `7` or `100..150`. The same seed gives
+//! the same schedule; the interleaving of the processes is not reproducible.
 
 mod callers;
 mod checks;
 mod crashing;
 mod limited;
 mod operators;
-mod play;
 mod record;
 mod run;
+mod run_schedule;
 mod schedule;
-mod told;
+mod setup;
 
 use run::run_seed;
 
-/// Seeds of a usual test run, and every seed that once failed, with its cause.
+/// Seeds of a default test run, and every seed that once failed, with its cause.
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-fn chosen_seeds() -> Vec<u64> {
+fn selected_seeds() -> Vec<u64> {
     let Ok(text) = std::env::var("CLAYPLANK_SOAK_SEEDS") else {
         return SEEDS.to_vec();
     };
@@ -31,16 +31,16 @@
 }
 
 #[test]
-fn promises_hold_under_random_faults() {
+fn guarantees_hold_under_random_faults() {
     let mut failed = Vec::new();
-    for seed in chosen_seeds() {
+    for seed in selected_seeds() {
         match run_seed(seed) {
             Ok(summary) => println!("soak seed {seed}: {summary}"),
-            Err(broken) => {
-                println!("soak seed {seed}: BROKEN\n{broken}");
+            Err(violations) => {
+                println!("soak seed {seed}: BROKEN\n{violations}");
                 failed.push(seed);
             }
         }
     }
-    assert!(failed.is_empty(), "seeds {failed:?}; replay one with CLAYPLANK_SOAK_SEEDS");
+    assert!(failed.is_empty(), "failed seeds {failed:?}; replay one with CLAYPLANK_SOAK_SEEDS");
 }
--- a/clayplankd/tests/seeded/soak/record.rs
+++ b/clayplankd/tests/seeded/soak/record.rs
@@ -1,11 +1,11 @@
-//! What callers and operators saw, and what of it breaks a promise.
+//! Observations of callers and operators, and the violations found in them.
 
 use std::sync::Mutex;
 use std::time::Instant;
 
 use crate::answer::Answer;
 
-/// How a request may be treated.
+/// Retry semantics of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Repeatable,
@@ -13,62 +13,64 @@
     Stream { events: u64 },
 }
 
-/// One request, and how it ended; `None` if its connection gave no answer.
+/// One request and its result; `answer` is `None` if the connection gave no answer.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ObservedRequest {
     pub attempt: String,
     pub kind: Kind,
     pub entry: usize,
     pub sent_at: Instant,
     pub ended_at: Instant,
-    /// The fault that the request asked its upstream for.
-    pub wish: Option<&'static str>,
+    /// Fault that the request asked its upstream to show.
+    pub requested_fault: Option<&'static str>,
     pub answer: Option<Answer>,
 }
 
-/// What was seen, and the promises that were broken.
+/// Recorded requests and violated guarantees.
 #[derive(Debug, Default)]
 pub struct Record {
-    seen: Mutex<Vec<Seen>>,
-    broken: Mutex<Vec<String>>,
+    observed: Mutex<Vec<ObservedRequest>>,
+    violations: Mutex<Vec<String>>,
 }
 
 impl Record {
-    pub fn push(&self, seen: Seen) {
-        self.seen.lock().unwrap().push(seen);
+    pub fn push(&self, observed: ObservedRequest) {
+        self.observed.lock().unwrap().push(observed);
     }
 
-    pub fn note_broken(&self, promise: String) {
-        self.broken.lock().unwrap().push(promise);
+    pub fn record_violation(&self, violation: String) {
+        self.violations.lock().unwrap().push(violation);
     }
 
-    pub fn take(self) -> (Vec<Seen>, Vec<String>) {
-        (self.seen.into_inner().unwrap(), self.broken.into_inner().unwrap())
+    pub fn take(self) -> (Vec<ObservedRequest>, Vec<String>) {
+        (self.observed.into_inner().unwrap(), self.violations.into_inner().unwrap())
     }
 }
 
-/// The promise that one request breaks by itself; `runs` is how often upstreams ran it.
-pub fn check_seen(seen: &Seen, runs: usize) -> Option<String> {
-    let Seen { attempt, kind, .. } = seen;
+/// Guarantee violated by this request alone; `runs` is the number of times upstreams ran it.
+pub fn check_observed(observed: &ObservedRequest, runs: usize) -> Option<String> {
+    let ObservedRequest { attempt, kind, .. } = observed;
     if *kind == Kind::Once && runs > 1 {
-        return Some(format!("{attempt} ran {runs} times, and may run once"));
+        return Some(format!("{attempt} ran {runs} times, but may run only once"));
     }
-    let answer = seen.answer.as_ref()?;
+    let answer = observed.answer.as_ref()?;
     match answer.status {
-        200 if !answer.is_whole => None,
-        200 if is_own(seen, answer) => None,
-        200 => Some(format!("{attempt} got a whole answer that is not its own: {}", answer.text())),
+        200 if !answer.is_complete => None,
+        200 if is_expected(observed, answer) => None,
+        200 => {
+            Some(format!("{attempt} got a complete answer to another request: {}", answer.text()))
+        }
         503 if runs > 0 && *kind == Kind::Once => {
-            Some(format!("{attempt} was told that it had not run, and ran {runs} times"))
+            Some(format!("{attempt} was reported as not run, and ran {runs} times"))
         }
-        401 | 404 => Some(format!("{attempt} was denied with {}", answer.status)),
+        401 | 404 => Some(format!("{attempt} was rejected with {}", answer.status)),
         _ => None,
     }
 }
 
-fn is_own(seen: &Seen, answer: &Answer) -> bool {
-    match seen.kind {
-        Kind::Repeatable | Kind::Once => answer.text() == seen.attempt,
+fn is_expected(observed: &ObservedRequest, answer: &Answer) -> bool {
+    match observed.kind {
+        Kind::Repeatable | Kind::Once => answer.text() == observed.attempt,
         Kind::Stream { events } => {
             let text = answer.text();
             let ids =
@@ -78,9 +80,9 @@
     }
 }
 
-/// Whether a request that ran got no whole answer, though nobody failed but the caller's host,
-/// as planned.
-pub fn is_cut_off(seen: &Seen, runs: usize) -> bool {
-    let is_whole = seen.answer.as_ref().is_some_and(|answer| answer.is_whole);
-    runs > 0 && seen.wish.is_none() && !is_whole
+/// Whether a request that ran got no complete answer although it asked for no fault. Outside the
+/// periods of unplanned faults, only planned work on the host of the caller can cause this.
+pub fn is_interrupted(observed: &ObservedRequest, runs: usize) -> bool {
+    let is_complete = observed.answer.as_ref().is_some_and(|answer| answer.is_complete);
+    runs > 0 && observed.requested_fault.is_none() && !is_complete
 }
--- a/clayplankd/tests/seeded/upstreams.rs
+++ b/clayplankd/tests/seeded/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams in the test's process, and their heartbeats at the keepers.
+//! Upstreams in the test process, and their heartbeats to the keepers.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -11,10 +11,10 @@
 
 use crate::answer::Answer;
 use crate::client::call;
-use crate::host::{Host, UPSTREAM};
+use crate::host::{Host, UPSTREAM_PORT};
 use crate::system::{System, behind_proxy};
 
-/// Requests that an upstream of the service `app` runs at once.
+/// Concurrent requests of an upstream of the service `app`.
 const APP_SLOTS: u32 = 4;
 
 impl System {
@@ -22,22 +22,23 @@
         Ipv4Addr::new(127, self.net[0], self.net[1], last)
     }
 
-    /// Starts an upstream of the service `app`; its heartbeats are sent one by one.
+    /// Starts an upstream of the service `app`. It sends no heartbeats itself; tests send them
+    /// singly.
     pub fn start_upstream(&self, id: &str, last: u8) {
         let ip = self.upstream_ip(last);
-        let bind_ip = if self.shape.has_proxies { behind_proxy(ip) } else { ip };
-        let address = SocketAddr::new(IpAddr::V4(bind_ip), UPSTREAM);
+        let bind_ip = if self.topology.has_proxies { behind_proxy(ip) } else { ip };
+        let address = SocketAddr::new(IpAddr::V4(bind_ip), UPSTREAM_PORT);
         let (id, runs) = (id.to_owned(), self.runs.clone());
         let listener = self.runtime.block_on(clayplank_standin::bind(address)).unwrap();
         self.runtime.spawn(serve_upstream(listener, id, runs, None, SharedLimit::default()));
     }
 
-    /// Starts an engine of the pass model, which registers with all keepers.
+    /// Starts an engine with simulated steps, which registers with all keepers.
     pub fn start_engine(&self, id: &str, last: u8, model: EngineModel) -> SocketAddr {
         self.start_limited_engine(id, last, model, SharedLimit::default())
     }
 
-    /// The same for one that may name a limit.
+    /// Like `start_engine`, with an engine that may set a limit.
     pub fn start_limited_engine(
         &self,
         id: &str,
@@ -52,7 +53,8 @@
         address
     }
 
-    /// Starts an upstream of a plain service that may name a limit, which registers with all keepers.
+    /// Starts an upstream of a plain service that may set a limit, which registers with all
+    /// keepers.
     pub fn start_limited_service(&self, service: &str, id: &str, last: u8, limit: SharedLimit) {
         let address = self.upstream_address(last);
         let listener = self.runtime.block_on(clayplank_standin::bind(address)).unwrap();
@@ -61,7 +63,7 @@
         self.send_heartbeats(self.registration(id, service, last, APP_SLOTS));
     }
 
-    /// Sends heartbeats of an engine, whether it is there or not.
+    /// Sends heartbeats of an engine, whether it exists or not.
     pub fn register_engine(&self, id: &str, last: u8) {
         self.send_heartbeats(self.registration(id, "pool", last, EngineModel::default().slots));
     }
@@ -82,32 +84,32 @@
     }
 
     fn upstream_address(&self, last: u8) -> SocketAddr {
-        SocketAddr::new(IpAddr::V4(self.upstream_ip(last)), UPSTREAM)
+        SocketAddr::new(IpAddr::V4(self.upstream_ip(last)), UPSTREAM_PORT)
     }
 
-    /// One heartbeat of an upstream, at one keeper.
-    pub fn beat(&mut self, keeper: usize, id: &str, standing: &str) -> Answer {
-        self.beat_at(self.keepers[keeper].control(), id, standing)
+    /// Sends one heartbeat of an upstream to one keeper.
+    pub fn send_heartbeat(&mut self, keeper: usize, id: &str, status: &str) -> Answer {
+        self.send_heartbeat_to(self.keepers[keeper].control(), id, status)
     }
 
-    /// The same, at the door of an entry host.
-    pub fn beat_at_entry(&mut self, entry: usize, id: &str, standing: &str) -> Answer {
-        self.beat_at(self.entries[entry].control(), id, standing)
+    /// Sends one heartbeat of an upstream to the control listener of an entry host.
+    pub fn send_heartbeat_to_entry(&mut self, entry: usize, id: &str, status: &str) -> Answer {
+        self.send_heartbeat_to(self.entries[entry].control(), id, status)
     }
 
-    fn beat_at(&mut self, door: SocketAddr, id: &str, standing: &str) -> Answer {
-        self.beats += 1;
+    fn send_heartbeat_to(&mut self, control: SocketAddr, id: &str, status: &str) -> Answer {
+        self.last_sequence += 1;
         let last = match id {
             "u1" => 21,
             "u2" => 22,
             _ => 23,
         };
-        let body = self.heartbeat(id, last, self.beats, standing);
+        let body = self.heartbeat(id, last, self.last_sequence, status);
         let path = format!("/v1/upstreams/{id}");
-        call(door, "PUT", &path, &[], &body.to_string())
+        call(control, "PUT", &path, &[], &body.to_string())
     }
 
-    /// Calls that carry heartbeats of both upstreams to every keeper.
+    /// Requests that carry heartbeats of both upstreams to every keeper.
     pub fn heartbeat_calls(&self, sequence: u64) -> Vec<(SocketAddr, String, String)> {
         let of_upstream = |id: &str, last: u8| {
             let body = self.heartbeat(id, last, sequence, "ready").to_string();
@@ -120,7 +122,7 @@
         [of_upstream("u1", 21), of_upstream("u2", 22)].concat()
     }
 
-    pub fn heartbeat(&self, id: &str, last: u8, sequence: u64, standing: &str) -> Value {
-        self.registration(id, "app", last, APP_SLOTS).heartbeat(sequence, standing)
+    pub fn heartbeat(&self, id: &str, last: u8, sequence: u64, status: &str) -> Value {
+        self.registration(id, "app", last, APP_SLOTS).heartbeat(sequence, status)
     }
 }
