--- a/bench/src/log.rs
+++ b/bench/src/log.rs
@@ -1,4 +1,5 @@
-//! Slopes of the replicated log: commits, claims, recovery, memory.
+//! Costs of the replicated log: commit latency by batch size, recovery time by log length, memory per
+//! claim.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -10,15 +11,20 @@
 use clayplank_types::{AccountId, AttemptId, HostId, Incarnation, Partner};
 use hdrhistogram::Histogram;
 
+/// Number of replicas for commits.
 const REPLICAS: usize = 3;
+/// Numbers of claims proposed at once.
 const BATCHES: [usize; 3] = [1, 16, 256];
+/// Number of timed syncs, and of timed batches for each batch size.
 const ROUNDS: usize = 200;
+/// Lengths of the recovered logs.
 const RECOVERY_ENTRIES: [u64; 2] = [1_000, 100_000];
-/// Times up to a minute.
+/// Upper bound of recorded times: one minute.
 const MAX_US: u64 = 60_000_000;
+/// Numbers of claims in memory; memory per claim is the difference between the two.
 const CLAIM_COUNTS: [u64; 2] = [10_000, 110_000];
 
-/// Why a measurement could not be made.
+/// Reason that a benchmark of the log or the settings could not run.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LogError {
     #[error("a file operation failed")]
@@ -31,7 +37,7 @@
     Codec(#[from] clayplank_state::CodecError),
 }
 
-/// A replica and its disk.
+/// A replica, its store on disk and its state machine.
 struct Node {
     replica: Replica,
     store: Store,
@@ -66,11 +72,11 @@
     Ok(nodes)
 }
 
-/// Lets the nodes talk until nobody has anything to do.
-fn settle(nodes: &mut [Node], now_ms: u64) -> Result<(), LogError> {
+/// Persists, applies and delivers until no replica has anything left to do.
+fn run_until_idle(nodes: &mut [Node], now_ms: u64) -> Result<(), LogError> {
     loop {
         let mut messages = Vec::new();
-        // The replicas' disks are written at the same time, as on hosts of their own.
+        // The stores are written in parallel, as they would be on separate hosts.
         let mut writes = Vec::new();
         for node in nodes.iter_mut() {
             let ready = node.replica.take_ready(now_ms);
@@ -109,12 +115,13 @@
     }
 }
 
+/// Runs elections until a leader has committed an entry of its term; returns its position.
 fn elect(nodes: &mut [Node]) -> Result<usize, LogError> {
     for now_ms in (0..10_000).step_by(10) {
         nodes.iter_mut().for_each(|node| node.replica.tick(now_ms));
-        settle(nodes, now_ms)?;
-        let has_started = |node: &Node| node.replica.is_leader() && node.replica.commit_index() > 1;
-        if let Some(leader) = nodes.iter().position(has_started) {
+        run_until_idle(nodes, now_ms)?;
+        let is_ready = |node: &Node| node.replica.is_leader() && node.replica.commit_index() > 1;
+        if let Some(leader) = nodes.iter().position(is_ready) {
             return Ok(leader);
         }
     }
@@ -129,6 +136,7 @@
     Histogram::new_with_max(MAX_US, 3).expect("the bounds of the histogram fit")
 }
 
+/// Times a write of 256 bytes with `fdatasync`, as the lower bound of a commit.
 fn measure_sync(dir: &Path) -> Result<Histogram<u64>, LogError> {
     use std::io::Write;
     let mut file = std::fs::File::create(dir.join("sync"))?;
@@ -142,12 +150,13 @@
     Ok(times)
 }
 
+/// Times batches of claims from proposal to commit. Also returns claims per second.
 fn measure_commits(dir: &Path, batch: usize) -> Result<(Histogram<u64>, f64), LogError> {
     let mut nodes = start(dir, REPLICAS)?;
     let leader = elect(&mut nodes)?;
     let mut times = histogram();
     let mut number = 0;
-    let began = Instant::now();
+    let run_started = Instant::now();
     for _ in 0..ROUNDS {
         let started = Instant::now();
         for _ in 0..batch {
@@ -155,21 +164,22 @@
             let command = Command { at_ms: number, body: claim(number) };
             nodes[leader].replica.propose(encode(&command)?)?;
         }
-        settle(&mut nodes, 20_000)?;
+        run_until_idle(&mut nodes, 20_000)?;
         times.saturating_record(micros(started.elapsed()));
     }
-    let rate = number as f64 / began.elapsed().as_secs_f64();
+    let rate = number as f64 / run_started.elapsed().as_secs_f64();
     assert_eq!(nodes[leader].machine.counts().claims as u64, number, "every claim was applied");
     Ok((times, rate))
 }
 
+/// Times the opening of a store with `entries` claims and their application.
 fn measure_recovery(dir: &Path, entries: u64) -> Result<Duration, LogError> {
     let mut nodes = start(dir, 1)?;
     let leader = elect(&mut nodes)?;
     for number in 0..entries {
         nodes[leader].replica.propose(encode(&Command { at_ms: number, body: claim(number) })?)?;
     }
-    settle(&mut nodes, 20_000)?;
+    run_until_idle(&mut nodes, 20_000)?;
     drop(nodes);
     let started = Instant::now();
     let (_, state) = Store::open(&dir.join("k0"), "k0", 1)?;
@@ -183,7 +193,7 @@
     Ok(started.elapsed())
 }
 
-/// Bytes that this process has in memory (proc(5), `statm`).
+/// Resident memory of this process in bytes (proc(5), `statm`).
 pub(crate) fn resident_bytes() -> Result<u64, LogError> {
     const PAGE_BYTES: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm")?;
@@ -212,7 +222,7 @@
     Ok(())
 }
 
-/// Makes all measurements and prints them.
+/// Runs all measurements of the log and prints the results.
 pub(crate) fn run() -> Result<(), LogError> {
     measure_claims()?;
     let dir = tempfile::tempdir()?;
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -1,8 +1,9 @@
-//! Measures the policy, the log, the membership and the path.
+//! Benchmarks of the scheduling policy, the placement, the log, the settings, the membership and the
+//! request path.
 //!
-//! Every figure in docs/ names the command here that gave it.
+//! Each figure in docs/ names the subcommand that produced it.
 
-#![allow(clippy::print_stdout, reason = "printing figures is what this program is for")]
+#![allow(clippy::print_stdout, reason = "printing results is the purpose of this program")]
 
 mod log;
 mod members;
@@ -13,7 +14,7 @@
 #[cfg(test)]
 mod placement_bound_tests;
 mod placement_requests;
-mod placement_world;
+mod placement_simulation;
 mod placement_worth;
 mod policy;
 mod replay;
@@ -84,7 +85,7 @@
     },
 }
 
-/// Why a measurement could not be made.
+/// Reason that a benchmark could not run.
 #[derive(Debug, thiserror::Error)]
 enum BenchError {
     #[error(transparent)]
--- a/bench/src/members.rs
+++ b/bench/src/members.rs
@@ -1,4 +1,4 @@
-//! Cost of the membership for one host, by the number of hosts.
+//! Cost of the membership protocol per host, and its failure detection time, by number of hosts.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -7,13 +7,17 @@
 use clayplank_state::encode;
 use clayplank_types::{DataCentre, HostId, Incarnation};
 
+/// Numbers of hosts.
 const SIZES: [usize; 3] = [9, 90, 370];
+/// Simulated time between two ticks of every host.
 const STEP_MS: u64 = 100;
-const QUIET_MS: u64 = 60_000;
+/// Simulated time without failures over which messages and processor time are counted.
+const STEADY_MS: u64 = 60_000;
 
+/// Simulated hosts with a membership view each, at most one of which has failed.
 struct Fleet {
     views: BTreeMap<HostId, Members>,
-    gone: Option<HostId>,
+    failed: Option<HostId>,
     messages: u64,
     bytes: u64,
 }
@@ -34,20 +38,20 @@
             members.delay_first_probe();
             (host(number), members)
         };
-        Self { views: (0..count).map(view).collect(), gone: None, messages: 0, bytes: 0 }
+        Self { views: (0..count).map(view).collect(), failed: None, messages: 0, bytes: 0 }
     }
 
     fn step(&mut self, now_ms: u64) {
         let names: Vec<_> = self.views.keys().cloned().collect();
-        let gone = self.gone.clone();
-        for name in names.iter().filter(|name| Some(*name) != gone.as_ref()) {
+        let failed = self.failed.clone();
+        for name in names.iter().filter(|name| Some(*name) != failed.as_ref()) {
             let effects =
                 self.views.get_mut(name).map(|view| view.tick(now_ms)).unwrap_or_default();
-            effects.into_iter().for_each(|effect| self.carry_out(now_ms, name, effect));
+            effects.into_iter().for_each(|effect| self.execute(now_ms, name, effect));
         }
     }
 
-    fn carry_out(&mut self, now_ms: u64, from: &HostId, effect: Effect) {
+    fn execute(&mut self, now_ms: u64, from: &HostId, effect: Effect) {
         match effect {
             Effect::Probe(target) if self.exchange(now_ms, from, &target) => {
                 if let Some(view) = self.views.get_mut(from) {
@@ -56,10 +60,10 @@
             }
             Effect::Probe(target) => {
                 let more = self.views.get_mut(from).map(|view| view.note_missed(now_ms, &target));
-                more.into_iter().flatten().for_each(|effect| self.carry_out(now_ms, from, effect));
+                more.into_iter().flatten().for_each(|effect| self.execute(now_ms, from, effect));
             }
             Effect::ProbeVia { target, .. } => {
-                let is_reached = Some(&target) != self.gone.as_ref();
+                let is_reached = Some(&target) != self.failed.as_ref();
                 if let Some(view) = self.views.get_mut(from) {
                     match is_reached {
                         true => view.note_reached(&target),
@@ -70,7 +74,7 @@
         }
     }
 
-    /// A probe and its answer; `false` if the target is gone.
+    /// A probe and its reply, both with piggybacked gossip; `false` if the target has failed.
     fn exchange(&mut self, now_ms: u64, from: &HostId, target: &HostId) -> bool {
         let rumours = self.views.get_mut(from).map(|view| {
             let mut rumours = view.take_rumours();
@@ -78,16 +82,16 @@
             rumours
         });
         self.count(rumours.as_ref());
-        if Some(target) == self.gone.as_ref() {
+        if Some(target) == self.failed.as_ref() {
             return false;
         }
-        let answer = self.views.get_mut(target).map(|view| {
+        let reply = self.views.get_mut(target).map(|view| {
             view.apply_rumours(now_ms, &rumours.unwrap_or_default());
             view.take_rumours()
         });
-        self.count(answer.as_ref());
+        self.count(reply.as_ref());
         if let Some(view) = self.views.get_mut(from) {
-            view.apply_rumours(now_ms, &answer.unwrap_or_default());
+            view.apply_rumours(now_ms, &reply.unwrap_or_default());
         }
         true
     }
@@ -98,38 +102,38 @@
             message.and_then(|message| encode(message).ok()).map_or(0, |bytes| bytes.len() as u64);
     }
 
-    /// Whether every other host takes one for gone.
-    fn all_know(&self, gone: &HostId) -> bool {
-        let others = self.views.iter().filter(|(name, _)| *name != gone);
-        others.into_iter().all(|(_, view)| view.status(gone) == Some(Status::Gone))
+    /// Whether every other host has declared the host dead.
+    fn all_detected(&self, failed: &HostId) -> bool {
+        let peers = self.views.iter().filter(|(name, _)| *name != failed);
+        peers.into_iter().all(|(_, view)| view.status(failed) == Some(Status::Gone))
     }
 }
 
-/// Measures a quiet minute, and how long all need to learn of a death.
+/// Measures a minute without failures, then the time until all hosts detect the failure of one.
 pub(crate) fn run() {
     for count in SIZES {
         let mut fleet = Fleet::new(count);
         let started = Instant::now();
         let mut now_ms = 0;
-        while now_ms < QUIET_MS {
+        while now_ms < STEADY_MS {
             now_ms += STEP_MS;
             fleet.step(now_ms);
         }
-        let per_host_second = count as f64 * QUIET_MS as f64 / 1_000.0;
+        let per_host_second = count as f64 * STEADY_MS as f64 / 1_000.0;
         let cpu_us = started.elapsed().as_micros() as f64 / per_host_second;
         let (messages, bytes) =
             (fleet.messages as f64 / per_host_second, fleet.bytes as f64 / per_host_second);
-        let gone = host(count / 2);
-        fleet.gone = Some(gone.clone());
-        let died_ms = now_ms;
-        while !fleet.all_know(&gone) && now_ms < died_ms + 120_000 {
+        let failed = host(count / 2);
+        fleet.failed = Some(failed.clone());
+        let failed_ms = now_ms;
+        while !fleet.all_detected(&failed) && now_ms < failed_ms + 120_000 {
             now_ms += STEP_MS;
             fleet.step(now_ms);
         }
         println!(
             "{count} hosts: {messages:.2} messages, {bytes:.0} bytes, {cpu_us:.1} us of processor a host and second; \
              a death is known to all after {} ms",
-            now_ms - died_ms
+            now_ms - failed_ms
         );
     }
 }
--- a/bench/src/path.rs
+++ b/bench/src/path.rs
@@ -1,4 +1,4 @@
-//! Time to the first byte, straight to an engine and through clayplank.
+//! Time to the first byte of a response, directly from an engine or through clayplank.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,10 +11,10 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Times up to a minute.
+/// Upper bound of recorded times: one minute.
 const MAX_US: u64 = 60_000_000;
 
-/// Why a request had no answer.
+/// Reason that the path benchmark failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PathError {
     #[error("no connection to {0}")]
@@ -29,7 +29,7 @@
     Task,
 }
 
-/// What is measured.
+/// Address under test and the load on it; `requests` are divided evenly over `connections`.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
@@ -47,7 +47,8 @@
     Ok(sender)
 }
 
-async fn ask(
+/// Sends one streamed completion. Returns the time to the first frame of its body.
+async fn time_to_first_byte(
     sender: &mut SendRequest<Full<Bytes>>,
     target: &Target,
 ) -> Result<Duration, PathError> {
@@ -75,6 +76,7 @@
     Ok(first_byte)
 }
 
+/// Sends all requests. Returns times to the first byte in microseconds, and requests per second.
 async fn measure(target: &Target) -> Result<(Histogram<u64>, f64), PathError> {
     let started = Instant::now();
     let mut tasks = Vec::new();
@@ -84,7 +86,7 @@
             let mut sender = connect(target.address).await?;
             let mut times = Vec::new();
             for _ in 0..target.requests / target.connections {
-                times.push(ask(&mut sender, &target).await?);
+                times.push(time_to_first_byte(&mut sender, &target).await?);
             }
             Ok::<_, PathError>(times)
         }));
@@ -98,7 +100,7 @@
     Ok((histogram, target.requests as f64 / started.elapsed().as_secs_f64()))
 }
 
-/// Measures one target and prints its figures.
+/// Measures one target and prints the results.
 pub(crate) fn run(name: &str, target: &Target) -> Result<(), PathError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|_| PathError::Task)?;
--- a/bench/src/placement_worth.rs
+++ b/bench/src/placement_worth.rs
@@ -1,44 +1,44 @@
-//! What the requests of the placement bench are worth, and why they earned less.
+//! Worth of the requests of the placement benchmark: the utility that each earned, and its outcome.
 
 use crate::placement_requests::{Mix, Request};
 
-/// Worth earned and owed, of a kind or of all.
+/// Sums of worth over a group of requests: earned, and possible if all were served in time.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Account {
+pub(crate) struct WorthTotal {
     pub(crate) earned: f64,
-    pub(crate) owed: f64,
+    pub(crate) possible: f64,
 }
 
-impl Account {
+impl WorthTotal {
     pub(crate) fn share(self) -> f64 {
-        self.earned / self.owed.max(1e-9)
+        self.earned / self.possible.max(1e-9)
     }
 }
 
-/// What a request that came back after a refusal and is refused again costs, as a share of its
-/// worth: its caller waited for nothing.
-const SECOND_REFUSAL_COST: f64 = 0.3;
+/// Penalty for refusing a retry, as a share of the request's worth: its caller waited in vain.
+const SECOND_REFUSAL_SHARE: f64 = 0.3;
 
-/// What a request earned, and what it would have earned in time.
+/// Worth that a request earned, and the worth it would have earned in time.
 ///
-/// By the users' measure: time counts from a caller's first try, a refusal that is followed by
-/// success earns nothing extra, a second refusal costs, and so does holding what is then refused,
-/// by its share of the caller's time.
-pub(crate) fn settle(mix: &Mix, request: &Request) -> (f64, f64) {
+/// This follows the users' definition. Time counts from the caller's first try. A refusal before a
+/// success changes nothing. A second refusal costs [`SECOND_REFUSAL_SHARE`], and deferring a request
+/// that is then refused costs the share of the caller's time limit that it was deferred for.
+pub(crate) fn earned_and_possible(mix: &Mix, request: &Request) -> (f64, f64) {
     let kind = &mix.kinds[request.kind];
     let factor = size_factor(mix, request);
-    let earned = match late_cause(mix, request) {
-        Cause::InTime => kind.worth,
-        Cause::FirstEventLate | Cause::PauseTooLong => kind.late_worth,
-        Cause::NotServed => {
-            let again = if request.refusals > 1 { SECOND_REFUSAL_COST } else { 0.0 };
-            -kind.worth * (again + request.held_ms / kind.time_ms)
+    let earned = match outcome(mix, request) {
+        Outcome::InTime => kind.worth,
+        Outcome::FirstEventLate | Outcome::PauseTooLong => kind.late_worth,
+        Outcome::NotServed => {
+            let second_refusal = if request.refusals > 1 { SECOND_REFUSAL_SHARE } else { 0.0 };
+            -kind.worth * (second_refusal + request.deferred_ms / kind.time_limit_ms)
         }
     };
     (earned * factor, kind.worth * factor)
 }
 
-/// What a request counts beside others of its kind, by its size, as the users' sheet has it.
+/// Factor of a request's worth by its size relative to the mean of its kind, as the users define it:
+/// an output token counts as much as ten prompt tokens.
 pub(crate) fn size_factor(mix: &Mix, request: &Request) -> f64 {
     let kind = &mix.kinds[request.kind];
     let size = request.tokens + 10.0 * f64::from(request.events) * mix.event_tokens();
@@ -46,30 +46,30 @@
     (0.3 + 0.7 * size / mean).min(4.0)
 }
 
-/// Prompts above this many tokens are told apart: the engines' memory holds no longer ones.
-pub(crate) const LONGEST_TOKENS: f64 = 430_000.0;
+/// Prompts above this length are also counted separately: they do not fit into one engine's memory.
+pub(crate) const SPLIT_ABOVE_TOKENS: f64 = 430_000.0;
 
-/// Why a request earned less than its worth, if it did.
+/// Outcome of a request: its full worth, or the reason that it earned less.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Cause {
+pub(crate) enum Outcome {
     InTime,
     FirstEventLate,
     PauseTooLong,
     NotServed,
 }
 
-/// Names of the causes, in their order.
-pub(crate) const CAUSES: [&str; 4] =
+/// Printed names of the outcomes, in the order of [`Outcome`].
+pub(crate) const OUTCOMES: [&str; 4] =
     ["in time", "first event late", "pause too long", "not served"];
 
-/// The cause that a request counts under.
-pub(crate) fn late_cause(mix: &Mix, request: &Request) -> Cause {
+/// Outcome of a request after the end of the run.
+pub(crate) fn outcome(mix: &Mix, request: &Request) -> Outcome {
     let kind = &mix.kinds[request.kind];
-    match request.first_ms.filter(|_| request.is_done) {
-        None => Cause::NotServed,
-        Some(first_ms) if first_ms > kind.limit_ms => Cause::NotServed,
-        Some(first_ms) if first_ms > kind.goal_ms => Cause::FirstEventLate,
-        Some(_) if request.longest_pause_ms > kind.pause_goal_ms => Cause::PauseTooLong,
-        Some(_) => Cause::InTime,
+    match request.first_event_ms.filter(|_| request.is_done) {
+        None => Outcome::NotServed,
+        Some(first_event_ms) if first_event_ms > kind.first_event_limit_ms => Outcome::NotServed,
+        Some(first_event_ms) if first_event_ms > kind.goal_ms => Outcome::FirstEventLate,
+        Some(_) if request.max_pause_ms > kind.pause_goal_ms => Outcome::PauseTooLong,
+        Some(_) => Outcome::InTime,
     }
 }
--- a/bench/src/policy.rs
+++ b/bench/src/policy.rs
@@ -1,4 +1,5 @@
-//! The policy experiment: disciplines, mixes, loads, an outage, and each mechanism off.
+//! The policy experiment: queueing disciplines and workloads at several loads, with an outage, and with
+//! each mechanism of the scheduler turned off.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,14 +9,18 @@
 use serde::Serialize;
 
 use crate::mix::{Arrival, Mix, SHORT_WORK_TOKENS, base_policy};
-use crate::replay::{Fate, Setup, replay};
-use crate::summary::{Summary, is_good, summarise};
+use crate::replay::{RequestOutcome, Setup, replay};
+use crate::summary::{Summary, is_in_time, summarise};
 
 const ENGINES: usize = 20;
+/// Time over which requests arrive.
 const LENGTH_MS: u64 = 600_000;
+/// Offered loads, as shares of the engines' capacity.
 const LOADS: [f64; 4] = [0.5, 0.8, 0.95, 1.2];
+/// Start and end of the outage of half of the engines.
 const OUTAGE_MS: (u64, u64) = (200_000, 400_000);
 const OUTAGE_LOAD: f64 = 0.8;
+/// Loads of the runs with a mechanism turned off.
 const MECHANISM_LOADS: [f64; 2] = [0.8, 1.2];
 const RACE_DAY_LOAD: f64 = 2.2;
 
@@ -25,9 +30,9 @@
     ("shortest-first", Discipline::ShortestFirst),
 ];
 
-/// One run to be made.
+/// Parameters of one run.
 #[derive(Clone, Debug)]
-struct Plan {
+struct RunSpec {
     name: String,
     mix: Mix,
     load: f64,
@@ -36,7 +41,7 @@
     has_outage: bool,
 }
 
-/// One run that was made.
+/// Results of one run.
 #[derive(Clone, Debug, Serialize)]
 struct Row {
     name: String,
@@ -44,7 +49,7 @@
     load: f64,
     without_long: bool,
     summary: Summary,
-    /// Goodput before, during and after the outage.
+    /// Goodput before, during and after the outage, in tokens per second.
     outage_goodput: Option<[f64; 3]>,
 }
 
@@ -64,12 +69,12 @@
     ]
 }
 
-fn plans(seed: u64) -> Vec<Plan> {
-    let mut plans = Vec::new();
+fn run_specs(seed: u64) -> Vec<RunSpec> {
+    let mut specs = Vec::new();
     for mix in Mix::BOTH {
         for (name, discipline) in DISCIPLINES {
             let policy = policy_of(discipline, Mechanisms::default(), seed);
-            let plan = |load, without_long, has_outage| Plan {
+            let spec = |load, without_long, has_outage| RunSpec {
                 name: name.to_owned(),
                 mix,
                 load,
@@ -77,13 +82,13 @@
                 without_long,
                 has_outage,
             };
-            plans.extend(LOADS.map(|load| plan(load, false, false)));
-            plans.extend(LOADS.map(|load| plan(load, true, false)));
-            plans.push(plan(OUTAGE_LOAD, false, true));
+            specs.extend(LOADS.map(|load| spec(load, false, false)));
+            specs.extend(LOADS.map(|load| spec(load, true, false)));
+            specs.push(spec(OUTAGE_LOAD, false, true));
         }
     }
     for (name, discipline) in DISCIPLINES {
-        plans.push(race_day(name, policy_of(discipline, Mechanisms::default(), seed)));
+        specs.push(race_day(name, policy_of(discipline, Mechanisms::default(), seed)));
     }
     for (name, mechanisms) in mechanisms_off() {
         let policy = policy_of(Discipline::Current, mechanisms, seed);
@@ -91,59 +96,59 @@
             Mix::BOTH.into_iter().flat_map(|mix| MECHANISM_LOADS.map(|load| (mix, load)))
         {
             let (name, policy) = (name.to_owned(), policy.clone());
-            plans.push(Plan { name, mix, load, policy, without_long: false, has_outage: false });
+            specs.push(RunSpec { name, mix, load, policy, without_long: false, has_outage: false });
         }
-        plans.push(race_day(name, policy));
+        specs.push(race_day(name, policy));
     }
-    plans
+    specs
 }
 
-fn race_day(name: &str, policy: Policy) -> Plan {
+fn race_day(name: &str, policy: Policy) -> RunSpec {
     let (name, mix, load) = (name.to_owned(), Mix::RaceDay, RACE_DAY_LOAD);
-    Plan { name, mix, load, policy, without_long: false, has_outage: false }
+    RunSpec { name, mix, load, policy, without_long: false, has_outage: false }
 }
 
-fn carry_out(plan: &Plan, seed: u64) -> Row {
-    let mut arrivals = plan.mix.draw(seed, plan.load, ENGINES, LENGTH_MS);
-    if plan.without_long {
+fn execute(spec: &RunSpec, seed: u64) -> Row {
+    let mut arrivals = spec.mix.generate(seed, spec.load, ENGINES, LENGTH_MS);
+    if spec.without_long {
         arrivals.retain(|arrival| arrival.prompt_tokens <= SHORT_WORK_TOKENS);
     }
     let arrivals = Arc::new(arrivals);
     let setup = Setup {
-        mix: plan.mix,
-        policy: plan.policy.clone(),
+        mix: spec.mix,
+        policy: spec.policy.clone(),
         engines: ENGINES,
         arrivals: Arc::clone(&arrivals),
-        outage_ms: plan.has_outage.then_some(OUTAGE_MS),
+        outage_ms: spec.has_outage.then_some(OUTAGE_MS),
     };
-    let fates = replay(setup);
+    let outcomes = replay(setup);
     Row {
-        name: plan.name.clone(),
-        mix: plan.mix,
-        load: plan.load,
-        without_long: plan.without_long,
-        summary: summarise(&arrivals, &fates, LENGTH_MS),
-        outage_goodput: plan.has_outage.then(|| outage_goodput(&arrivals, &fates)),
+        name: spec.name.clone(),
+        mix: spec.mix,
+        load: spec.load,
+        without_long: spec.without_long,
+        summary: summarise(&arrivals, &outcomes, LENGTH_MS),
+        outage_goodput: spec.has_outage.then(|| outage_goodput(&arrivals, &outcomes)),
     }
 }
 
-/// Tokens a second of requests that ended in time, by when they ended.
-fn outage_goodput(arrivals: &[Arrival], fates: &[Fate]) -> [f64; 3] {
-    let spans = [(0, OUTAGE_MS.0), OUTAGE_MS, (OUTAGE_MS.1, LENGTH_MS)];
-    spans.map(|(from_ms, to_ms)| {
-        let ended = arrivals.iter().zip(fates).filter(|(arrival, fate)| {
-            is_good(arrival, fate)
-                && fate.ended_ms.is_some_and(|ended_ms| (from_ms..to_ms).contains(&ended_ms))
+/// Tokens per second of requests that completed in time, by the period in which they completed.
+fn outage_goodput(arrivals: &[Arrival], outcomes: &[RequestOutcome]) -> [f64; 3] {
+    let periods = [(0, OUTAGE_MS.0), OUTAGE_MS, (OUTAGE_MS.1, LENGTH_MS)];
+    periods.map(|(from_ms, to_ms)| {
+        let ended = arrivals.iter().zip(outcomes).filter(|(arrival, outcome)| {
+            is_in_time(arrival, outcome)
+                && outcome.ended_ms.is_some_and(|ended_ms| (from_ms..to_ms).contains(&ended_ms))
         });
         let tokens: u64 = ended.map(|(arrival, _)| arrival.tokens()).sum();
         tokens as f64 * 1_000.0 / (to_ms - from_ms) as f64
     })
 }
 
-/// Makes all runs, on all processors, and prints them in order.
+/// Executes all runs, in parallel on all processors, and prints the results in order.
 pub(crate) fn run(seed: u64, as_json: bool, only: Option<&str>) {
-    let mut plans = plans(seed);
-    plans.retain(|plan| only.is_none_or(|name| plan.name == name));
+    let mut specs = run_specs(seed);
+    specs.retain(|spec| only.is_none_or(|name| spec.name == name));
     let next = AtomicUsize::new(0);
     let rows: Mutex<Vec<(usize, Row)>> = Mutex::default();
     let workers = std::thread::available_parallelism().map_or(4, usize::from);
@@ -152,10 +157,10 @@
             scope.spawn(|| {
                 loop {
                     let position = next.fetch_add(1, Ordering::SeqCst);
-                    let Some(plan) = plans.get(position) else {
+                    let Some(spec) = specs.get(position) else {
                         return;
                     };
-                    let row = carry_out(plan, seed);
+                    let row = execute(spec, seed);
                     rows.lock().unwrap_or_else(PoisonError::into_inner).push((position, row));
                 }
             });
@@ -207,9 +212,9 @@
 
 fn print_bands(summary: &Summary, without_long: Option<&Summary>) {
     for band in &summary.bands {
-        let same =
+        let same_band =
             |summary: &Summary| summary.bands.iter().find(|other| other.band == band.band).cloned();
-        let slowdown = without_long.and_then(same).map_or(String::new(), |other| {
+        let slowdown = without_long.and_then(same_band).map_or(String::new(), |other| {
             let ratio = |with: u64, without: u64| with as f64 / without.max(1) as f64;
             format!(
                 "  slowdown p50 {:.2} p99 {:.2}",
--- a/bench/src/replay.rs
+++ b/bench/src/replay.rs
@@ -1,4 +1,4 @@
-//! One run: arrivals, the scheduler, and engines on the paused clock.
+//! Simulation of one run: arrivals, the scheduler and simulated engines on tokio's paused clock.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,69 +16,76 @@
 
 use crate::mix::{Arrival, Mix};
 
-const TICK_MS: u64 = 50;
-const REPORT_MS: u64 = 250;
-const RENEW_MS: u64 = 750;
+/// Interval of the scheduler's ticks.
+const TICK_INTERVAL_MS: u64 = 50;
+/// Interval of the engines' load reports.
+const REPORT_INTERVAL_MS: u64 = 250;
+/// Interval at which the holder renews its grants.
+const RENEW_INTERVAL_MS: u64 = 750;
 
-/// Reports that are missed before an engine counts as silent.
-const SILENT_AFTER_MS: u64 = 750;
+/// Time without reports after which an engine is declared unresponsive: three report intervals.
+const UNRESPONSIVE_AFTER_MS: u64 = 750;
 
-/// Second tries, in percent of first tries.
+/// Retry budget: permitted retries, in percent of first attempts.
 const RETRY_PERCENT: u64 = 10;
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
     pub(crate) mix: Mix,
     pub(crate) policy: Policy,
     pub(crate) engines: usize,
     pub(crate) arrivals: Arc<Vec<Arrival>>,
-    /// Half of the engines are gone between these times.
+    /// Start and end of the failure of half of the engines.
     pub(crate) outage_ms: Option<(u64, u64)>,
 }
 
-/// What became of a request.
+/// Outcome of a request; times are in ms since the start of the run.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Fate {
+pub(crate) struct RequestOutcome {
     pub(crate) granted_ms: Option<u64>,
     pub(crate) first_token_ms: Option<u64>,
     pub(crate) ended_ms: Option<u64>,
     pub(crate) refused_ms: Option<u64>,
     pub(crate) failed_ms: Option<u64>,
-    tries: u64,
+    submissions: u64,
 }
 
-/// A dispatch that runs.
+/// A granted request that runs on its engines.
 #[derive(Debug)]
 struct Attempt {
     request: usize,
     grant: Grant,
-    /// Which part reads, or writes.
+    /// Index of the part of the grant that runs now.
     position: usize,
     first_token_ms: Option<u64>,
 }
 
-struct World {
+/// State of the simulation.
+struct Simulation {
     setup: Setup,
     scheduler: Scheduler,
     engines: Vec<EngineCore>,
     incarnations: Vec<u64>,
-    is_dead: Vec<bool>,
-    wakes: Vec<Rc<Notify>>,
+    has_failed: Vec<bool>,
+    work_added: Vec<Rc<Notify>>,
     attempts: HashMap<AttemptId, Attempt>,
-    fates: Vec<Fate>,
+    outcomes: Vec<RequestOutcome>,
     budgets: HashMap<usize, RetryBudget>,
+    /// Index and attempt of each request that waits for a decision.
     by_request: HashMap<RequestId, (usize, AttemptId)>,
     next_id: u64,
-    open: usize,
-    done: Rc<Notify>,
+    /// Number of requests that have not finished.
+    unfinished: usize,
+    /// Notified for each request that finishes.
+    finished: Rc<Notify>,
     started: Instant,
 }
 
-type Shared = Rc<RefCell<World>>;
+type Shared = Rc<RefCell<Simulation>>;
 
-/// Runs a setup to its end; the same setup gives the same fates.
-pub(crate) fn replay(setup: Setup) -> Vec<Fate> {
+/// Runs a simulation until all requests have finished; equal setups give equal outcomes.
+pub(crate) fn replay(setup: Setup) -> Vec<RequestOutcome> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let runtime = runtime.expect("a runtime of one thread can be built");
@@ -86,92 +93,96 @@
     local.block_on(&runtime, run(setup))
 }
 
-async fn run(setup: Setup) -> Vec<Fate> {
-    let world = Rc::new(RefCell::new(World::new(setup)));
-    let count = world.borrow().engines.len();
+async fn run(setup: Setup) -> Vec<RequestOutcome> {
+    let simulation = Rc::new(RefCell::new(Simulation::new(setup)));
+    let count = simulation.borrow().engines.len();
     for engine in 0..count {
-        tokio::task::spawn_local(run_engine(Rc::clone(&world), engine));
+        tokio::task::spawn_local(run_engine(Rc::clone(&simulation), engine));
     }
-    tokio::task::spawn_local(run_upkeep(Rc::clone(&world)));
-    tokio::task::spawn_local(run_outage(Rc::clone(&world)));
-    run_arrivals(&world).await;
-    let done = Rc::clone(&world.borrow().done);
-    while world.borrow().open > 0 {
-        done.notified().await;
+    tokio::task::spawn_local(run_maintenance(Rc::clone(&simulation)));
+    tokio::task::spawn_local(run_outage(Rc::clone(&simulation)));
+    run_arrivals(&simulation).await;
+    let finished = Rc::clone(&simulation.borrow().finished);
+    while simulation.borrow().unfinished > 0 {
+        finished.notified().await;
     }
-    std::mem::take(&mut world.borrow_mut().fates)
+    std::mem::take(&mut simulation.borrow_mut().outcomes)
 }
 
-async fn sleep_ms(span_ms: f64) {
-    tokio::time::sleep(Duration::from_secs_f64(span_ms / 1_000.0)).await;
+async fn sleep_ms(duration_ms: f64) {
+    tokio::time::sleep(Duration::from_secs_f64(duration_ms / 1_000.0)).await;
 }
 
-async fn run_arrivals(world: &Shared) {
+async fn run_arrivals(simulation: &Shared) {
     let (arrivals, started) = {
-        let world = world.borrow();
-        (Arc::clone(&world.setup.arrivals), world.started)
+        let simulation = simulation.borrow();
+        (Arc::clone(&simulation.setup.arrivals), simulation.started)
     };
     for (request, arrival) in arrivals.iter().enumerate() {
         tokio::time::sleep_until(started + Duration::from_millis(arrival.at_ms)).await;
-        let mut world = world.borrow_mut();
-        world.budgets.entry(arrival.account).or_default().earn(RETRY_PERCENT);
-        world.submit(request, Vec::new());
+        let mut simulation = simulation.borrow_mut();
+        simulation.budgets.entry(arrival.account).or_default().earn(RETRY_PERCENT);
+        simulation.submit(request, Vec::new());
     }
 }
 
-async fn run_engine(world: Shared, engine: usize) {
-    let wake = Rc::clone(&world.borrow().wakes[engine]);
+async fn run_engine(simulation: Shared, engine: usize) {
+    let work_added = Rc::clone(&simulation.borrow().work_added[engine]);
     loop {
         let planned_ms = {
-            let mut world = world.borrow_mut();
-            if world.is_dead[engine] { None } else { world.engines[engine].plan_step_ms() }
+            let mut simulation = simulation.borrow_mut();
+            if simulation.has_failed[engine] {
+                None
+            } else {
+                simulation.engines[engine].plan_step_ms()
+            }
         };
         let Some(step_ms) = planned_ms else {
-            wake.notified().await;
+            work_added.notified().await;
             continue;
         };
-        let incarnation = world.borrow().incarnations[engine];
+        let incarnation = simulation.borrow().incarnations[engine];
         sleep_ms(step_ms).await;
-        let mut world = world.borrow_mut();
-        if world.is_dead[engine] || world.incarnations[engine] != incarnation {
+        let mut simulation = simulation.borrow_mut();
+        if simulation.has_failed[engine] || simulation.incarnations[engine] != incarnation {
             continue;
         }
-        let events = world.engines[engine].finish_step();
+        let events = simulation.engines[engine].finish_step();
         for event in events {
-            world.apply_step(event);
+            simulation.apply_step(event);
         }
     }
 }
 
-async fn run_upkeep(world: Shared) {
+async fn run_maintenance(simulation: Shared) {
     let mut elapsed_ms = 0;
     loop {
-        sleep_ms(TICK_MS as f64).await;
-        elapsed_ms += TICK_MS;
-        let mut world = world.borrow_mut();
-        if elapsed_ms % RENEW_MS == 0 {
-            world.renew();
+        sleep_ms(TICK_INTERVAL_MS as f64).await;
+        elapsed_ms += TICK_INTERVAL_MS;
+        let mut simulation = simulation.borrow_mut();
+        if elapsed_ms % RENEW_INTERVAL_MS == 0 {
+            simulation.renew();
         }
-        if elapsed_ms % REPORT_MS == 0 {
-            world.report();
+        if elapsed_ms % REPORT_INTERVAL_MS == 0 {
+            simulation.report();
         }
-        let now_ms = world.now_ms();
-        world.scheduler.tick(now_ms);
-        world.pump();
+        let now_ms = simulation.now_ms();
+        simulation.scheduler.tick(now_ms);
+        simulation.apply_decisions();
     }
 }
 
-async fn run_outage(world: Shared) {
-    let Some((from_ms, to_ms)) = world.borrow().setup.outage_ms else {
+async fn run_outage(simulation: Shared) {
+    let Some((from_ms, to_ms)) = simulation.borrow().setup.outage_ms else {
         return;
     };
     sleep_ms(from_ms as f64).await;
-    let count = world.borrow().engines.len() / 2;
-    world.borrow_mut().kill_engines(count);
-    sleep_ms(SILENT_AFTER_MS as f64).await;
-    world.borrow_mut().silence_engines(count);
-    sleep_ms((to_ms - from_ms - SILENT_AFTER_MS) as f64).await;
-    world.borrow_mut().revive_engines(count);
+    let count = simulation.borrow().engines.len() / 2;
+    simulation.borrow_mut().fail_engines(count);
+    sleep_ms(UNRESPONSIVE_AFTER_MS as f64).await;
+    simulation.borrow_mut().report_unresponsive(count);
+    sleep_ms((to_ms - from_ms - UNRESPONSIVE_AFTER_MS) as f64).await;
+    simulation.borrow_mut().restart_engines(count);
 }
 
 fn engine_id(engine: usize) -> UpstreamId {
@@ -182,7 +193,7 @@
     Holder { host: HostId::new("entry-1"), incarnation: Incarnation(1) }
 }
 
-impl World {
+impl Simulation {
     fn new(setup: Setup) -> Self {
         let model = EngineModel::default();
         let mut scheduler = Scheduler::new(setup.policy.clone());
@@ -194,15 +205,15 @@
             scheduler,
             engines: (0..setup.engines).map(|_| EngineCore::new(model)).collect(),
             incarnations: vec![1; setup.engines],
-            is_dead: vec![false; setup.engines],
-            wakes: (0..setup.engines).map(|_| Rc::default()).collect(),
+            has_failed: vec![false; setup.engines],
+            work_added: (0..setup.engines).map(|_| Rc::default()).collect(),
             attempts: HashMap::new(),
-            fates: vec![Fate::default(); count],
+            outcomes: vec![RequestOutcome::default(); count],
             budgets: HashMap::new(),
             by_request: HashMap::new(),
             next_id: 0,
-            open: count,
-            done: Rc::default(),
+            unfinished: count,
+            finished: Rc::default(),
             started: Instant::now(),
             setup,
         }
@@ -225,14 +236,14 @@
         arrival.fill(&mut ask);
         ask.avoid = avoid;
         self.by_request.insert(request_id, (request, attempt_id));
-        self.fates[request].tries += 1;
+        self.outcomes[request].submissions += 1;
         let now_ms = self.now_ms();
         self.scheduler.submit(now_ms, holder(), ask);
-        self.pump();
+        self.apply_decisions();
     }
 
-    /// Carries out what the scheduler decided.
-    fn pump(&mut self) {
+    /// Applies the scheduler's decisions until there are none left.
+    fn apply_decisions(&mut self) {
         loop {
             let decisions = self.scheduler.take_decisions();
             if decisions.is_empty() {
@@ -243,7 +254,7 @@
                     Decision::Granted(grant) => self.start(grant),
                     Decision::Refused(request_id, _) => {
                         if let Some((request, _)) = self.by_request.remove(&request_id) {
-                            self.refuse(request);
+                            self.record_refusal(request);
                         }
                     }
                     Decision::Cancel(engine, attempt_id) => self.cancel(&engine, attempt_id),
@@ -252,20 +263,20 @@
         }
     }
 
-    fn refuse(&mut self, request: usize) {
+    fn record_refusal(&mut self, request: usize) {
         let now_ms = self.now_ms();
-        let fate = &mut self.fates[request];
-        // One that ran before and was not let in again has failed.
-        match fate.tries {
-            1 => fate.refused_ms = Some(now_ms),
-            _ => fate.failed_ms = Some(now_ms),
+        let outcome = &mut self.outcomes[request];
+        // A retry that is refused counts as a failure, not as a refusal.
+        match outcome.submissions {
+            1 => outcome.refused_ms = Some(now_ms),
+            _ => outcome.failed_ms = Some(now_ms),
         }
-        self.close();
+        self.count_finished();
     }
 
-    fn close(&mut self) {
-        self.open -= 1;
-        self.done.notify_one();
+    fn count_finished(&mut self) {
+        self.unfinished -= 1;
+        self.finished.notify_one();
     }
 
     fn cancel(&mut self, engine: &UpstreamId, attempt_id: AttemptId) {
@@ -279,13 +290,13 @@
             return;
         };
         let now_ms = self.now_ms();
-        self.fates[request].granted_ms.get_or_insert(now_ms);
+        self.outcomes[request].granted_ms.get_or_insert(now_ms);
         self.attempts
             .insert(attempt_id, Attempt { request, grant, position: 0, first_token_ms: None });
         self.start_part(attempt_id);
     }
 
-    /// Gives the next part of a grant to its engine.
+    /// Starts the current part of a grant at its engine.
     fn start_part(&mut self, attempt_id: AttemptId) {
         let Some(attempt) = self.attempts.get(&attempt_id) else {
             return;
@@ -308,39 +319,40 @@
         else {
             return;
         };
-        if self.is_dead[engine] || self.engines[engine].begin(job).is_err() {
+        if self.has_failed[engine] || self.engines[engine].start(job).is_err() {
             self.fail(attempt_id, true);
             return;
         }
-        self.wakes[engine].notify_one();
+        self.work_added[engine].notify_one();
     }
 
-    /// An attempt broke: it is tried again within the budget.
-    fn fail(&mut self, attempt_id: AttemptId, is_begun_nowhere: bool) {
+    /// Ends a failed attempt and retries it if the account's retry budget permits.
+    ///
+    /// `is_not_started`: the engine did not accept the part, so that it holds nothing of the attempt.
+    fn fail(&mut self, attempt_id: AttemptId, is_not_started: bool) {
         let Some(attempt) = self.attempts.remove(&attempt_id) else {
             return;
         };
         let now_ms = self.now_ms();
-        self.end_parts(&attempt, attempt_id);
-        let usage =
-            Usage { engine_ended: is_begun_nowhere, engine_failed: true, ..Usage::default() };
+        self.cancel_parts(&attempt, attempt_id);
+        let usage = Usage { engine_ended: is_not_started, engine_failed: true, ..Usage::default() };
         self.scheduler.finish(now_ms, attempt.grant.grant_id, usage);
         let arrivals = Arc::clone(&self.setup.arrivals);
         let account = arrivals[attempt.request].account;
-        let may_retry = self.fates[attempt.request].tries < 3
+        let may_retry = self.outcomes[attempt.request].submissions < 3
             && self.budgets.get_mut(&account).is_some_and(RetryBudget::spend);
         if may_retry {
             let avoid = attempt.grant.parts.iter().map(|part| part.engine.clone()).collect();
-            self.fates[attempt.request].first_token_ms = None;
+            self.outcomes[attempt.request].first_token_ms = None;
             self.submit(attempt.request, avoid);
         } else {
-            self.fates[attempt.request].failed_ms = Some(now_ms);
-            self.close();
-            self.pump();
+            self.outcomes[attempt.request].failed_ms = Some(now_ms);
+            self.count_finished();
+            self.apply_decisions();
         }
     }
 
-    fn end_parts(&mut self, attempt: &Attempt, attempt_id: AttemptId) {
+    fn cancel_parts(&mut self, attempt: &Attempt, attempt_id: AttemptId) {
         for part in &attempt.grant.parts {
             self.cancel(&part.engine, attempt_id);
         }
@@ -360,9 +372,9 @@
                     return;
                 };
                 attempt.first_token_ms = Some(now_ms);
-                self.fates[attempt.request].first_token_ms = Some(now_ms);
+                self.outcomes[attempt.request].first_token_ms = Some(now_ms);
                 self.scheduler.note_first_token(now_ms, attempt.grant.grant_id);
-                self.pump();
+                self.apply_decisions();
             }
             StepEvent::Token(..) => {}
             StepEvent::Ended(attempt_id) => self.end(attempt_id),
@@ -374,8 +386,8 @@
             return;
         };
         let now_ms = self.now_ms();
-        self.end_parts(&attempt, attempt_id);
-        self.fates[attempt.request].ended_ms = Some(now_ms);
+        self.cancel_parts(&attempt, attempt_id);
+        self.outcomes[attempt.request].ended_ms = Some(now_ms);
         let usage = Usage {
             engine_ended: true,
             engine_failed: false,
@@ -383,13 +395,14 @@
             decode_ms: now_ms - attempt.first_token_ms.unwrap_or(now_ms),
         };
         self.scheduler.finish(now_ms, attempt.grant.grant_id, usage);
-        self.close();
-        self.pump();
+        self.count_finished();
+        self.apply_decisions();
     }
 
+    /// Renews the grants of all running attempts.
     fn renew(&mut self) {
         let now_ms = self.now_ms();
-        let held: Vec<_> = self
+        let grants: Vec<_> = self
             .attempts
             .iter()
             .map(|(&attempt_id, attempt)| clayplank_schedule::HeldGrant {
@@ -399,13 +412,14 @@
                 parts: attempt.grant.parts.clone(),
             })
             .collect();
-        self.scheduler.renew(now_ms, &holder(), &held);
+        self.scheduler.renew(now_ms, &holder(), &grants);
     }
 
+    /// Sends the load report of every engine that has not failed.
     fn report(&mut self) {
         let now_ms = self.now_ms();
         for engine in 0..self.engines.len() {
-            if self.is_dead[engine] {
+            if self.has_failed[engine] {
                 continue;
             }
             let core = &self.engines[engine];
@@ -420,32 +434,32 @@
             };
             self.scheduler.report(now_ms, &engine_id(engine), &report);
         }
-        self.pump();
+        self.apply_decisions();
     }
 
-    fn kill_engines(&mut self, count: usize) {
+    fn fail_engines(&mut self, count: usize) {
         for engine in 0..count {
-            self.is_dead[engine] = true;
-            let mut lost: Vec<_> =
+            self.has_failed[engine] = true;
+            let mut failed: Vec<_> =
                 self.engines[engine].running().map(|running| running.job.attempt_id).collect();
-            lost.sort();
+            failed.sort();
             self.engines[engine] = EngineCore::new(EngineModel::default());
-            for attempt_id in lost {
+            for attempt_id in failed {
                 self.fail(attempt_id, false);
             }
         }
     }
 
-    fn silence_engines(&mut self, count: usize) {
+    fn report_unresponsive(&mut self, count: usize) {
         for engine in 0..count {
             self.scheduler.note_silent(&engine_id(engine));
         }
-        self.pump();
+        self.apply_decisions();
     }
 
-    fn revive_engines(&mut self, count: usize) {
+    fn restart_engines(&mut self, count: usize) {
         for engine in 0..count {
-            self.is_dead[engine] = false;
+            self.has_failed[engine] = false;
             self.incarnations[engine] += 1;
         }
     }
--- a/bench/src/settings.rs
+++ b/bench/src/settings.rs
@@ -1,4 +1,4 @@
-//! Memory and time of a host's settings, by the number of client accounts.
+//! Memory and lookup time of a host's settings, for several numbers of client accounts.
 
 use std::time::Instant;
 
@@ -10,9 +10,10 @@
 
 use crate::log::{LogError, resident_bytes};
 
-const ACCOUNTS: [u64; 2] = [3_000, 43_000];
+/// Numbers of accounts; memory per account is the difference between the two.
+const ACCOUNT_COUNTS: [u64; 2] = [3_000, 43_000];
 
-/// Why a measurement could not be made.
+/// Reason that the settings benchmark could not run.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SettingsError {
     #[error(transparent)]
@@ -25,7 +26,8 @@
     Stale(#[from] clayplank_state::StaleDelta),
 }
 
-fn set(machine: &mut Machine, number: u64, key: SettingKey, value: SettingValue) {
+/// Applies one setting to the state machine.
+fn apply_setting(machine: &mut Machine, number: u64, key: SettingKey, value: SettingValue) {
     let change = SettingChange {
         change_id: format!("change-{number}"),
         partner: key.partner().clone(),
@@ -37,16 +39,22 @@
     machine.apply(&Command { at_ms: number, body: Body::Change(change) });
 }
 
-/// Measures a host's view as accounts come, and one change among them.
+/// Measures a host's view of the settings while accounts are added, then a copy of it, lookups and
+/// a snapshot.
 pub(crate) fn run() -> Result<(), SettingsError> {
     let partner = Partner::new("dala");
     let mut machine = Machine::default();
     let template: Template = parse(r#"{"deadline_ms": 10000, "model": "base"}"#)?;
-    set(&mut machine, 0, SettingKey::template(&partner, "short"), SettingValue::Template(template));
+    apply_setting(
+        &mut machine,
+        0,
+        SettingKey::template(&partner, "short"),
+        SettingValue::Template(template),
+    );
     let mut view = SettingsView::default();
     let mut number = 0;
     let mut sizes = Vec::new();
-    for count in ACCOUNTS {
+    for count in ACCOUNT_COUNTS {
         while number < count {
             number += 1;
             let text = format!(
@@ -55,19 +63,19 @@
             );
             let account: ClientAccount = serde_json::from_str(&text)?;
             let key = SettingKey::account(&partner, &format!("account-{number:06}"));
-            set(&mut machine, number, key, SettingValue::Account(account));
+            apply_setting(&mut machine, number, key, SettingValue::Account(account));
         }
         let before = resident_bytes()?;
         view.apply(machine.delta_after(view.revision()))?;
         sizes.push(resident_bytes()? - before);
     }
-    let accounts = ACCOUNTS[1] - ACCOUNTS[0];
+    let accounts = ACCOUNT_COUNTS[1] - ACCOUNT_COUNTS[0];
     println!("memory for an account in a host's view: {} bytes", sizes[1] / accounts);
     let started = Instant::now();
     let copy = view.clone();
     println!(
         "a copy of {} accounts for one change: {} us",
-        ACCOUNTS[1],
+        ACCOUNT_COUNTS[1],
         started.elapsed().as_micros()
     );
     let started = Instant::now();
--- a/clayplank-standin/src/bin/standin-engine.rs
+++ b/clayplank-standin/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a model engine.
+//! Simulated model engine; see `docs/ENGINES.md` for its interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/clayplank-standin/src/bin/standin-platform.rs
+++ b/clayplank-standin/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's host list.
+//! Simulated host list of the platform, which is out of date by a fixed delay.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/clayplank-standin/src/bin/standin-service.rs
+++ b/clayplank-standin/src/bin/standin-service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service.
+//! Simulated plain service that records what it runs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/clayplank-standin/src/bin/standin-upstream.rs
+++ b/clayplank-standin/src/bin/standin-upstream.rs
@@ -1,4 +1,4 @@
-//! A stand-in that registers with keepers: an engine of the pass model, or a plain service.
+//! Simulated upstream that registers with keepers: a pass engine or a plain service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 use tokio::sync::mpsc;
 
-/// Requests that a plain service runs at once.
+/// Number of requests that a plain service runs concurrently.
 const SERVICE_SLOTS: u32 = 6;
 
 #[derive(Bpaf, Clone, Debug)]
@@ -49,8 +49,8 @@
     limit_per_s: Option<f64>,
 }
 
-/// From the begin of a request that ends the process to its end.
-const ENDS_AFTER: Duration = Duration::from_millis(100);
+/// Time between the start of the request that terminates the process and the exit.
+const EXIT_DELAY: Duration = Duration::from_millis(100);
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), ServeError> {
@@ -64,28 +64,28 @@
         data_centre: options.data_centre,
         slots: if options.engine { model.slots } else { SERVICE_SLOTS },
     };
-    let every = Duration::from_millis(options.heartbeat_ms);
-    tokio::spawn(send_heartbeats(registration, options.keepers, every));
+    let heartbeat_interval = Duration::from_millis(options.heartbeat_ms);
+    tokio::spawn(send_heartbeats(registration, options.keepers, heartbeat_interval));
     let limit = SharedLimit::default();
     limit.set(options.limit_per_s);
     if options.engine {
         serve_pass_engine(listener, options.id, model, limit).await;
     } else {
-        let (begun, ends) = mpsc::unbounded_channel();
+        let (begun, crashes) = mpsc::unbounded_channel();
         let crashing =
             options.ends_on.map(|text| CrashingRequest { body: Bytes::from(text), begun });
         tokio::select! {
             () = serve_upstream(listener, options.id, SharedRuns::default(), crashing, limit) => {}
-            () = wait_for_end(ends) => {}
+            () = wait_for_exit(crashes) => {}
         }
     }
     Ok(())
 }
 
-/// Waits until a request that ends the process has run for a while.
-async fn wait_for_end(mut ends: mpsc::UnboundedReceiver<()>) {
-    match ends.recv().await {
-        Some(()) => tokio::time::sleep(ENDS_AFTER).await,
+/// Waits until a request that terminates the process has run for [`EXIT_DELAY`]; forever if none can.
+async fn wait_for_exit(mut crashes: mpsc::UnboundedReceiver<()>) {
+    match crashes.recv().await {
+        Some(()) => tokio::time::sleep(EXIT_DELAY).await,
         None => std::future::pending().await,
     }
 }
--- a/clayplank-standin/src/core.rs
+++ b/clayplank-standin/src/core.rs
@@ -1,22 +1,22 @@
-//! An engine that batches continuously, without a network or a clock.
+//! An engine with continuous batching, without a network or a clock: the caller runs its steps.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use clayplank_types::{AttemptId, EnginePriority, PREFIX_BLOCK_TOKENS};
 use serde::{Deserialize, Serialize};
 
-/// How fast and how large an engine is.
+/// Cost model and capacity of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineModel {
-    /// A step that does nothing.
+    /// Fixed duration of a step.
     pub step_base_ms: f64,
-    /// Added for each prompt token that a step computes.
+    /// Time added for each prompt token that a step prefills.
     pub prefill_ms_per_token: f64,
-    /// Added for each sequence that gets its next token.
+    /// Time added for each sequence that gets its next token.
     pub decode_ms_per_sequence: f64,
-    /// The most prompt tokens in a step.
+    /// Maximum number of prompt tokens that a step prefills.
     pub chunk_tokens: u64,
-    /// Tokens of KV cache.
+    /// Capacity of the KV cache.
     pub memory_tokens: u64,
 }
 
@@ -32,34 +32,34 @@
     }
 }
 
-/// What a job is for.
+/// Purpose of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Reads a prompt and writes an answer.
+    /// Prefills a prompt and generates an answer.
     Completion,
-    /// Reads a part of a prompt and keeps its KV cache for another engine.
+    /// Prefills a part of a prompt and keeps its KV cache for another engine.
     Prefill,
 }
 
-/// Work given to an engine.
+/// One attempt of a request, as submitted to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// The dispatch that it belongs to.
+    /// Attempt that the job runs; an engine accepts each attempt once.
     pub attempt_id: AttemptId,
-    /// What it is for.
+    /// Whether the job generates an answer or only prefills.
     pub kind: JobKind,
-    /// Prompt tokens that this engine reads.
+    /// Prompt tokens that this engine prefills.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of tokens that the answer will have.
     pub output_tokens: u64,
-    /// The more urgent is read first.
+    /// Jobs of higher priority are prefilled first.
     pub priority: EnginePriority,
-    /// Hashes of the prompt's prefixes.
+    /// Hashes of the prompt's prefixes, shortest first; each is one block longer.
     pub prefix_hashes: Vec<u64>,
 }
 
 impl Job {
-    /// A completion of usual priority that shares no prefix.
+    /// A completion of default priority that shares no prefix.
     pub fn completion(attempt_id: AttemptId, prompt_tokens: u64, output_tokens: u64) -> Self {
         Self {
             attempt_id,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// KV cache that it needs.
+    /// Tokens of KV cache that the job reserves.
     pub fn memory_tokens(&self) -> u64 {
         match self.kind {
             JobKind::Completion => self.prompt_tokens + self.output_tokens,
@@ -80,212 +80,213 @@
     }
 }
 
-/// Why a job was not begun.
+/// Reason that a job was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BeginError {
-    /// The attempt was seen before.
+pub enum StartError {
+    /// The attempt was submitted before.
     #[error("the attempt was begun before")]
     Repeated,
-    /// The adapter is not loaded.
+    /// The adapter that the request names is not loaded.
     #[error("the adapter is not loaded")]
     NoAdapter,
-    /// There is no room for it.
+    /// Too little KV cache is free.
     #[error("out of memory: {free_tokens} tokens are free")]
     OutOfMemory {
-        /// What is left.
+        /// Tokens of KV cache that are not reserved.
         free_tokens: u64,
     },
 }
 
-/// What a step brought about.
+/// Result of a step for one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepEvent {
-    /// A prompt part was read whole and its KV cache is kept.
+    /// A prompt part is completely prefilled and its KV cache is kept.
     Prefilled(AttemptId),
-    /// One token of an answer, counted from 0.
+    /// One token of an answer was generated; the number is its position, from 0.
     Token(AttemptId, u64),
-    /// The answer is whole and its memory is free.
+    /// The answer is complete and its memory is free.
     Ended(AttemptId),
 }
 
 /// A job in the batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningJob {
-    /// What was given.
+    /// The job as submitted.
     pub job: Job,
-    /// Prompt tokens found in the cache.
+    /// Prompt tokens that were already in the prefix cache.
     pub cached_tokens: u64,
-    read_tokens: u64,
-    written_tokens: u64,
+    prefilled_tokens: u64,
+    generated_tokens: u64,
 }
 
 impl RunningJob {
-    fn is_read(&self) -> bool {
-        self.read_tokens >= self.job.prompt_tokens
+    fn is_prefilled(&self) -> bool {
+        self.prefilled_tokens >= self.job.prompt_tokens
     }
 }
 
-/// The state of an engine.
+/// State of an engine: the batch, its reserved memory and its prefix cache.
 #[derive(Debug)]
 pub struct EngineCore {
     model: EngineModel,
     running: BTreeMap<AttemptId, RunningJob>,
-    /// Unread jobs: class, order of arrival, attempt.
-    unread: BTreeSet<(EnginePriority, u64, AttemptId)>,
-    writing: BTreeSet<AttemptId>,
+    /// Jobs that are not completely prefilled: priority, order of arrival, attempt.
+    awaiting_prefill: BTreeSet<(EnginePriority, u64, AttemptId)>,
+    decoding: BTreeSet<AttemptId>,
     reserved_tokens: u64,
-    seen: BTreeSet<AttemptId>,
-    next_order: u64,
+    started_attempts: BTreeSet<AttemptId>,
+    next_arrival: u64,
     cache: PrefixCache,
     planned: Vec<(AttemptId, u64)>,
-    read_tokens_total: u64,
-    written_tokens_total: u64,
+    prefilled_tokens_total: u64,
+    generated_tokens_total: u64,
 }
 
 impl EngineCore {
-    /// An idle engine.
+    /// Creates an engine without jobs and with an empty cache.
     pub fn new(model: EngineModel) -> Self {
         Self {
             model,
             running: BTreeMap::new(),
-            unread: BTreeSet::new(),
-            writing: BTreeSet::new(),
+            awaiting_prefill: BTreeSet::new(),
+            decoding: BTreeSet::new(),
             reserved_tokens: 0,
-            seen: BTreeSet::new(),
-            next_order: 0,
+            started_attempts: BTreeSet::new(),
+            next_arrival: 0,
             cache: PrefixCache::default(),
             planned: Vec::new(),
-            read_tokens_total: 0,
-            written_tokens_total: 0,
+            prefilled_tokens_total: 0,
+            generated_tokens_total: 0,
         }
     }
 
-    /// The engine's speed and size.
+    /// Cost model and capacity that the engine was created with.
     pub fn model(&self) -> &EngineModel {
         &self.model
     }
 
-    /// Tokens promised to the jobs in the batch.
+    /// Tokens of KV cache reserved by the jobs in the batch.
     pub fn reserved_tokens(&self) -> u64 {
         self.reserved_tokens
     }
 
-    /// The jobs in the batch.
+    /// Jobs in the batch, ordered by attempt.
     pub fn running(&self) -> impl Iterator<Item = &RunningJob> {
         self.running.values()
     }
 
-    /// Prompt tokens read and answer tokens written since the start.
+    /// Prompt tokens prefilled and answer tokens generated since the engine was created.
     pub fn totals(&self) -> (u64, u64) {
-        (self.read_tokens_total, self.written_tokens_total)
+        (self.prefilled_tokens_total, self.generated_tokens_total)
     }
 
-    /// Every attempt that was ever begun.
-    pub fn begun(&self) -> impl Iterator<Item = AttemptId> + '_ {
-        self.seen.iter().copied()
+    /// All attempts that were ever started, also those that have ended.
+    pub fn started(&self) -> impl Iterator<Item = AttemptId> + '_ {
+        self.started_attempts.iter().copied()
     }
 
-    /// Takes a job into the batch.
+    /// Adds a job to the batch. Returns how many of its prompt tokens the cache already holds.
     ///
     /// # Errors
-    /// Nothing was begun.
-    pub fn begin(&mut self, job: Job) -> Result<u64, BeginError> {
-        if self.seen.contains(&job.attempt_id) {
-            return Err(BeginError::Repeated);
+    /// The attempt was started before, or memory does not suffice; the engine is unchanged.
+    pub fn start(&mut self, job: Job) -> Result<u64, StartError> {
+        if self.started_attempts.contains(&job.attempt_id) {
+            return Err(StartError::Repeated);
         }
         let free_tokens = self.model.memory_tokens - self.reserved_tokens;
         if job.memory_tokens() > free_tokens {
-            return Err(BeginError::OutOfMemory { free_tokens });
+            return Err(StartError::OutOfMemory { free_tokens });
         }
         self.reserved_tokens += job.memory_tokens();
         let cached_tokens =
-            self.cache.take(&job.prefix_hashes).min(job.prompt_tokens.saturating_sub(1));
-        self.seen.insert(job.attempt_id);
-        self.unread.insert((job.priority, self.next_order, job.attempt_id));
-        self.next_order += 1;
+            self.cache.match_prefix(&job.prefix_hashes).min(job.prompt_tokens.saturating_sub(1));
+        self.started_attempts.insert(job.attempt_id);
+        self.awaiting_prefill.insert((job.priority, self.next_arrival, job.attempt_id));
+        self.next_arrival += 1;
         let running =
-            RunningJob { cached_tokens, read_tokens: cached_tokens, written_tokens: 0, job };
+            RunningJob { cached_tokens, prefilled_tokens: cached_tokens, generated_tokens: 0, job };
         self.running.insert(running.job.attempt_id, running);
         Ok(cached_tokens)
     }
 
-    /// Ends a job early. Returns whether it was there.
+    /// Removes a job from the batch and frees its memory. Returns whether it was there.
     pub fn cancel(&mut self, attempt_id: AttemptId) -> bool {
         let Some(running) = self.running.remove(&attempt_id) else {
             return false;
         };
         self.reserved_tokens -= running.job.memory_tokens();
-        self.writing.remove(&attempt_id);
-        self.unread.retain(|&(_, _, id)| id != attempt_id);
+        self.decoding.remove(&attempt_id);
+        self.awaiting_prefill.retain(|&(_, _, id)| id != attempt_id);
         self.trim_cache();
         true
     }
 
-    /// Chooses the work of the next step; `None` if there is none.
+    /// Plans the next step and returns its duration in ms; `None` if there is no work.
     pub fn plan_step_ms(&mut self) -> Option<f64> {
-        if self.unread.is_empty() && self.writing.is_empty() {
+        if self.awaiting_prefill.is_empty() && self.decoding.is_empty() {
             return None;
         }
-        let mut left = self.model.chunk_tokens;
+        let mut budget_tokens = self.model.chunk_tokens;
         self.planned.clear();
-        for &(_, _, id) in &self.unread {
-            if left == 0 {
+        for &(_, _, id) in &self.awaiting_prefill {
+            if budget_tokens == 0 {
                 break;
             }
             let running = &self.running[&id];
-            let part = left.min(running.job.prompt_tokens - running.read_tokens);
-            left -= part;
-            self.planned.push((id, part));
+            let part_tokens =
+                budget_tokens.min(running.job.prompt_tokens - running.prefilled_tokens);
+            budget_tokens -= part_tokens;
+            self.planned.push((id, part_tokens));
         }
-        let read_tokens = self.model.chunk_tokens - left;
-        let read_ms = self.model.prefill_ms_per_token * read_tokens as f64;
-        let write_ms = self.model.decode_ms_per_sequence * self.writing.len() as f64;
-        Some(self.model.step_base_ms + read_ms + write_ms)
+        let step_tokens = self.model.chunk_tokens - budget_tokens;
+        let prefill_ms = self.model.prefill_ms_per_token * step_tokens as f64;
+        let decode_ms = self.model.decode_ms_per_sequence * self.decoding.len() as f64;
+        Some(self.model.step_base_ms + prefill_ms + decode_ms)
     }
 
-    /// Carries out the step that was planned.
+    /// Applies the planned step and returns its results.
     pub fn finish_step(&mut self) -> Vec<StepEvent> {
         let mut events = Vec::new();
-        let writers: Vec<_> = self.writing.iter().copied().collect();
-        for id in writers {
-            self.write_token(id, &mut events);
+        let decoding: Vec<_> = self.decoding.iter().copied().collect();
+        for id in decoding {
+            self.generate_token(id, &mut events);
         }
-        for (id, part) in std::mem::take(&mut self.planned) {
-            self.read_part(id, part, &mut events);
+        for (id, part_tokens) in std::mem::take(&mut self.planned) {
+            self.prefill_part(id, part_tokens, &mut events);
         }
         self.trim_cache();
         events
     }
 
-    fn read_part(&mut self, id: AttemptId, part: u64, events: &mut Vec<StepEvent>) {
+    fn prefill_part(&mut self, id: AttemptId, part_tokens: u64, events: &mut Vec<StepEvent>) {
         let Some(running) = self.running.get_mut(&id) else {
             return;
         };
-        running.read_tokens += part;
-        self.read_tokens_total += part;
-        if !running.is_read() {
+        running.prefilled_tokens += part_tokens;
+        self.prefilled_tokens_total += part_tokens;
+        if !running.is_prefilled() {
             return;
         }
         let kind = running.job.kind;
         self.cache.store(&running.job.prefix_hashes);
-        self.unread.retain(|&(_, _, other)| other != id);
+        self.awaiting_prefill.retain(|&(_, _, other)| other != id);
         match kind {
             JobKind::Prefill => events.push(StepEvent::Prefilled(id)),
             JobKind::Completion => {
-                self.writing.insert(id);
-                self.write_token(id, events);
+                self.decoding.insert(id);
+                self.generate_token(id, events);
             }
         }
     }
 
-    fn write_token(&mut self, id: AttemptId, events: &mut Vec<StepEvent>) {
+    fn generate_token(&mut self, id: AttemptId, events: &mut Vec<StepEvent>) {
         let Some(running) = self.running.get_mut(&id) else {
             return;
         };
-        events.push(StepEvent::Token(id, running.written_tokens));
-        running.written_tokens += 1;
-        self.written_tokens_total += 1;
-        if running.written_tokens >= running.job.output_tokens {
+        events.push(StepEvent::Token(id, running.generated_tokens));
+        running.generated_tokens += 1;
+        self.generated_tokens_total += 1;
+        if running.generated_tokens >= running.job.output_tokens {
             self.cancel(id);
             events.push(StepEvent::Ended(id));
         }
@@ -296,40 +297,45 @@
         self.cache.trim((free_tokens / PREFIX_BLOCK_TOKENS) as usize);
     }
 
-    /// Cache events after a number; old ones are dropped, which leaves gaps.
+    /// Cache events whose sequence number is above `after`. Only the newest 1,024 are kept, so that a
+    /// caller that asks rarely sees a gap in the numbers.
     pub fn cache_events(&self, after: u64) -> impl Iterator<Item = &CacheEvent> {
         self.cache.events.iter().filter(move |event| event.sequence > after)
     }
 }
 
-/// A prefix came into the cache or left it.
+/// A prefix was stored in the cache or evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Rises by one with each event.
+    /// Number of the event; increases by one with each.
     pub sequence: u64,
-    /// Hash of the prefix.
+    /// Hash of the prefix, as in [`Job::prefix_hashes`].
     pub prefix_hash: u64,
-    /// Whether it came, or left.
+    /// `true` if the prefix was stored, `false` if it was evicted.
     pub stored: bool,
 }
 
-const KEPT_CACHE_EVENTS: usize = 1_024;
+/// Number of cache events that an engine keeps; older ones are dropped.
+const MAX_CACHE_EVENTS: usize = 1_024;
 
-/// Prefix blocks, the least recently used first to go.
+/// Cache of prefix blocks with LRU eviction.
+///
+/// `last_used` gives each block's time of last use by a logical clock; `by_last_use` is its inverse.
 #[derive(Debug, Default)]
 struct PrefixCache {
-    used_at: HashMap<u64, u64>,
-    by_use: BTreeMap<u64, u64>,
+    last_used: HashMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
     clock: u64,
     sequence: u64,
     events: std::collections::VecDeque<CacheEvent>,
 }
 
 impl PrefixCache {
-    fn take(&mut self, hashes: &[u64]) -> u64 {
+    /// Tokens of the longest cached prefix; marks its blocks as used.
+    fn match_prefix(&mut self, hashes: &[u64]) -> u64 {
         let mut blocks = 0;
         for hash in hashes {
-            if !self.used_at.contains_key(hash) {
+            if !self.last_used.contains_key(hash) {
                 break;
             }
             self.touch(*hash);
@@ -338,38 +344,39 @@
         blocks * PREFIX_BLOCK_TOKENS
     }
 
+    /// Marks a block as used now; inserts it if it is missing, and returns whether it did.
     fn touch(&mut self, hash: u64) -> bool {
         self.clock += 1;
-        let earlier = self.used_at.insert(hash, self.clock);
-        if let Some(at) = earlier {
-            self.by_use.remove(&at);
+        let previous = self.last_used.insert(hash, self.clock);
+        if let Some(at) = previous {
+            self.by_last_use.remove(&at);
         }
-        self.by_use.insert(self.clock, hash);
-        earlier.is_none()
+        self.by_last_use.insert(self.clock, hash);
+        previous.is_none()
     }
 
     fn store(&mut self, hashes: &[u64]) {
         for &hash in hashes {
             if self.touch(hash) {
-                self.note(hash, true);
+                self.record_event(hash, true);
             }
         }
     }
 
     fn trim(&mut self, max_blocks: usize) {
-        while self.used_at.len() > max_blocks {
-            let Some((_, hash)) = self.by_use.pop_first() else {
+        while self.last_used.len() > max_blocks {
+            let Some((_, hash)) = self.by_last_use.pop_first() else {
                 return;
             };
-            self.used_at.remove(&hash);
-            self.note(hash, false);
+            self.last_used.remove(&hash);
+            self.record_event(hash, false);
         }
     }
 
-    fn note(&mut self, prefix_hash: u64, stored: bool) {
+    fn record_event(&mut self, prefix_hash: u64, stored: bool) {
         self.sequence += 1;
         self.events.push_back(CacheEvent { sequence: self.sequence, prefix_hash, stored });
-        if self.events.len() > KEPT_CACHE_EVENTS {
+        if self.events.len() > MAX_CACHE_EVENTS {
             self.events.pop_front();
         }
     }
--- a/clayplank-standin/src/engine.rs
+++ b/clayplank-standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine behind HTTP, as `docs/ENGINES.md` states the interface.
+//! HTTP server of [`EngineCore`], with the interface of `docs/ENGINES.md`.
 
 mod stream;
 
@@ -16,24 +16,24 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-use crate::call::exchange;
-use crate::core::{BeginError, EngineCore, EngineModel, Job, JobKind, StepEvent};
+use crate::core::{EngineCore, EngineModel, Job, JobKind, StartError, StepEvent};
 use crate::fault::{Fault, FaultKind};
-use crate::http_util::{Body, ServeError, empty, json, read_body, serve};
+use crate::http_client::exchange;
+use crate::http_server::{Body, ServeError, empty, json, read_body, serve};
 
 const BYTES_PER_TOKEN: usize = 4;
 const PREFIX_BLOCK_BYTES: usize = 4_096;
 
-/// What an engine is started with.
+/// Options of a served engine.
 #[derive(Clone, Debug)]
 pub struct EngineServer {
-    /// Speed and size.
+    /// Cost model and capacity.
     pub model: EngineModel,
-    /// Models it says it serves.
+    /// Names of the models in its model list.
     pub models: Vec<String>,
-    /// The most tokens that it writes for an answer.
+    /// Maximum number of tokens in an answer.
     pub max_output_tokens: u64,
-    /// The age of its load reports.
+    /// Delay of its load reports: each shows the state of this long ago.
     pub report_lag: Duration,
 }
 
@@ -64,7 +64,7 @@
     fingerprint: u64,
     prompt_tokens: u64,
     cached_tokens: u64,
-    written_tokens: u64,
+    generated_tokens: u64,
     is_ended: bool,
     is_cancelled: bool,
 }
@@ -84,7 +84,7 @@
     options: EngineServer,
     incarnation: Incarnation,
     state: Mutex<State>,
-    work: Notify,
+    work_added: Notify,
     progress: tokio::sync::watch::Sender<u64>,
 }
 
@@ -101,7 +101,7 @@
     priority: EnginePriority,
 }
 
-/// KV cache of a part of a prompt, at the engine that read it.
+/// Reference to the KV cache of a prompt part at the engine that prefilled it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct KvHandle {
     address: SocketAddr,
@@ -109,13 +109,13 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct OrderBody {
+struct CommandBody {
     fence: u64,
     #[serde(default)]
     adapter: Option<String>,
 }
 
-/// Serves until the task is dropped.
+/// Serves one incarnation of an engine until the task is dropped.
 pub async fn serve_engine(listener: TcpListener, options: EngineServer) {
     let state = State {
         core: EngineCore::new(options.model),
@@ -133,7 +133,7 @@
         options,
         incarnation,
         state: Mutex::new(state),
-        work: Notify::new(),
+        work_added: Notify::new(),
         progress,
     });
     tokio::spawn(run_steps(Arc::clone(&engine)));
@@ -144,7 +144,7 @@
     loop {
         let planned_ms = engine.lock().core.plan_step_ms();
         let Some(step_ms) = planned_ms else {
-            engine.work.notified().await;
+            engine.work_added.notified().await;
             continue;
         };
         tokio::time::sleep(Duration::from_secs_f64(step_ms / 1_000.0)).await;
@@ -165,26 +165,27 @@
     fn apply_step(&mut self, event: StepEvent) {
         match event {
             StepEvent::Token(id, offset) => {
-                self.change(id, |attempt| attempt.written_tokens = offset + 1)
+                self.update_attempt(id, |attempt| attempt.generated_tokens = offset + 1)
             }
             StepEvent::Prefilled(id) | StepEvent::Ended(id) => {
-                self.change(id, |attempt| attempt.is_ended = true)
+                self.update_attempt(id, |attempt| attempt.is_ended = true)
             }
         }
     }
 
-    fn change(&mut self, id: AttemptId, change: impl FnOnce(&mut Attempt)) {
+    fn update_attempt(&mut self, id: AttemptId, update: impl FnOnce(&mut Attempt)) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
-            change(attempt);
+            update(attempt);
         }
     }
 
+    /// Returns the fault for the next request and decreases its count; a freeze lasts until it is reset.
     fn take_fault(&mut self) -> Option<Fault> {
-        let shown = self.fault.filter(|fault| fault.count > 0);
+        let active = self.fault.filter(|fault| fault.count > 0);
         if let Some(fault) = self.fault.as_mut().filter(|fault| fault.kind != FaultKind::Freeze) {
             fault.count = fault.count.saturating_sub(1);
         }
-        shown
+        active
     }
 }
 
@@ -206,11 +207,11 @@
         (Method::GET, ["load"]) => Ok(json(StatusCode::OK, &engine.load())),
         (Method::GET, ["cache", "events"]) => Ok(engine.cache_events(request.uri().query())),
         (Method::POST, ["kv", "prefill"]) => engine.prefill(request).await,
-        (Method::GET, ["kv", id]) => Ok(engine.export(id)),
-        (Method::POST, ["orders"]) => Ok(engine.order(request).await),
+        (Method::GET, ["kv", id]) => Ok(engine.export_kv(id)),
+        (Method::POST, ["orders"]) => Ok(engine.execute_command(request).await),
         (Method::POST, ["leaving"]) => Ok(engine.leave()),
         (Method::GET, ["record"]) => {
-            Ok(json(StatusCode::OK, &engine.lock().core.begun().collect::<Vec<_>>()))
+            Ok(json(StatusCode::OK, &engine.lock().core.started().collect::<Vec<_>>()))
         }
         (Method::POST, ["faults"]) => Ok(engine.set_fault(request).await),
         _ => Ok(empty(StatusCode::NOT_FOUND)),
@@ -237,28 +238,29 @@
         empty(StatusCode::OK)
     }
 
-    async fn order(&self, request: Request<Incoming>) -> Response<Body> {
-        let Ok(order) = serde_json::from_slice::<OrderBody>(&read_body(request.into_body()).await)
+    async fn execute_command(&self, request: Request<Incoming>) -> Response<Body> {
+        let Ok(command) =
+            serde_json::from_slice::<CommandBody>(&read_body(request.into_body()).await)
         else {
             return empty(StatusCode::BAD_REQUEST);
         };
         let mut state = self.lock();
-        if order.fence < state.highest_fence {
+        if command.fence < state.highest_fence {
             return json(StatusCode::CONFLICT, &state.highest_fence);
         }
-        state.highest_fence = order.fence;
-        state.adapters.extend(order.adapter);
-        json(StatusCode::OK, &order.fence)
+        state.highest_fence = command.fence;
+        state.adapters.extend(command.adapter);
+        json(StatusCode::OK, &command.fence)
     }
 
-    /// The report as it was `report_lag` ago.
+    /// The load report of `report_lag` ago, or the oldest one if the engine is younger than that.
     fn load(&self) -> Load {
         let mut state = self.lock();
         let running = state
             .core
             .running()
             .map(|running| (running.job.attempt_id, running.job.memory_tokens()));
-        let fresh = Load {
+        let current = Load {
             incarnation: self.incarnation,
             memory_tokens: state.core.model().memory_tokens,
             reserved_tokens: state.core.reserved_tokens(),
@@ -266,10 +268,10 @@
             adapters: state.adapters.clone(),
             leaving: state.leaving,
         };
-        state.reports.push((tokio::time::Instant::now(), fresh));
+        state.reports.push((tokio::time::Instant::now(), current));
         let lag = self.options.report_lag;
-        let aged = state.reports.iter().rposition(|(at, _)| at.elapsed() >= lag).unwrap_or(0);
-        state.reports.drain(..aged);
+        let visible = state.reports.iter().rposition(|(at, _)| at.elapsed() >= lag).unwrap_or(0);
+        state.reports.drain(..visible);
         state.reports[0].1.clone()
     }
 
@@ -283,26 +285,26 @@
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, ServeError> {
-        let Some((attempt_id, body)) = read_call(request).await else {
+        let Some((attempt_id, body)) = parse_request(request).await else {
             return Ok(empty(StatusCode::BAD_REQUEST));
         };
         let has_adapter =
             body.adapter.as_ref().is_none_or(|adapter| self.lock().adapters.contains(adapter));
         if !has_adapter {
-            return Ok(refuse(BeginError::NoAdapter));
+            return Ok(reject(StartError::NoAdapter));
         }
         for import in &body.kv_imports {
             if !fetch_kv(import).await {
                 return Ok(json(StatusCode::CONFLICT, &"a KV handle is gone"));
             }
         }
-        let wanted_tokens =
+        let output_tokens =
             body.max_tokens.unwrap_or(u64::MAX).min(self.options.max_output_tokens).max(1);
-        let begun = self.begin(attempt_id, JobKind::Completion, &body, wanted_tokens);
+        let started = self.start(attempt_id, JobKind::Completion, &body, output_tokens);
         let fault = self.lock().take_fault();
-        match begun {
+        match started {
             Ok(()) => Ok(self.stream(attempt_id, 0, fault)),
-            Err(error) => Ok(refuse(error)),
+            Err(error) => Ok(reject(error)),
         }
     }
 
@@ -310,11 +312,11 @@
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, ServeError> {
-        let Some((attempt_id, body)) = read_call(request).await else {
+        let Some((attempt_id, body)) = parse_request(request).await else {
             return Ok(empty(StatusCode::BAD_REQUEST));
         };
-        if let Err(error) = self.begin(attempt_id, JobKind::Prefill, &body, 0) {
-            return Ok(refuse(error));
+        if let Err(error) = self.start(attempt_id, JobKind::Prefill, &body, 0) {
+            return Ok(reject(error));
         }
         let mut progress = self.progress.subscribe();
         loop {
@@ -332,30 +334,30 @@
         }
     }
 
-    fn begin(
+    fn start(
         &self,
         id: AttemptId,
         kind: JobKind,
         body: &CompletionBody,
-        output: u64,
-    ) -> Result<(), BeginError> {
+        output_tokens: u64,
+    ) -> Result<(), StartError> {
         let prompt = body.prompt.as_bytes();
         let prompt_tokens = prompt.len().div_ceil(BYTES_PER_TOKEN).max(1) as u64;
         let job = Job {
             attempt_id: id,
             kind,
             prompt_tokens,
-            output_tokens: output,
+            output_tokens,
             priority: body.priority,
             prefix_hashes: prefix_hashes(prompt, PREFIX_BLOCK_BYTES),
         };
         let mut state = self.lock();
-        let cached_tokens = state.core.begin(job)?;
+        let cached_tokens = state.core.start(job)?;
         let fingerprint = fingerprint(prompt);
         let attempt = Attempt { fingerprint, prompt_tokens, cached_tokens, ..Attempt::default() };
         state.attempts.insert(id, attempt);
         drop(state);
-        self.work.notify_one();
+        self.work_added.notify_one();
         Ok(())
     }
 
@@ -380,15 +382,15 @@
         };
         let mut state = self.lock();
         state.core.cancel(id);
-        state.change(id, |attempt| attempt.is_cancelled = true);
+        state.update_attempt(id, |attempt| attempt.is_cancelled = true);
         drop(state);
         self.progress.send_modify(|step| *step += 1);
         empty(StatusCode::OK)
     }
 
-    fn export(&self, id: &str) -> Response<Body> {
-        let known = id.parse::<AttemptId>().ok().and_then(|id| self.attempt(id));
-        match known.filter(|attempt| attempt.is_ended && !attempt.is_cancelled) {
+    fn export_kv(&self, id: &str) -> Response<Body> {
+        let attempt = id.parse::<AttemptId>().ok().and_then(|id| self.attempt(id));
+        match attempt.filter(|attempt| attempt.is_ended && !attempt.is_cancelled) {
             Some(attempt) => json(StatusCode::OK, &attempt.prompt_tokens),
             None => empty(StatusCode::GONE),
         }
@@ -399,10 +401,10 @@
     tokio::time::sleep(Duration::from_millis(delay_ms)).await;
 }
 
-fn refuse(error: BeginError) -> Response<Body> {
+fn reject(error: StartError) -> Response<Body> {
     let status = match error {
-        BeginError::Repeated => StatusCode::CONFLICT,
-        BeginError::OutOfMemory { .. } | BeginError::NoAdapter => StatusCode::SERVICE_UNAVAILABLE,
+        StartError::Repeated => StatusCode::CONFLICT,
+        StartError::OutOfMemory { .. } | StartError::NoAdapter => StatusCode::SERVICE_UNAVAILABLE,
     };
     let mut response = json(status, &error.to_string());
     response.headers_mut().insert("x-not-begun", http::HeaderValue::from_static("true"));
@@ -413,14 +415,14 @@
     SipHasher13::new().hash(prompt)
 }
 
-/// The attempt and the body of a call; `None` if it is malformed.
-async fn read_call(request: Request<Incoming>) -> Option<(AttemptId, CompletionBody)> {
-    let attempt_id = attempt_header(&request)?;
+/// Attempt id and body of a request; `None` if either is malformed.
+async fn parse_request(request: Request<Incoming>) -> Option<(AttemptId, CompletionBody)> {
+    let attempt_id = attempt_id_of(&request)?;
     let body = serde_json::from_slice(&read_body(request.into_body()).await).ok()?;
     Some((attempt_id, body))
 }
 
-fn attempt_header(request: &Request<Incoming>) -> Option<AttemptId> {
+fn attempt_id_of(request: &Request<Incoming>) -> Option<AttemptId> {
     request.headers().get("x-attempt-id")?.to_str().ok()?.parse().ok()
 }
 
--- a/clayplank-standin/src/engine/stream.rs
+++ b/clayplank-standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! Streams the tokens of an answer, with the fault that was asked for.
+//! Streams the tokens of an answer and injects the requested fault.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 
 use super::{Attempt, Engine, sleep_ms};
 use crate::fault::{Fault, FaultKind};
-use crate::http_util::{Body, ServeError};
+use crate::http_server::{Body, ServeError};
 
-/// After so many tokens a stream breaks off that should be dropped.
-const TOKENS_BEFORE_DROP: u64 = 3;
+/// Number of tokens after which a stream with the fault `drop-stream` breaks off.
+const DROP_AFTER_TOKENS: u64 = 3;
 
 impl Engine {
     pub(super) fn stream(
@@ -45,33 +45,34 @@
             Some(FaultKind::LoseAnswer) => return sender.abort(ServeError::Broken),
             _ => {}
         }
-        let mut held_back = None;
+        let mut delayed_chunk = None;
         loop {
             let Some(attempt) = self.attempt(id).filter(|attempt| !attempt.is_cancelled) else {
                 return sender.abort(ServeError::Broken);
             };
-            while offset < attempt.written_tokens {
+            while offset < attempt.generated_tokens {
                 let chunk = token_chunk(id, offset, &attempt);
                 let is_first = offset == 0;
                 offset += 1;
                 if kind == Some(FaultKind::OutOfOrder) && is_first {
-                    held_back = Some(chunk);
+                    delayed_chunk = Some(chunk);
                     continue;
                 }
-                let twice = kind == Some(FaultKind::AnswerTwice);
-                let held = held_back.take();
-                for part in
-                    [Some(chunk.clone()), held, twice.then_some(chunk)].into_iter().flatten()
+                let is_repeated = kind == Some(FaultKind::AnswerTwice);
+                let delayed = delayed_chunk.take();
+                for part in [Some(chunk.clone()), delayed, is_repeated.then_some(chunk)]
+                    .into_iter()
+                    .flatten()
                 {
                     if sender.send_data(part).await.is_err() {
                         return;
                     }
                 }
-                if kind == Some(FaultKind::DropStream) && offset >= TOKENS_BEFORE_DROP {
+                if kind == Some(FaultKind::DropStream) && offset >= DROP_AFTER_TOKENS {
                     return sender.abort(ServeError::Broken);
                 }
             }
-            if attempt.is_ended && offset >= attempt.written_tokens {
+            if attempt.is_ended && offset >= attempt.generated_tokens {
                 sender.send_data(final_chunk(id, &attempt)).await.ok();
                 return;
             }
@@ -91,12 +92,12 @@
 fn final_chunk(id: AttemptId, attempt: &Attempt) -> Bytes {
     let chunk = serde_json::json!({
         "id": id,
-        "offset": attempt.written_tokens,
+        "offset": attempt.generated_tokens,
         "choices": [{ "index": 0, "text": "", "finish_reason": "stop" }],
         "usage": {
             "prompt_tokens": attempt.prompt_tokens,
             "cached_tokens": attempt.cached_tokens,
-            "completion_tokens": attempt.written_tokens,
+            "completion_tokens": attempt.generated_tokens,
         },
     });
     Bytes::from(format!("data: {chunk}\n\ndata: [DONE]\n\n"))
--- a/clayplank-standin/src/fault.rs
+++ b/clayplank-standin/src/fault.rs
@@ -1,35 +1,35 @@
-//! Faults that a stand-in shows when it is asked to.
+//! Faults that a stand-in injects on request.
 
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong.
+/// Kind of an injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// The process ends at once.
+    /// The process exits on the next request.
     Die,
-    /// No step is taken and no request is answered.
+    /// No step runs and no request is answered, but for requests that change the fault.
     Freeze,
-    /// Streams break after a few tokens.
+    /// Streams break off after a few tokens.
     DropStream,
-    /// Every chunk of a stream comes twice.
+    /// Every chunk of a stream is sent twice.
     AnswerTwice,
-    /// Chunks come late.
+    /// The answer starts after a delay.
     Late,
-    /// Two neighbouring chunks change places.
+    /// The first two chunks are swapped.
     OutOfOrder,
-    /// The request runs, and the connection breaks before its answer.
+    /// The request runs, and the connection breaks before the response.
     LoseAnswer,
 }
 
-/// A fault and how often it is shown.
+/// A fault and the number of requests it applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// For how many requests; 0 ends the fault.
+    /// Number of requests that it still applies to; 0 means no fault.
     pub count: u64,
-    /// For `late`: by how long.
+    /// Delay for the kind `late`.
     #[serde(default)]
     pub delay_ms: u64,
 }
--- a/clayplank-standin/src/heartbeats.rs
+++ b/clayplank-standin/src/heartbeats.rs
@@ -6,29 +6,30 @@
 use http::Method;
 use serde_json::{Value, json};
 
-use crate::call::send_json;
+use crate::http_client::send_json;
 
-/// Time for a keeper to answer; then the next one is asked.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time-out of a heartbeat; after it the next keeper is tried.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What an upstream tells keepers of itself.
+/// Description of an upstream in its heartbeats.
 #[derive(Clone, Debug)]
 pub struct Registration {
-    /// This life of the upstream.
+    /// Identifies one incarnation of the upstream; a restarted upstream has another id.
     pub id: String,
-    /// The service that it belongs to.
+    /// Name of the service that the upstream belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address at which hosts reach the upstream.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre in which it runs.
     pub data_centre: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
 }
 
 impl Registration {
-    /// One heartbeat; `sequence` rises with each.
-    pub fn heartbeat(&self, sequence: u64, standing: &str) -> Value {
+    /// Body of one heartbeat. `sequence` increases with each; `status` is `"ready"` for an upstream that
+    /// accepts requests.
+    pub fn heartbeat(&self, sequence: u64, status: &str) -> Value {
         json!({
             "id": self.id,
             "sequence": sequence,
@@ -36,16 +37,17 @@
             "address": self.address,
             "data_centre": self.data_centre,
             "slots": self.slots,
-            "standing": standing,
+            "standing": status,
         })
     }
 }
 
-/// Sends heartbeats until the task is dropped; a keeper that does not answer is passed over.
+/// Sends a heartbeat per `interval` until the task is dropped. A keeper that does not accept it is
+/// skipped for the next one in the list.
 pub async fn send_heartbeats(
     registration: Registration,
     keepers: Vec<SocketAddr>,
-    every: Duration,
+    interval: Duration,
 ) {
     let path = format!("/v1/upstreams/{}", registration.id);
     let mut keeper = 0;
@@ -53,12 +55,12 @@
         let body = registration.heartbeat(sequence, "ready");
         for _ in 0..keepers.len() {
             let address = keepers[keeper % keepers.len()];
-            let status = send_json(address, Method::PUT, &path, &body, PATIENCE).await;
-            if status.is_some_and(|status| status.is_success()) {
+            let reply = send_json(address, Method::PUT, &path, &body, HEARTBEAT_TIMEOUT).await;
+            if reply.is_some_and(|reply| reply.is_success()) {
                 break;
             }
             keeper += 1;
         }
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
 }
--- a/clayplank-standin/src/call.rs
+++ b/clayplank-standin/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Small calls of stand-ins: among engines, and heartbeats to keepers.
+//! HTTP client of the stand-ins, for requests between engines and heartbeats to keepers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,13 +10,14 @@
 use serde::Serialize;
 use tokio::net::TcpStream;
 
-/// Sends a value; the status of the answer once that has come whole, or `None`.
+/// Sends a value as JSON. Returns the status once the complete response has arrived, or `None` after a
+/// failure or the time-out.
 pub(crate) async fn send_json<T: Serialize>(
     address: SocketAddr,
     method: Method,
     path: &str,
     value: &T,
-    patience: Duration,
+    timeout: Duration,
 ) -> Option<StatusCode> {
     let body = Full::new(Bytes::from(serde_json::to_vec(value).ok()?));
     let request = Request::builder()
@@ -25,10 +26,11 @@
         .header(header::HOST, address.to_string())
         .body(body)
         .ok()?;
-    tokio::time::timeout(patience, exchange(address, request)).await.ok()?
+    tokio::time::timeout(timeout, exchange(address, request)).await.ok()?
 }
 
-/// Sends a request; the status of the answer once that has come whole, or `None`.
+/// Sends a request. Returns the status once the complete response has arrived, or `None` after a
+/// failure.
 pub(crate) async fn exchange(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
--- a/clayplank-standin/src/http_util.rs
+++ b/clayplank-standin/src/http_server.rs
@@ -1,4 +1,4 @@
-//! What the three servers share.
+//! HTTP server loop and response helpers that all stand-ins share.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,21 +15,21 @@
 use serde::Serialize;
 use tokio::net::TcpListener;
 
-/// A body whose end may be an error, which breaks the connection.
+/// Response body that may end with an error, which breaks the connection.
 pub type Body = UnsyncBoxBody<Bytes, ServeError>;
 
-/// Why a server or one of its answers ended.
+/// Reason that a server did not start or that a response broke off.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The address could not be had.
+    /// The server cannot listen on its address.
     #[error("cannot listen on {address}")]
     Bind {
-        /// The address.
+        /// Address from the command line or the test.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A fault that was asked for.
+    /// A fault that was injected on request; not a failure of the stand-in.
     #[error("the answer breaks off, as asked")]
     Broken,
 }
@@ -37,12 +37,12 @@
 /// Listens on an address.
 ///
 /// # Errors
-/// The address is taken or not this machine's.
+/// The address is in use or does not belong to this machine.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, ServeError> {
     TcpListener::bind(address).await.map_err(|source| ServeError::Bind { address, source })
 }
 
-/// Answers connections until the task is dropped.
+/// Serves connections until the task is dropped.
 pub(crate) async fn serve<F, R>(listener: TcpListener, answer: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
@@ -57,7 +57,7 @@
         tokio::spawn(async move {
             let service = service_fn(answer);
             let builder = auto::Builder::new(TokioExecutor::new());
-            // A connection that ends with an error ends for its peer too; there is nobody to tell.
+            // An error here is visible to the peer too, as the connection ends; nothing else needs it.
             builder.serve_connection(TokioIo::new(stream), service).await.ok();
         });
     }
--- a/clayplank-standin/src/lib.rs
+++ b/clayplank-standin/src/lib.rs
@@ -1,45 +1,45 @@
-//! Small stand-ins for model engines, plain services and the platform's list.
+//! Simulated model engines, plain services and host list of the platform, for tests and benchmarks.
 //!
-//! [`EngineCore`] is the engine without a network: steps of a batch whose
-//! lengths follow from what they hold. The servers put it behind HTTP, as
-//! `docs/ENGINES.md` states the interface. [`PassEngine`] is an engine of the cost
-//! model that serving plans publish; it registers with keepers by heartbeat.
+//! [`EngineCore`] is an engine without network or clock: it plans the steps of a continuous batch and
+//! computes the duration of each from the work in it. [`serve_engine`] serves it over HTTP with the
+//! interface of `docs/ENGINES.md`. [`PassEngine`] follows the cost model of serving plans; the
+//! server around it, [`serve_pass_engine`], registers with keepers by heartbeat.
 //!
 //! ```
 //! use clayplank_standin::{EngineCore, EngineModel, Job};
 //! use clayplank_types::AttemptId;
 //!
 //! let mut engine = EngineCore::new(EngineModel::default());
-//! engine.begin(Job::completion(AttemptId::from_bits(1), 1_000, 2)).unwrap();
+//! engine.start(Job::completion(AttemptId::from_bits(1), 1_000, 2)).unwrap();
 //! let step_ms = engine.plan_step_ms().unwrap();
 //! assert!(step_ms > EngineModel::default().step_base_ms);
 //! ```
 
-mod call;
 mod core;
 mod engine;
 mod fault;
 mod heartbeats;
-mod http_util;
+mod http_client;
+mod http_server;
 mod limit;
 mod pass;
-mod pass_answer;
 mod pass_memory;
-mod pass_run;
+mod pass_response;
+mod pass_runner;
 mod pass_server;
 mod platform;
 mod service;
 mod upstream;
 
 pub use crate::core::{
-    BeginError, CacheEvent, EngineCore, EngineModel, Job, JobKind, RunningJob, StepEvent,
+    CacheEvent, EngineCore, EngineModel, Job, JobKind, RunningJob, StartError, StepEvent,
 };
 pub use crate::engine::{EngineServer, serve_engine};
 pub use crate::fault::{Fault, FaultKind};
 pub use crate::heartbeats::{Registration, send_heartbeats};
-pub use crate::http_util::{Body, ServeError, bind};
+pub use crate::http_server::{Body, ServeError, bind};
 pub use crate::limit::SharedLimit;
-pub use crate::pass::{PassEnd, PassEngine, Reading, Writing};
+pub use crate::pass::{DecodeWork, PassEngine, PassResult, PrefillWork};
 pub use crate::pass_server::serve_pass_engine;
 pub use crate::platform::serve_platform;
 pub use crate::service::{ServiceRecord, serve_service};
--- a/clayplank-standin/src/limit.rs
+++ b/clayplank-standin/src/limit.rs
@@ -1,13 +1,13 @@
-//! The limit that an upstream names in its answers, and the requests that it got.
+//! The rate limit that an upstream declares in its responses, and the times of the requests it received.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
 use http::{HeaderName, HeaderValue, Response};
 
-use crate::http_util::Body;
+use crate::http_server::Body;
 
-/// Requests a second that it takes from all hosts.
+/// Requests per second that the upstream accepts from all hosts together.
 const LIMIT_HEADER: HeaderName = HeaderName::from_static("x-clayplank-limit");
 
 #[derive(Debug, Default)]
@@ -16,7 +16,7 @@
     arrivals: Vec<Instant>,
 }
 
-/// The limit of one upstream, which a test names and takes back.
+/// Rate limit of one upstream; a test sets and removes it while the upstream runs.
 #[derive(Clone, Debug, Default)]
 pub struct SharedLimit(Arc<Mutex<State>>);
 
@@ -25,22 +25,22 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Names a limit in all answers from now on; `None` for none.
+    /// Declares a limit in all later responses; `None` declares no limit.
     pub fn set(&self, requests_per_s: Option<f64>) {
         self.lock().requests_per_s = requests_per_s;
     }
 
-    /// When requests came.
+    /// Arrival times of all requests so far.
     pub fn arrivals(&self) -> Vec<Instant> {
         self.lock().arrivals.clone()
     }
 
-    pub(crate) fn note_arrival(&self) {
+    pub(crate) fn record_arrival(&self) {
         self.lock().arrivals.push(Instant::now());
     }
 
-    /// The answer with the limit in its head.
-    pub(crate) fn named_in(&self, mut response: Response<Body>) -> Response<Body> {
+    /// Adds the header with the limit to a response, if a limit is set.
+    pub(crate) fn with_limit_header(&self, mut response: Response<Body>) -> Response<Body> {
         let limit = self.lock().requests_per_s;
         if let Some(value) = limit.and_then(|limit| HeaderValue::from_str(&limit.to_string()).ok())
         {
--- a/clayplank-standin/src/pass.rs
+++ b/clayplank-standin/src/pass.rs
@@ -1,51 +1,53 @@
-//! An engine that works in passes over all that it reads and writes, as its cost model says.
+//! An engine that runs in batch passes: each pass advances all prompts in prefill and all streams in
+//! decode, and lasts as long as the cost model of the serving plan says.
 
 use clayplank_placement::EngineModel;
 
-/// A part of a prompt that is read.
+/// A part of a prompt in prefill.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
-    /// Names the request.
+pub struct PrefillWork {
+    /// Number that the caller gave the request.
     pub request: usize,
-    /// What is not read yet.
+    /// Tokens still to be prefilled.
     pub left_tokens: f64,
-    /// Without the step itself: tokens and pairs.
+    /// Prefill time of a token with its share of attention over token pairs; the step's own time is
+    /// not in it.
     pub ms_per_token: f64,
-    /// Parts of split prompts are read before others.
+    /// Whether the prompt is split over several engines; such parts are prefilled before others.
     pub is_split: bool,
 }
 
-/// A stream that is written.
+/// A stream in decode.
 #[derive(Clone, Copy, Debug)]
-pub struct Writing {
-    /// Names the request.
+pub struct DecodeWork {
+    /// Number that the caller gave the request.
     pub request: usize,
-    /// What each step has to look at.
+    /// Tokens of context that each decode step attends to.
     pub context_tokens: f64,
 }
 
-/// What a pass brought.
+/// Result of a pass.
 #[derive(Clone, Debug, Default)]
-pub struct PassEnd {
-    /// Requests of which this engine has read its part.
-    pub read: Vec<usize>,
-    /// Requests whose next event is there.
-    pub written: Vec<usize>,
-    /// Whether the pass played all steps of an event.
-    pub is_long: bool,
+pub struct PassResult {
+    /// Requests whose part at this engine is completely prefilled.
+    pub prefilled: Vec<usize>,
+    /// Requests that got their next event.
+    pub decoded: Vec<usize>,
+    /// Whether the pass included decode, and so ran all `steps_per_event` steps.
+    pub has_decode: bool,
 }
 
-/// One engine.
+/// One engine: its queues of prefill and decode work, and the result of the pass in progress.
 #[derive(Clone, Debug)]
 pub struct PassEngine {
     model: EngineModel,
-    readings: Vec<Reading>,
-    writings: Vec<Writing>,
-    pass: Option<PassEnd>,
+    prefills: Vec<PrefillWork>,
+    decodes: Vec<DecodeWork>,
+    pass: Option<PassResult>,
 }
 
-impl Reading {
-    /// One of so many even parts of a prompt.
+impl PrefillWork {
+    /// One of `parts` equal parts of a prompt.
     pub fn part(model: &EngineModel, request: usize, prompt_tokens: f64, parts: usize) -> Self {
         let million_pairs = prompt_tokens * prompt_tokens / 2.0 / 1e6;
         let pairs_ms = million_pairs * model.per_million_pairs_ms;
@@ -59,63 +61,64 @@
 }
 
 impl PassEngine {
-    /// An engine at rest.
+    /// An engine without work.
     pub fn new(model: EngineModel) -> Self {
-        Self { model, readings: Vec::new(), writings: Vec::new(), pass: None }
+        Self { model, prefills: Vec::new(), decodes: Vec::new(), pass: None }
     }
 
-    /// Takes in a part to be read: one of a split prompt goes before all other reads, parts
-    /// of earlier split prompts among them; a whole prompt goes after them.
-    pub fn read(&mut self, reading: Reading) {
-        let place = if reading.is_split { 0 } else { self.readings.len() };
-        self.readings.insert(place, reading);
+    /// Queues a part for prefill. A part of a split prompt goes to the front, also before parts of
+    /// earlier split prompts; a prompt that is not split goes to the back.
+    pub fn add_prefill(&mut self, work: PrefillWork) {
+        let position = if work.is_split { 0 } else { self.prefills.len() };
+        self.prefills.insert(position, work);
     }
 
-    /// Takes in a stream to be written.
-    pub fn write(&mut self, writing: Writing) {
-        self.writings.push(writing);
+    /// Adds a stream to the decode batch.
+    pub fn add_decode(&mut self, work: DecodeWork) {
+        self.decodes.push(work);
     }
 
-    /// Drops a request, whatever it was at.
-    pub fn end(&mut self, request: usize) {
-        self.readings.retain(|one| one.request != request);
-        self.writings.retain(|one| one.request != request);
+    /// Removes a request from prefill and decode.
+    pub fn remove(&mut self, request: usize) {
+        self.prefills.retain(|work| work.request != request);
+        self.decodes.retain(|work| work.request != request);
     }
 
-    /// Whether no pass is under way.
-    pub fn is_resting(&self) -> bool {
+    /// Whether no pass is in progress.
+    pub fn is_idle(&self) -> bool {
         self.pass.is_none()
     }
 
-    /// Starts a pass; gives how long it takes, or `None` if there is nothing to do.
+    /// Starts a pass. Returns its duration in ms, or `None` if there is no work.
     pub fn start_pass(&mut self) -> Option<f64> {
-        if self.readings.is_empty() && self.writings.is_empty() {
+        if self.prefills.is_empty() && self.decodes.is_empty() {
             return None;
         }
-        let is_long = !self.writings.is_empty();
-        let steps = if is_long { self.model.steps_per_event } else { 1 };
-        let mut room = (u64::from(steps) * self.model.chunk_tokens) as f64;
-        let mut read_ms = 0.0;
-        for reading in &mut self.readings {
-            let tokens = reading.left_tokens.min(room);
-            room -= tokens;
-            reading.left_tokens -= tokens;
-            read_ms += tokens * reading.ms_per_token;
+        let has_decode = !self.decodes.is_empty();
+        let steps = if has_decode { self.model.steps_per_event } else { 1 };
+        let mut budget_tokens = (u64::from(steps) * self.model.chunk_tokens) as f64;
+        let mut prefill_ms = 0.0;
+        for work in &mut self.prefills {
+            let tokens = work.left_tokens.min(budget_tokens);
+            budget_tokens -= tokens;
+            work.left_tokens -= tokens;
+            prefill_ms += tokens * work.ms_per_token;
         }
-        let done = |one: &Reading| one.left_tokens <= 0.0;
-        let read = self.readings.iter().filter(|one| done(one)).map(|one| one.request).collect();
-        self.readings.retain(|one| !done(one));
-        let written: Vec<_> = self.writings.iter().map(|one| one.request).collect();
-        let context: f64 = self.writings.iter().map(|one| one.context_tokens).sum();
+        let is_done = |work: &PrefillWork| work.left_tokens <= 0.0;
+        let prefilled =
+            self.prefills.iter().filter(|work| is_done(work)).map(|work| work.request).collect();
+        self.prefills.retain(|work| !is_done(work));
+        let decoded: Vec<_> = self.decodes.iter().map(|work| work.request).collect();
+        let context: f64 = self.decodes.iter().map(|work| work.context_tokens).sum();
         let step_ms = self.model.step_ms
-            + self.model.per_sequence_ms * written.len() as f64
+            + self.model.per_sequence_ms * decoded.len() as f64
             + self.model.context_per_1000_tokens_ms * context / 1e3;
-        self.pass = Some(PassEnd { read, written, is_long });
-        Some(f64::from(steps) * step_ms + read_ms)
+        self.pass = Some(PassResult { prefilled, decoded, has_decode });
+        Some(f64::from(steps) * step_ms + prefill_ms)
     }
 
-    /// Ends the pass; tells what it brought.
-    pub fn end_pass(&mut self) -> PassEnd {
+    /// Ends the pass and returns its result.
+    pub fn end_pass(&mut self) -> PassResult {
         self.pass.take().unwrap_or_default()
     }
 }
--- a/clayplank-standin/src/pass_memory.rs
+++ b/clayplank-standin/src/pass_memory.rs
@@ -1,17 +1,17 @@
-//! Memory of an engine of the pass model: what requests use, and what tickets hold.
+//! KV-cache memory of a pass engine: tokens used by requests and tokens reserved by tickets.
 
 use std::collections::BTreeMap;
 
 use tokio::time::{Duration, Instant};
 
-/// Memory that was set aside under a name.
+/// A named reservation of memory, valid until `expires_at`.
 #[derive(Clone, Copy, Debug)]
 struct Ticket {
     tokens: u64,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Who has how much of an engine's memory.
+/// Accounting of one engine's memory, in tokens.
 #[derive(Clone, Debug)]
 pub(crate) struct PassMemory {
     total_tokens: u64,
@@ -24,32 +24,32 @@
         Self { total_tokens, used_tokens: 0, tickets: BTreeMap::new() }
     }
 
-    /// Sets memory aside, or renews what was set aside under the name; whether there is room.
+    /// Creates the named reservation, or replaces it. Returns whether there was room for it.
     pub(crate) fn reserve(&mut self, name: &str, tokens: u64, hold: Duration) -> bool {
-        self.drop_lapsed();
-        let held = self.tickets.get(name).map_or(0, |ticket| ticket.tokens);
-        let has_room = self.free_tokens() + held >= tokens;
+        self.remove_expired();
+        let current_tokens = self.tickets.get(name).map_or(0, |ticket| ticket.tokens);
+        let has_room = self.free_tokens() + current_tokens >= tokens;
         if has_room {
-            let ticket = Ticket { tokens, until: Instant::now() + hold };
+            let ticket = Ticket { tokens, expires_at: Instant::now() + hold };
             self.tickets.insert(name.to_owned(), ticket);
         }
         has_room
     }
 
-    /// Gives back what was set aside.
+    /// Drops the named reservation.
     pub(crate) fn release(&mut self, name: &str) {
         self.tickets.remove(name);
     }
 
-    /// What a name holds; 0 if nothing is set aside under it.
-    pub(crate) fn held_tokens(&mut self, name: &str) -> u64 {
-        self.drop_lapsed();
+    /// Tokens reserved under a name; 0 if there is no such reservation.
+    pub(crate) fn ticket_tokens(&mut self, name: &str) -> u64 {
+        self.remove_expired();
         self.tickets.get(name).map_or(0, |ticket| ticket.tokens)
     }
 
-    /// Takes memory for a request; whether there was room.
-    pub(crate) fn take(&mut self, tokens: u64) -> bool {
-        self.drop_lapsed();
+    /// Allocates memory for a request. Returns whether there was room.
+    pub(crate) fn allocate(&mut self, tokens: u64) -> bool {
+        self.remove_expired();
         let has_room = self.free_tokens() >= tokens;
         if has_room {
             self.used_tokens += tokens;
@@ -57,18 +57,18 @@
         has_room
     }
 
-    /// Gives back memory of a request.
-    pub(crate) fn give_back(&mut self, tokens: u64) {
+    /// Frees memory of a request.
+    pub(crate) fn free(&mut self, tokens: u64) {
         self.used_tokens -= tokens;
     }
 
-    /// What is set aside by tickets.
+    /// Sum of all reservations that have not expired.
     pub(crate) fn reserved_tokens(&mut self) -> u64 {
-        self.drop_lapsed();
+        self.remove_expired();
         self.tickets.values().map(|ticket| ticket.tokens).sum()
     }
 
-    /// What requests use.
+    /// Tokens allocated to requests.
     pub(crate) fn used_tokens(&self) -> u64 {
         self.used_tokens
     }
@@ -78,8 +78,8 @@
         self.total_tokens.saturating_sub(self.used_tokens + reserved)
     }
 
-    fn drop_lapsed(&mut self) {
+    fn remove_expired(&mut self) {
         let now = Instant::now();
-        self.tickets.retain(|_, ticket| now < ticket.until);
+        self.tickets.retain(|_, ticket| now < ticket.expires_at);
     }
 }
--- a/clayplank-standin/src/pass_server.rs
+++ b/clayplank-standin/src/pass_server.rs
@@ -1,4 +1,4 @@
-//! An engine of the pass model behind HTTP, as hosts forward requests to it.
+//! HTTP server of an engine that runs in batch passes ([`crate::PassEngine`]); hosts forward requests to it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,28 +10,31 @@
 use serde_json::json;
 use tokio::net::TcpListener;
 
-use crate::http_util::{Body, ServeError, empty, json, read_body, serve};
+use crate::http_server::{Body, ServeError, empty, json, read_body, serve};
 use crate::limit::SharedLimit;
-use crate::pass_answer::generate;
-use crate::pass_run::PassRun;
+use crate::pass_response::generate;
+use crate::pass_runner::PassRunner;
 
-/// Calls among the engines themselves.
+/// Path at which an engine asks another one to prefill a part of a prompt.
 pub(crate) const PARTS_PATH: &str = "/engine/parts";
 
 const RESERVATIONS_PATH: &str = "/v1/reservations";
 const REPORT_PATH: &str = "/v1/report";
 
-/// A part of a prompt that another engine should read.
+/// Request to another engine to prefill one of `parts` equal parts of a prompt.
+///
+/// `ticket` names memory that was reserved there for this prompt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct PartCall {
+pub(crate) struct PartRequest {
     pub(crate) prompt_tokens: u64,
     pub(crate) parts: usize,
     pub(crate) ticket: Option<String>,
 }
 
-/// Memory to be set aside or given back.
+/// Reserves KV-cache memory under a ticket, or releases it. `hold_ms` is the time until the
+/// reservation expires.
 #[derive(Clone, Debug, Deserialize)]
-struct ReservationCall {
+struct ReservationRequest {
     ticket: String,
     #[serde(default)]
     tokens: u64,
@@ -39,42 +42,42 @@
     hold_ms: u64,
 }
 
-/// Serves one life of an engine until the task is dropped.
+/// Serves one incarnation of an engine until the task is dropped.
 pub async fn serve_pass_engine(
     listener: TcpListener,
     id: String,
     model: EngineModel,
     limit: SharedLimit,
 ) {
-    let run = Arc::new(PassRun::new(model));
-    tokio::spawn(Arc::clone(&run).play());
-    let answer = move |request| answer(id.clone(), Arc::clone(&run), limit.clone(), request);
+    let runner = Arc::new(PassRunner::new(model));
+    tokio::spawn(Arc::clone(&runner).run_passes());
+    let answer = move |request| answer(id.clone(), Arc::clone(&runner), limit.clone(), request);
     serve(listener, answer).await;
 }
 
 async fn answer(
     id: String,
-    run: Arc<PassRun>,
+    runner: Arc<PassRunner>,
     limit: SharedLimit,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, ServeError> {
     let (head, body) = request.into_parts();
     let body = read_body(body).await;
     Ok(match (&head.method, head.uri.path()) {
-        (&Method::GET, REPORT_PATH) => report(&run),
-        (&Method::PUT, RESERVATIONS_PATH) => reserve(&run, &body),
-        (&Method::DELETE, RESERVATIONS_PATH) => release(&run, &body),
-        (&Method::POST, PARTS_PATH) => read_part(&run, &body).await,
+        (&Method::GET, REPORT_PATH) => report(&runner),
+        (&Method::PUT, RESERVATIONS_PATH) => reserve(&runner, &body),
+        (&Method::DELETE, RESERVATIONS_PATH) => release(&runner, &body),
+        (&Method::POST, PARTS_PATH) => prefill_part(&runner, &body).await,
         _ => {
-            limit.note_arrival();
-            limit.named_in(generate(&id, &run, &head).await)
+            limit.record_arrival();
+            limit.with_limit_header(generate(&id, &runner, &head).await)
         }
     })
 }
 
-fn report(run: &PassRun) -> Response<Body> {
-    let running = run.running();
-    let mut state = run.lock();
+fn report(runner: &PassRunner) -> Response<Body> {
+    let running = runner.running();
+    let mut state = runner.lock();
     let reserved_tokens = state.memory.reserved_tokens();
     let used_tokens = state.memory.used_tokens();
     json(
@@ -82,43 +85,43 @@
         &json!({
             "running": running,
             "pace": 1.0,
-            "memory_tokens": run.model.memory_tokens,
+            "memory_tokens": runner.model.memory_tokens,
             "used_tokens": used_tokens,
             "reserved_tokens": reserved_tokens,
         }),
     )
 }
 
-fn reserve(run: &PassRun, body: &[u8]) -> Response<Body> {
-    let Ok(call) = serde_json::from_slice::<ReservationCall>(body) else {
+fn reserve(runner: &PassRunner, body: &[u8]) -> Response<Body> {
+    let Ok(call) = serde_json::from_slice::<ReservationRequest>(body) else {
         return empty(StatusCode::BAD_REQUEST);
     };
     let hold = Duration::from_millis(call.hold_ms);
-    let is_held = run.lock().memory.reserve(&call.ticket, call.tokens, hold);
-    empty(if is_held { StatusCode::OK } else { StatusCode::CONFLICT })
+    let is_reserved = runner.lock().memory.reserve(&call.ticket, call.tokens, hold);
+    empty(if is_reserved { StatusCode::OK } else { StatusCode::CONFLICT })
 }
 
-fn release(run: &PassRun, body: &[u8]) -> Response<Body> {
-    let Ok(call) = serde_json::from_slice::<ReservationCall>(body) else {
+fn release(runner: &PassRunner, body: &[u8]) -> Response<Body> {
+    let Ok(call) = serde_json::from_slice::<ReservationRequest>(body) else {
         return empty(StatusCode::BAD_REQUEST);
     };
-    run.lock().memory.release(&call.ticket);
+    runner.lock().memory.release(&call.ticket);
     empty(StatusCode::OK)
 }
 
-/// Reads a part for another engine, and tells how much of the prompt is held here.
-async fn read_part(run: &Arc<PassRun>, body: &[u8]) -> Response<Body> {
-    let Ok(call) = serde_json::from_slice::<PartCall>(body) else {
+/// Prefills a part for another engine; the response is the number of tokens reserved by the ticket.
+async fn prefill_part(runner: &Arc<PassRunner>, body: &[u8]) -> Response<Body> {
+    let Ok(call) = serde_json::from_slice::<PartRequest>(body) else {
         return empty(StatusCode::BAD_REQUEST);
     };
-    let held_tokens = match &call.ticket {
-        Some(ticket) => run.lock().memory.held_tokens(ticket),
+    let ticket_tokens = match &call.ticket {
+        Some(ticket) => runner.lock().memory.ticket_tokens(ticket),
         None => 0,
     };
-    let lacks_ticket = call.ticket.is_some() && held_tokens == 0;
-    let Some(mut place) = run.admit(0).filter(|_| !lacks_ticket) else {
+    let lacks_ticket = call.ticket.is_some() && ticket_tokens == 0;
+    let Some(mut admission) = runner.admit(0).filter(|_| !lacks_ticket) else {
         return empty(StatusCode::SERVICE_UNAVAILABLE);
     };
-    place.read(call.prompt_tokens, call.parts).await;
-    json(StatusCode::OK, &held_tokens)
+    admission.prefill(call.prompt_tokens, call.parts).await;
+    json(StatusCode::OK, &ticket_tokens)
 }
--- a/clayplank-standin/src/service.rs
+++ b/clayplank-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that remembers what it ran.
+//! A plain service that records every request it runs.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,12 +10,12 @@
 use tokio::net::TcpListener;
 
 use crate::fault::{Fault, FaultKind};
-use crate::http_util::{Body, ServeError, json, read_body, serve};
+use crate::http_server::{Body, ServeError, json, read_body, serve};
 
-/// What the service ran, which it can swear to.
+/// Record of all requests that the service ran; tests compare it with what callers received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRecord {
-    /// Requests run, by their idempotency key, or by path where there is none.
+    /// Number of runs by idempotency key, or by path for requests without a key.
     pub runs: BTreeMap<String, u64>,
 }
 
@@ -27,9 +27,10 @@
 
 type Shared = Arc<Mutex<State>>;
 
-/// Serves until the task is dropped.
+/// Serves until the task is dropped; each request takes `work`.
 ///
-/// `GET /record` tells what ran; `POST /faults` asks for a fault; all else is run.
+/// `GET /record` returns the record, `POST /faults` sets the fault to inject, and any other request
+/// is run.
 pub async fn serve_service(listener: TcpListener, work: Duration) {
     let shared = Shared::default();
     serve(listener, move |request| answer(Arc::clone(&shared), request, work)).await;
@@ -61,7 +62,7 @@
     let key = request.headers().get("idempotency-key").and_then(|value| value.to_str().ok());
     let key = key.unwrap_or(path).to_owned();
     let body = read_body(request.into_body()).await;
-    let (run, fault) = begin(&shared, &key);
+    let (run, fault) = record_run(&shared, &key);
     match fault.map(|fault| fault.kind) {
         Some(FaultKind::Die) => std::process::exit(1),
         Some(FaultKind::LoseAnswer | FaultKind::DropStream) => return Err(ServeError::Broken),
@@ -77,16 +78,17 @@
     Ok(json(StatusCode::OK, &answer))
 }
 
-fn begin(shared: &Shared, key: &str) -> (u64, Option<Fault>) {
+/// Counts a run. Returns its number and the fault to inject.
+fn record_run(shared: &Shared, key: &str) -> (u64, Option<Fault>) {
     let mut state = lock(shared);
     let runs = state.record.runs.entry(key.to_owned()).or_default();
     *runs += 1;
     let run = *runs;
-    let shown = state.fault.filter(|fault| fault.count > 0);
+    let active = state.fault.filter(|fault| fault.count > 0);
     if let Some(fault) = &mut state.fault {
         fault.count = fault.count.saturating_sub(1);
     }
-    (run, shown)
+    (run, active)
 }
 
 fn lock(shared: &Shared) -> std::sync::MutexGuard<'_, State> {
--- a/clayplank-standin/src/upstream.rs
+++ b/clayplank-standin/src/upstream.rs
@@ -1,5 +1,5 @@
-//! An upstream of forwarded requests: it runs what it gets, streams events, and
-//! fails as a request's own header asks.
+//! An upstream for forwarded requests: it runs them, streams events, and injects the fault that a
+//! header of the request names.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,10 +13,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-use crate::http_util::{Body, ServeError, serve};
+use crate::http_server::{Body, ServeError, serve};
 use crate::limit::SharedLimit;
 
-/// Names the fault that a request asks for.
+/// Fault to inject for this request.
 const FAULT_HEADER: &str = "x-standin-fault";
 
 pub(crate) const ATTEMPT_HEADER: &str = "x-clayplank-attempt-id";
@@ -25,86 +25,86 @@
 const NOT_RUN_HEADER: &str = "x-clayplank-not-run";
 const ACCOUNT_HEADER: &str = "x-clayplank-account";
 
-/// Paths under this answer with as many events as the rest of the path says.
+/// Requests below this path get a stream; the rest of the path is its number of events.
 const EVENTS_PATH: &str = "/events/";
 
-/// How long a stream falters: longer than hosts wait before they ask another upstream.
-const FALTER_PAUSE: Duration = Duration::from_millis(1_700);
+/// Pause of a stalled stream: longer than the time after which hosts try another upstream.
+const STALL_PAUSE: Duration = Duration::from_millis(1_700);
 
-/// What all upstreams of a test ran.
+/// Record of the attempts that all upstreams of a test ran.
 #[derive(Debug, Default)]
 pub struct Runs {
-    /// By attempt: the upstreams that ran it, in order.
+    /// Upstreams that ran each attempt, in order.
     pub by_attempt: BTreeMap<String, Vec<String>>,
-    /// Accounts that upstreams were told.
+    /// Accounts that requests named.
     pub accounts: BTreeSet<String>,
-    /// Headers that must not reach an upstream, and did.
+    /// Headers that reached an upstream although hosts must remove them.
     pub leaked: Vec<String>,
-    /// Attempts whose fault was played.
-    faulty: BTreeSet<String>,
+    /// Attempts whose fault was already injected.
+    failed_once: BTreeSet<String>,
 }
 
-/// Runs that several upstreams share.
+/// [`Runs`] shared by several upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct SharedRuns(Arc<Mutex<Runs>>);
 
 impl SharedRuns {
-    /// What was run so far.
+    /// Locks the record, to read it or to add to it.
     pub fn lock(&self) -> MutexGuard<'_, Runs> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How often an attempt ran.
+    /// Number of times that an attempt ran.
     pub fn count(&self, attempt: &str) -> usize {
         self.lock().by_attempt.get(attempt).map_or(0, Vec::len)
     }
 }
 
-/// How a request wants to fail, at the first upstream that gets it.
+/// Fault that a request asks for; it applies at the first upstream that receives the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wish {
+enum RequestedFault {
     None,
-    /// Says that it did not run the request.
+    /// Responds that the request was not run.
     Refuse,
-    /// Runs it and closes without an answer.
+    /// Runs the request and closes the connection without a response.
     Lose,
-    /// Breaks off inside the second event.
+    /// Breaks off inside the third event.
     Break,
-    /// Answers with another attempt's id.
-    Foreign,
-    /// Answers without its mark.
+    /// Responds with the id of another attempt.
+    WrongAttempt,
+    /// Responds without the seal header that proves which upstream answered.
     Unsealed,
-    /// Takes a second until its answer.
+    /// Responds after a second.
     Slow,
-    /// Is silent for a while after the second event, goes on, and breaks off inside the fourth.
-    Falter,
-    /// Gives no answer: the upstreams that get an attempt after the one that faltered.
-    Silent,
+    /// Pauses after the second event, sends the third, and breaks off inside the fourth.
+    Stall,
+    /// Sends no response. Applies at the upstreams that receive an attempt after the one that stalled.
+    NoResponse,
 }
 
-fn scan_wish(headers: &HeaderMap) -> Wish {
+fn parse_fault(headers: &HeaderMap) -> RequestedFault {
     match headers.get(FAULT_HEADER).map(HeaderValue::as_bytes) {
-        Some(b"refuse") => Wish::Refuse,
-        Some(b"lose") => Wish::Lose,
-        Some(b"break") => Wish::Break,
-        Some(b"foreign") => Wish::Foreign,
-        Some(b"unsealed") => Wish::Unsealed,
-        Some(b"slow") => Wish::Slow,
-        Some(b"falter") => Wish::Falter,
-        _ => Wish::None,
+        Some(b"refuse") => RequestedFault::Refuse,
+        Some(b"lose") => RequestedFault::Lose,
+        Some(b"break") => RequestedFault::Break,
+        Some(b"foreign") => RequestedFault::WrongAttempt,
+        Some(b"unsealed") => RequestedFault::Unsealed,
+        Some(b"slow") => RequestedFault::Slow,
+        Some(b"falter") => RequestedFault::Stall,
+        _ => RequestedFault::None,
     }
 }
 
-/// A request that ends the upstreams that begin to run it.
+/// A request that terminates every upstream that starts to run it.
 #[derive(Clone, Debug)]
 pub struct CrashingRequest {
-    /// Its body.
+    /// Body by which the request is recognised.
     pub body: Bytes,
-    /// Told each time that it begins to run; whoever hears of it ends the upstream.
+    /// Receives a message each time the request starts to run; the receiver terminates the upstream.
     pub begun: mpsc::UnboundedSender<()>,
 }
 
-/// Serves one life of an upstream until the task is dropped.
+/// Serves one incarnation of an upstream until the task is dropped.
 pub async fn serve_upstream(
     listener: TcpListener,
     id: String,
@@ -114,10 +114,10 @@
 ) {
     let answer = move |request| {
         let limit = limit.clone();
-        let answered = answer(id.clone(), runs.clone(), crashing.clone(), request);
+        let response = answer(id.clone(), runs.clone(), crashing.clone(), request);
         async move {
-            limit.note_arrival();
-            Ok(limit.named_in(answered.await?))
+            limit.record_arrival();
+            Ok(limit.with_limit_header(response.await?))
         }
     };
     serve(listener, answer).await;
@@ -133,46 +133,51 @@
     let text = |name: &str| header_text(&head.headers, name);
     let attempt = text(ATTEMPT_HEADER);
     if text(EXPECT_HEADER) != id {
-        return Ok(whole(StatusCode::MISDIRECTED_REQUEST, &attempt, Bytes::new(), None));
+        return Ok(full_response(StatusCode::MISDIRECTED_REQUEST, &attempt, Bytes::new(), None));
     }
     let body = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
-    let wish = take_wish(&runs, &attempt, scan_wish(&head.headers));
-    if wish == Wish::Refuse {
+    let fault = next_fault(&runs, &attempt, parse_fault(&head.headers));
+    if fault == RequestedFault::Refuse {
         return Ok(not_run(&attempt));
     }
-    note_run(&runs, &id, &attempt, &head.headers);
+    record_run(&runs, &id, &attempt, &head.headers);
     if let Some(crashing) = crashing.filter(|crashing| crashing.body == body) {
         crashing.begun.send(()).ok();
-        // It has no answer: the upstream ends first.
+        // There is no response: the upstream is terminated first.
         std::future::pending::<()>().await;
     }
-    match wish {
-        Wish::Lose => return Err(ServeError::Broken),
-        Wish::Slow => tokio::time::sleep(Duration::from_secs(1)).await,
-        Wish::Silent => std::future::pending().await,
-        Wish::None | Wish::Refuse | Wish::Break | Wish::Falter | Wish::Foreign | Wish::Unsealed => {
-        }
+    match fault {
+        RequestedFault::Lose => return Err(ServeError::Broken),
+        RequestedFault::Slow => tokio::time::sleep(Duration::from_secs(1)).await,
+        RequestedFault::NoResponse => std::future::pending().await,
+        RequestedFault::None
+        | RequestedFault::Refuse
+        | RequestedFault::Break
+        | RequestedFault::Stall
+        | RequestedFault::WrongAttempt
+        | RequestedFault::Unsealed => {}
     }
     if let Some(count) = head.uri.path().split(EVENTS_PATH).nth(1) {
         let from = text("last-event-id").parse().unwrap_or(0);
-        return Ok(stream(&id, &attempt, from, count.parse().unwrap_or(0), wish));
+        return Ok(stream(&id, &attempt, from, count.parse().unwrap_or(0), fault));
     }
-    let seal = (wish != Wish::Unsealed).then_some(id.as_str());
-    let echoed = if wish == Wish::Foreign { "another" } else { &attempt };
-    Ok(whole(StatusCode::OK, echoed, body, seal))
+    let seal = (fault != RequestedFault::Unsealed).then_some(id.as_str());
+    let echoed = if fault == RequestedFault::WrongAttempt { "another" } else { &attempt };
+    Ok(full_response(StatusCode::OK, echoed, body, seal))
 }
 
-/// The fault to play now: each attempt fails once.
-fn take_wish(runs: &SharedRuns, attempt: &str, wish: Wish) -> Wish {
-    let is_first = wish == Wish::None || runs.lock().faulty.insert(attempt.to_owned());
-    match wish {
-        wish if is_first => wish,
-        Wish::Falter => Wish::Silent,
-        _ => Wish::None,
+/// Fault to inject now: each attempt fails once.
+fn next_fault(runs: &SharedRuns, attempt: &str, fault: RequestedFault) -> RequestedFault {
+    let is_first =
+        fault == RequestedFault::None || runs.lock().failed_once.insert(attempt.to_owned());
+    match fault {
+        fault if is_first => fault,
+        RequestedFault::Stall => RequestedFault::NoResponse,
+        _ => RequestedFault::None,
     }
 }
 
-fn note_run(runs: &SharedRuns, id: &str, attempt: &str, headers: &HeaderMap) {
+fn record_run(runs: &SharedRuns, id: &str, attempt: &str, headers: &HeaderMap) {
     let mut runs = runs.lock();
     runs.by_attempt.entry(attempt.to_owned()).or_default().push(id.to_owned());
     if let Some(account) = headers.get(ACCOUNT_HEADER).and_then(|value| value.to_str().ok()) {
@@ -183,25 +188,31 @@
     }
 }
 
-fn whole(status: StatusCode, attempt: &str, body: Bytes, seal: Option<&str>) -> Response<Body> {
+fn full_response(
+    status: StatusCode,
+    attempt: &str,
+    body: Bytes,
+    seal: Option<&str>,
+) -> Response<Body> {
     let body = Full::new(body).map_err(|never| match never {}).boxed_unsync();
-    marked(status, attempt, body, seal)
+    sealed_response(status, attempt, body, seal)
 }
 
-/// The answer to an attempt that was not run.
+/// Response to an attempt that was not run.
 pub(crate) fn not_run(attempt: &str) -> Response<Body> {
-    let mut response = whole(StatusCode::SERVICE_UNAVAILABLE, attempt, Bytes::new(), None);
+    let mut response = full_response(StatusCode::SERVICE_UNAVAILABLE, attempt, Bytes::new(), None);
     response.headers_mut().insert(NOT_RUN_HEADER, HeaderValue::from_static("1"));
     response
 }
 
-/// A header's text; empty if it is missing or no text.
+/// Value of a header; empty if it is missing or not valid text.
 pub(crate) fn header_text(headers: &HeaderMap, name: &str) -> String {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default().to_owned()
 }
 
-pub(crate) fn marked(
+/// Response with the attempt id and, if `seal` is given, the seal header.
+pub(crate) fn sealed_response(
     status: StatusCode,
     attempt: &str,
     body: Body,
@@ -219,10 +230,10 @@
     response
 }
 
-fn stream(id: &str, attempt: &str, from: u64, count: u64, wish: Wish) -> Response<Body> {
+fn stream(id: &str, attempt: &str, from: u64, count: u64, fault: RequestedFault) -> Response<Body> {
     let (sender, channel) = Channel::<Bytes, ServeError>::new(1);
-    tokio::spawn(send_events(sender, id.to_owned(), from, count, wish));
-    marked(StatusCode::OK, attempt, channel.boxed_unsync(), Some(id))
+    tokio::spawn(send_events(sender, id.to_owned(), from, count, fault));
+    sealed_response(StatusCode::OK, attempt, channel.boxed_unsync(), Some(id))
 }
 
 async fn send_events(
@@ -230,15 +241,15 @@
     upstream: String,
     from: u64,
     count: u64,
-    wish: Wish,
+    fault: RequestedFault,
 ) {
     for id in from + 1..=count {
-        if wish == Wish::Falter && id == from + 3 {
-            tokio::time::sleep(FALTER_PAUSE).await;
+        if fault == RequestedFault::Stall && id == from + 3 {
+            tokio::time::sleep(STALL_PAUSE).await;
         }
-        let breaks_at = match wish {
-            Wish::Break => Some(from + 3),
-            Wish::Falter => Some(from + 4),
+        let breaks_at = match fault {
+            RequestedFault::Break => Some(from + 3),
+            RequestedFault::Stall => Some(from + 4),
             _ => None,
         };
         if breaks_at == Some(id) {
--- a/scripts/system.sh
+++ b/scripts/system.sh
@@ -1,7 +1,8 @@
-# A small system on loopback, for the scripts beside this file.
+# Starts a small system on loopback whose hosts list each other in their settings. Sourced by other
+# scripts of this folder.
 #
-# Expects $bin, the folder of the programs. Sets $work, $caller1, $caller2,
-# $engine1, $service, $auth, $account_key and the array operators.
+# Needs $bin, the folder of the programs. Sets $work, $caller1, $caller2, $engine1, $service, $auth,
+# $account_key and the arrays operators and host_pids.
 
 base=${CLAYPLANK_PORT:-17300}
 step_ms=${CLAYPLANK_STEP_MS:-12}
@@ -103,6 +104,6 @@
 auth="Authorization: Bearer $account_key"
 wait_for "the account on h1" curl -fsS -H "$auth" "$caller1/v1/models"
 wait_for "the account on h2" curl -fsS -H "$auth" "$caller2/v1/models"
-# An engine gets work once its first load report is in.
+# An engine gets no requests before its first load report has arrived.
 wait_for "a first answer" curl -fsS -H "$auth" "$caller1/v1/completions" -d '{"prompt": "warm up", "max_tokens": 1}'
 
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,101 +1,102 @@
-/* A request that must run at most once, sent again at another host.
+/* Idempotency claims: a request that must run at most once and is retried at another host.
  *
- * Three calls of one request reach two hosts. Each call claims the key at the
- * keepers (one atomic register: that is what the log gives), dispatches, and
- * settles or releases. Replies of the keepers get lost, hosts crash at every
- * point, the service's answer gets lost.
+ * Three calls carry the same idempotency key. Each call claims the key at the
+ * keepers, dispatches the request to the service, and settles or releases the
+ * claim. The keepers are modelled as one atomic register, which is what the
+ * replicated log provides. Replies of the keepers may be lost, hosts may crash
+ * at every point, and the response of the service may be lost.
  *
- * Checked: the service runs the request at most once, and a call that was told
- * "not run" did not run it, then or later.
+ * Checked: the service runs the request at most once, and the request of a call
+ * that was answered "not run" has not run and never will.
  *
- * -DRELEASE_UNSURE: a call whose answer was lost releases its claim. Must fail.
- * -DDISPATCH_UNSURE: a call whose claim was not answered is dispatched. Must fail.
+ * -DRELEASE_UNSURE: a call whose response was lost releases its claim. Must fail.
+ * -DDISPATCH_UNSURE: a call without a reply to its claim is dispatched. Must fail.
  */
 #define CALLS 3
 
 mtype = { FREE, IN_PROGRESS, SETTLED, UNKNOWN };
-mtype = { TOLD_NOTHING, TOLD_ANSWER, TOLD_NOT_RUN, TOLD_UNKNOWN };
+mtype = { REPLY_NONE, REPLY_RESPONSE, REPLY_NOT_RUN, REPLY_UNKNOWN };
 
 mtype claim = FREE;
-byte holder; /* the call that claimed, plus one */
+byte holder; /* the call that holds the claim, plus one */
 byte runs;
 bool ran[CALLS];
-mtype told[CALLS];
+mtype reply[CALLS]; /* the reply to each caller */
 
 inline check() {
     assert(runs <= 1);
-    assert(!(told[0] == TOLD_NOT_RUN && ran[0]));
-    assert(!(told[1] == TOLD_NOT_RUN && ran[1]));
-    assert(!(told[2] == TOLD_NOT_RUN && ran[2]))
+    assert(!(reply[0] == REPLY_NOT_RUN && ran[0]));
+    assert(!(reply[1] == REPLY_NOT_RUN && ran[1]));
+    assert(!(reply[2] == REPLY_NOT_RUN && ran[2]))
 }
 
-proctype Call(byte me) {
+proctype Call(byte self) {
     bool granted = false;
     bool sent = false;
 
-    /* Claim; the reply may be lost, and the same claim is then sent again or given up. */
-ask:
+    /* Claim. If the reply is lost, the claim is sent again or the call is abandoned. */
+send_claim:
     atomic {
         if
-        :: claim == FREE -> claim = IN_PROGRESS; holder = me + 1; granted = true
-        :: claim == IN_PROGRESS && holder == me + 1 -> granted = true
-        :: claim == IN_PROGRESS && holder != me + 1 -> told[me] = TOLD_UNKNOWN; goto done
-        :: claim == SETTLED -> told[me] = TOLD_ANSWER; goto done
-        :: claim == UNKNOWN -> told[me] = TOLD_UNKNOWN; goto done
+        :: claim == FREE -> claim = IN_PROGRESS; holder = self + 1; granted = true
+        :: claim == IN_PROGRESS && holder == self + 1 -> granted = true
+        :: claim == IN_PROGRESS && holder != self + 1 -> reply[self] = REPLY_UNKNOWN; goto done
+        :: claim == SETTLED -> reply[self] = REPLY_RESPONSE; goto done
+        :: claim == UNKNOWN -> reply[self] = REPLY_UNKNOWN; goto done
         fi
     }
     if
-    :: goto dispatch                /* the reply came */
-    :: goto ask                     /* it was lost */
-    :: goto give_up                 /* it was lost, and so are the keepers */
+    :: goto dispatch                /* the reply arrived */
+    :: goto send_claim              /* the reply was lost */
+    :: goto abandon                 /* the reply was lost, and the keepers are unreachable */
     :: goto done                    /* the host crashes */
     fi;
 
-give_up:
+abandon:
 #ifdef DISPATCH_UNSURE
     granted = false;
-    atomic { if :: holder == me + 1 -> claim = FREE; holder = 0 :: else fi };
+    atomic { if :: holder == self + 1 -> claim = FREE; holder = 0 :: else fi };
     goto dispatch;
 #endif
-    atomic { told[me] = TOLD_NOT_RUN; check() };
+    atomic { reply[self] = REPLY_NOT_RUN; check() };
     goto release;
 
 dispatch:
     if
     :: goto done                    /* the host crashes */
-    :: atomic { told[me] = TOLD_NOT_RUN; check() }; goto release /* no connection: no byte was sent */
-    :: atomic { sent = true; runs++; ran[me] = true; check() }
+    :: atomic { reply[self] = REPLY_NOT_RUN; check() }; goto release /* connection failed: nothing was sent */
+    :: atomic { sent = true; runs++; ran[self] = true; check() }
     fi;
     if
     :: goto done                    /* the host crashes */
-    :: atomic {                     /* the answer came */
+    :: atomic {                     /* the response arrived */
         if
-        :: claim == IN_PROGRESS && holder == me + 1 -> claim = SETTLED
+        :: claim == IN_PROGRESS && holder == self + 1 -> claim = SETTLED
         :: else
         fi;
-        told[me] = TOLD_ANSWER
+        reply[self] = REPLY_RESPONSE
        };
        goto done
-    :: skip                         /* the answer was lost */
+    :: skip                         /* the response was lost */
     fi;
 #ifdef RELEASE_UNSURE
     goto release;
 #endif
     atomic {
         if
-        :: claim == IN_PROGRESS && holder == me + 1 -> claim = UNKNOWN
+        :: claim == IN_PROGRESS && holder == self + 1 -> claim = UNKNOWN
         :: else
         fi;
-        told[me] = TOLD_UNKNOWN
+        reply[self] = REPLY_UNKNOWN
     };
     goto done;
 
 release:
     if
-    :: goto done                    /* the host crashes before */
+    :: goto done                    /* the host crashes before the release */
     :: atomic {
         if
-        :: claim == IN_PROGRESS && holder == me + 1 -> claim = FREE; holder = 0
+        :: claim == IN_PROGRESS && holder == self + 1 -> claim = FREE; holder = 0
         :: else
         fi
        }
@@ -106,7 +107,7 @@
 
 init {
     atomic {
-        told[0] = TOLD_NOTHING; told[1] = TOLD_NOTHING; told[2] = TOLD_NOTHING;
+        reply[0] = REPLY_NONE; reply[1] = REPLY_NONE; reply[2] = REPLY_NONE;
         run Call(0); run Call(1); run Call(2)
     }
 }
--- a/spec/log.pml
+++ b/spec/log.pml
@@ -1,15 +1,16 @@
-/* The replicated log: elections, replication, a lost disk, a change of members.
+/* The replicated log (Raft): elections, replication, loss of a disk, membership changes.
  *
  * Replica 3 is the new incarnation of replica 2: when the disk of 2 is lost, 2
- * is gone for ever and 3 starts blank, as a learner. A message and its answer
- * are one step; one that is held up equals a step that is taken later, and one
- * that is lost a step that is not taken. Everything a replica says is synced.
+ * never runs again and 3 starts with an empty log, as a learner. A message and
+ * its reply are one step: a delayed message is a step that is taken later, and
+ * a lost one is a step that is not taken. A replica syncs its state to disk
+ * before it sends anything that depends on it.
  *
- * Checked: no two values are committed at one index, and every leader holds
- * all that was committed before its election.
+ * Checked: no two different entries are committed at one index, and every
+ * leader has all entries that were committed before its election.
  *
- * -DAMNESIA: the replica whose disk was lost goes on as itself, and votes. Must fail.
- * -DEARLY_CHANGE: a change of members does not wait for the one before. Must fail.
+ * -DAMNESIA: the replica that lost its disk keeps its identity and votes. Must fail.
+ * -DEARLY_CHANGE: a membership change starts before the previous one is committed. Must fail.
  */
 #define N 4
 #ifndef MAX_TERM
@@ -27,24 +28,26 @@
 typedef Log {
     byte length;
     byte term[MAX_LEN];
-    byte members[MAX_LEN]; /* 0: an ordinary entry */
+    byte members[MAX_LEN]; /* 0: not a membership change */
 }
 
 Log logs[N];
 byte term[N];
-byte voted_for[N]; /* in this term, plus one */
-byte votes[N];     /* of this term's candidate */
+byte voted_for[N]; /* vote in the current term, plus one; 0: none */
+byte votes[N];     /* bit mask of the votes for this candidate; 0: no candidate */
 bool leads[N];
-bool is_gone[N];
+bool is_stopped[N];
 byte matched[N * N]; /* [leader * N + follower] */
-byte committed[N];   /* at a leader, in its term */
+byte committed[N];   /* commit index that a leader reached in its term */
 
-byte chosen_term[MAX_LEN];
-byte chosen_members[MAX_LEN];
-byte chosen_length;
+/* Entries that were ever committed, for the assertions. */
+byte committed_term[MAX_LEN];
+byte committed_members[MAX_LEN];
+byte committed_length;
 bool disk_lost;
 
-inline newest_members(i, result) {
+/* The latest configuration in the log of replica i, committed or not. */
+inline latest_members(i, result) {
     result = FIRST_MEMBERS;
     k = 0;
     do
@@ -58,7 +61,7 @@
     od
 }
 
-/* Whether the newest change of members at leader i is committed. */
+/* Whether the latest membership change in the log of leader i is committed. */
 inline change_is_committed(i, result) {
     result = true;
     k = 0;
@@ -90,7 +93,7 @@
 }
 
 inline start_election(i) {
-    newest_members(i, members);
+    latest_members(i, members);
     if
     :: HAS(members, i) && term[i] < MAX_TERM ->
         adopt_term(i, term[i] + 1);
@@ -100,7 +103,8 @@
     fi
 }
 
-inline ask_vote(i, j) {
+/* Candidate i requests the vote of j; with a majority it becomes leader. */
+inline request_vote(i, j) {
     if
     :: votes[i] != 0 && !leads[i] && term[j] <= term[i] && UP_TO_DATE(i, j) ->
         adopt_term(j, term[i]);
@@ -112,7 +116,7 @@
         fi
     :: else
     fi;
-    newest_members(i, members);
+    latest_members(i, members);
     if
     :: votes[i] != 0 && !leads[i] && IS_QUORUM(votes[i], members) ->
         leads[i] = true;
@@ -127,14 +131,14 @@
     fi
 }
 
-/* A leader holds all that was committed. */
+/* Leader completeness: a new leader has all committed entries. */
 inline check_leader(i) {
     k = 0;
     do
-    :: k < chosen_length ->
+    :: k < committed_length ->
         assert(k < logs[i].length);
-        assert(logs[i].term[k] == chosen_term[k]);
-        assert(logs[i].members[k] == chosen_members[k]);
+        assert(logs[i].term[k] == committed_term[k]);
+        assert(logs[i].members[k] == committed_members[k]);
         k++
     :: else -> break
     od
@@ -151,9 +155,9 @@
     fi
 }
 
-/* One step from the present members: 2 out, then 3 in. */
+/* One membership change at a time: first 2 is removed, then 3 is added. */
 inline change_members(i) {
-    newest_members(i, members);
+    latest_members(i, members);
     change_is_committed(i, may_change);
 #ifdef EARLY_CHANGE
     may_change = true;
@@ -161,24 +165,25 @@
     may_change = may_change && committed[i] > 0;
 #endif
     if
-    :: may_change && is_gone[2] && HAS(members, 2) -> append_entry(i, members & ~4)
-    :: may_change && is_gone[2] && !HAS(members, 2) && !HAS(members, 3) && matched[i * N + 3] >= committed[i] ->
+    :: may_change && is_stopped[2] && HAS(members, 2) -> append_entry(i, members & ~4)
+    :: may_change && is_stopped[2] && !HAS(members, 2) && !HAS(members, 3) && matched[i * N + 3] >= committed[i] ->
         append_entry(i, members | 8)
 #ifdef EARLY_CHANGE
-    :: may_change && !is_gone[2] && members == 7 -> append_entry(i, 3)
-    :: may_change && !is_gone[2] && members == 7 -> append_entry(i, 15)
+    :: may_change && !is_stopped[2] && members == 7 -> append_entry(i, 3)
+    :: may_change && !is_stopped[2] && members == 7 -> append_entry(i, 15)
     :: may_change && members == 15 -> append_entry(i, 12)
 #endif
     :: else
     fi
 }
 
+/* Leader i replaces the log of j by its own. */
 inline replicate(i, j) {
     if
     :: leads[i] && term[j] <= term[i] ->
         adopt_term(j, term[i]);
         assert(!leads[j]);
-        votes[j] = 0; /* a candidate steps down for the leader of its term */
+        votes[j] = 0; /* a candidate steps down when its term has a leader */
         k = 0;
         do
         :: k < MAX_LEN ->
@@ -193,34 +198,35 @@
     fi
 }
 
+/* Leader i commits its log once a majority has it and its last entry is of the leader's term. */
 inline commit(i) {
-    newest_members(i, members);
+    latest_members(i, members);
     if
     :: leads[i] && logs[i].length > committed[i] && LAST_TERM(i) == term[i] ->
-        agreed = 0;
+        replicated = 0;
         k = 0;
         do
         :: k < N ->
             if
-            :: matched[i * N + k] == logs[i].length -> agreed = agreed | (1 << k)
+            :: matched[i * N + k] == logs[i].length -> replicated = replicated | (1 << k)
             :: else
             fi;
             k++
         :: else -> break
         od;
         if
-        :: IS_QUORUM(agreed, members) ->
+        :: IS_QUORUM(replicated, members) ->
             k = 0;
             do
             :: k < logs[i].length ->
                 if
-                :: k < chosen_length ->
-                    assert(chosen_term[k] == logs[i].term[k]);
-                    assert(chosen_members[k] == logs[i].members[k])
+                :: k < committed_length ->
+                    assert(committed_term[k] == logs[i].term[k]);
+                    assert(committed_members[k] == logs[i].members[k])
                 :: else ->
-                    chosen_term[k] = logs[i].term[k];
-                    chosen_members[k] = logs[i].members[k];
-                    chosen_length = k + 1
+                    committed_term[k] = logs[i].term[k];
+                    committed_members[k] = logs[i].members[k];
+                    committed_length = k + 1
                 fi;
                 k++
             :: else -> break
@@ -250,8 +256,8 @@
     od;
     logs[2].length = 0;
 #ifndef AMNESIA
-    is_gone[2] = true;
-    is_gone[3] = false
+    is_stopped[2] = true;
+    is_stopped[3] = false
 #endif
 }
 
@@ -260,9 +266,9 @@
     byte j;
     byte k;
     byte members;
-    byte agreed;
+    byte replicated;
     bool may_change;
-    is_gone[3] = true;
+    is_stopped[3] = true;
     do
     :: atomic {
         if
@@ -272,11 +278,11 @@
         :: j = 0 :: j = 1 :: j = 2 :: j = 3
         fi;
         if
-        :: !is_gone[i] ->
+        :: !is_stopped[i] ->
             if
             :: start_election(i)
-            :: i != j && !is_gone[j] -> ask_vote(i, j)
-            :: i != j && !is_gone[j] -> replicate(i, j)
+            :: i != j && !is_stopped[j] -> request_vote(i, j)
+            :: i != j && !is_stopped[j] -> replicate(i, j)
             :: leads[i] -> append_entry(i, 0)
             :: leads[i] -> change_members(i)
             :: leads[i] -> commit(i)
@@ -285,7 +291,7 @@
             fi
         :: else
         fi;
-        i = 0; j = 0; k = 0; members = 0; agreed = 0; may_change = false
+        i = 0; j = 0; k = 0; members = 0; replicated = 0; may_change = false
         }
     od
 }
