--- a/bench/src/log.rs
+++ b/bench/src/log.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// Runs elections until a leader has committed an entry of its term; returns its position.
+/// Ticks the replicas until one leads and has committed more than its first entry; returns its position.
 fn elect(nodes: &mut [Node]) -> Result<usize, LogError> {
     for now_ms in (0..10_000).step_by(10) {
         nodes.iter_mut().for_each(|node| node.replica.tick(now_ms));
@@ -136,7 +136,7 @@
     Histogram::new_with_max(MAX_US, 3).expect("the bounds of the histogram fit")
 }
 
-/// Times a write of 256 bytes with `fdatasync`, as the lower bound of a commit.
+/// Times a plain write of 256 bytes followed by a sync, for comparison with the commits.
 fn measure_sync(dir: &Path) -> Result<Histogram<u64>, LogError> {
     use std::io::Write;
     let mut file = std::fs::File::create(dir.join("sync"))?;
--- a/bench/src/replay.rs
+++ b/bench/src/replay.rs
@@ -328,7 +328,7 @@
 
     /// Ends a failed attempt and retries it if the account's retry budget permits.
     ///
-    /// `is_not_started`: the engine did not accept the part, so that it holds nothing of the attempt.
+    /// `is_not_started`: the engine did not accept the current part, as opposed to failing while it ran.
     fn fail(&mut self, attempt_id: AttemptId, is_not_started: bool) {
         let Some(attempt) = self.attempts.remove(&attempt_id) else {
             return;
--- a/clayplank-standin/src/pass_runner.rs
+++ b/clayplank-standin/src/pass_runner.rs
@@ -10,7 +10,7 @@
 use crate::pass::{DecodeWork, PassEngine, PassResult, PrefillWork};
 use crate::pass_memory::PassMemory;
 
-/// Progress of a request at this engine.
+/// Progress of an admitted request at this engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Progress {
     /// Whether this engine has prefilled its part of the prompt.
--- a/clayplank-standin/src/upstream.rs
+++ b/clayplank-standin/src/upstream.rs
@@ -72,7 +72,7 @@
     Break,
     /// Responds with the id of another attempt.
     WrongAttempt,
-    /// Responds without the seal header that proves which upstream answered.
+    /// Responds without the seal, the header in which an upstream states its id.
     Unsealed,
     /// Responds after a second.
     Slow,
