--- a/bench/src/placement_simulation.rs
+++ b/bench/src/placement_simulation.rs
@@ -197,7 +197,7 @@
             return;
         };
         for engine in 0..engines {
-            self.fleet.set_named_limit(&engine_name(engine), Some(LIMIT_PER_S));
+            self.fleet.set_declared_limit(&engine_name(engine), Some(LIMIT_PER_S));
         }
     }
 
--- a/bench/src/replay.rs
+++ b/bench/src/replay.rs
@@ -121,7 +121,7 @@
     for (request, arrival) in arrivals.iter().enumerate() {
         tokio::time::sleep_until(started + Duration::from_millis(arrival.at_ms)).await;
         let mut simulation = simulation.borrow_mut();
-        simulation.budgets.entry(arrival.account).or_default().earn(RETRY_PERCENT);
+        simulation.budgets.entry(arrival.account).or_default().deposit(RETRY_PERCENT);
         simulation.submit(request, Vec::new());
     }
 }
@@ -340,7 +340,7 @@
         let arrivals = Arc::clone(&self.setup.arrivals);
         let account = arrivals[attempt.request].account;
         let may_retry = self.outcomes[attempt.request].submissions < 3
-            && self.budgets.get_mut(&account).is_some_and(RetryBudget::spend);
+            && self.budgets.get_mut(&account).is_some_and(RetryBudget::try_withdraw);
         if may_retry {
             let avoid = attempt.grant.parts.iter().map(|part| part.engine.clone()).collect();
             self.outcomes[attempt.request].first_token_ms = None;
--- a/clayplank-forward/src/admit.rs
+++ b/clayplank-forward/src/admit.rs
@@ -103,7 +103,7 @@
         let service = plan.choose_target(&route, draw).ok_or(Refusal::NoRoute)?.to_owned();
         let limit_ms = facts.deadline_ms.unwrap_or(u64::MAX).min(route.time_limit_ms);
         let is_engine = plan.engine_model(&service).is_some();
-        self.lock_budget().note_first_try(now_ms(), &service);
+        self.lock_budget().record_first_attempt(now_ms(), &service);
         Ok(Call {
             entry: Arc::clone(self),
             facts,
--- a/clayplank-forward/src/attempt.rs
+++ b/clayplank-forward/src/attempt.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use clayplank_registry::{Noted, ObservedLimit};
+use clayplank_registry::{LimitObservation, LimitUpdateResult};
 use clayplank_types::UpstreamId;
 use http::{Request, Response};
 use http_body_util::Full;
@@ -111,7 +111,7 @@
         let verdict = classify_head(&head, names, &self.facts.attempt_id);
         // Any other response may come from a different upstream.
         if matches!(verdict, Verdict::Valid | Verdict::NotRun) {
-            self.note_limit(upstream, parse_limit(&head.headers, names), sent_ms);
+            self.record_limit(upstream, parse_limit(&head.headers, names), sent_ms);
         }
         match verdict {
             Verdict::Valid => {
@@ -139,7 +139,7 @@
 
     /// Records the rate limit that the upstream stated in the response to a request sent at
     /// `sent_ms`.
-    fn note_limit(&self, upstream: &UpstreamId, limit: StatedLimit, sent_ms: u64) {
+    fn record_limit(&self, upstream: &UpstreamId, limit: StatedLimit, sent_ms: u64) {
         let (requests_per_s, at_ms) = match limit {
             StatedLimit::None => (None, sent_ms),
             StatedLimit::PerSecond(per_s) => (Some(per_s), now_ms()),
@@ -150,9 +150,9 @@
                 return;
             }
         };
-        let observed = ObservedLimit { upstream: upstream.clone(), requests_per_s, at_ms };
-        let noted = self.entry.directory.note_limit(&observed);
-        if noted == Noted::Changed {
+        let observed = LimitObservation { upstream: upstream.clone(), requests_per_s, at_ms };
+        let noted = self.entry.directory.record_limit(&observed);
+        if noted == LimitUpdateResult::Changed {
             log::info!(target: "forward",
                 upstream = upstream.as_str(), limit_per_s = requests_per_s,
                 request = self.facts.attempt_id;
@@ -161,12 +161,12 @@
         // A limit is reported with every response that states it: other hosts may since have
         // received a report that it was lifted.
         let is_reported = match noted {
-            Noted::Changed => true,
-            Noted::Unchanged => requests_per_s.is_some(),
-            Noted::Outdated(_) => false,
+            LimitUpdateResult::Changed => true,
+            LimitUpdateResult::Unchanged => requests_per_s.is_some(),
+            LimitUpdateResult::Outdated(_) => false,
         };
         if is_reported {
-            self.entry.placer.note_limit(&observed);
+            self.entry.placer.record_limit(&observed);
         }
     }
 
--- a/clayplank-forward/src/budget.rs
+++ b/clayplank-forward/src/budget.rs
@@ -68,7 +68,7 @@
     }
 
     /// Counts a first attempt.
-    pub fn note_first_try(&mut self, now_ms: u64, service: &str) {
+    pub fn record_first_attempt(&mut self, now_ms: u64, service: &str) {
         let window = self.windows.entry(service.to_owned()).or_default();
         window.drop_before(now_ms.saturating_sub(self.limits.window_ms));
         window.first_attempts.push_back(now_ms);
--- a/clayplank-forward/src/directory.rs
+++ b/clayplank-forward/src/directory.rs
@@ -7,7 +7,8 @@
 
 use clayplank_placement::{ColdStart, HostShare, RateLimit};
 use clayplank_registry::{
-    Buckets, Digest, Heartbeat, Limits, Noted, ObservedLimit, Record, Standing, life_ids,
+    Buckets, Digest, Heartbeat, LimitObservation, LimitUpdateResult, Limits, Record, Standing,
+    life_ids,
 };
 use clayplank_routes::ServingPlan;
 use clayplank_types::{DataCentre, UpstreamId};
@@ -29,14 +30,14 @@
     /// The request has been counted at this upstream.
     Counted(Record),
     /// The upstream has a rate limit: the request has to wait for a permit.
-    NeedsTurn(Record),
+    NeedsPermit(Record),
 }
 
 impl Choice {
     /// Record of the chosen upstream.
     pub fn record(&self) -> &Record {
         match self {
-            Self::Counted(record) | Self::NeedsTurn(record) => record,
+            Self::Counted(record) | Self::NeedsPermit(record) => record,
         }
     }
 }
@@ -180,13 +181,17 @@
         let mut rate_limit = stats.map(|stats| stats.rate_limit).unwrap_or_default();
         let start = self.cold_starts.get(&heartbeat.service);
         rate_limit.set_cold_limit(start.map_or(0.0, |start| start.requests_per_s));
-        rate_limit.set_named_limit(self.limits.limit_per_s(&heartbeat.id));
+        rate_limit.set_declared_limit(self.limits.limit_per_s(&heartbeat.id));
         rate_limit
     }
 
     /// Whether an upstream accepts one more request from this host without a permit.
     fn accepts_without_permit(&self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
-        self.rate_limit(heartbeat).may_send_alone(now_ms as f64, &heartbeat.id, &self.share)
+        self.rate_limit(heartbeat).may_send_without_permit(
+            now_ms as f64,
+            &heartbeat.id,
+            &self.share,
+        )
     }
 
     /// Whether a request needs a permit for an upstream: the upstream has stated a limit and is not
@@ -211,7 +216,7 @@
     fn count_request(&mut self, now_ms: u64, id: &UpstreamId) {
         let stats = self.stats.entry(id.clone()).or_default();
         stats.in_flight += 1;
-        stats.rate_limit.note_sent_alone(now_ms as f64);
+        stats.rate_limit.record_sent_without_permit(now_ms as f64);
     }
 
     /// Removes upstreams that departed long ago, and their statistics.
@@ -226,7 +231,7 @@
             }
             is_kept
         });
-        limits.forget(now_ms, |id| records.contains_key(id));
+        limits.expire(now_ms, |id| records.contains_key(id));
     }
 }
 
@@ -417,7 +422,7 @@
             )
             .map(|(_, record)| record.clone())?;
         if inner.needs_permit(now_ms, &best.heartbeat) {
-            return Some(Choice::NeedsTurn(best));
+            return Some(Choice::NeedsPermit(best));
         }
         inner.count_request(now_ms, &best.heartbeat.id);
         Some(Choice::Counted(best))
@@ -483,27 +488,27 @@
     }
 
     /// Records the limit of an upstream as observed by this host.
-    pub fn note_limit(&self, observed: &ObservedLimit) -> Noted {
-        self.lock().limits.note(observed)
+    pub fn record_limit(&self, observed: &LimitObservation) -> LimitUpdateResult {
+        self.lock().limits.apply_local(observed)
     }
 
     /// Records the limit of an upstream as observed by another host.
-    pub fn learn_limit(&self, observed: &ObservedLimit) -> Noted {
-        self.lock().limits.learn(observed)
+    pub fn apply_reported_limit(&self, observed: &LimitObservation) -> LimitUpdateResult {
+        self.lock().limits.apply_remote(observed)
     }
 
     /// Limit of an upstream, if it has stated one.
-    pub fn limit(&self, id: &UpstreamId) -> Option<ObservedLimit> {
-        self.lock().limits.observed_of(id)
+    pub fn limit(&self, id: &UpstreamId) -> Option<LimitObservation> {
+        self.lock().limits.observation_of(id)
     }
 
     /// Limits in force.
-    pub fn limits(&self) -> Vec<ObservedLimit> {
-        self.lock().limits.observed().collect()
+    pub fn limits(&self) -> Vec<LimitObservation> {
+        self.lock().limits.observations().collect()
     }
 
     /// Number of upstreams with a limit.
     pub fn count_limited(&self) -> usize {
-        self.lock().limits.limited().count()
+        self.lock().limits.iter().count()
     }
 }
--- a/clayplank-forward/src/lib.rs
+++ b/clayplank-forward/src/lib.rs
@@ -58,7 +58,7 @@
 pub use gate::Gate;
 pub use listener::{serve_callers, serve_simple};
 pub use names::HeaderNames;
-pub use placer::{BoxFuture, Placer, Turn};
+pub use placer::{BoxFuture, PermitReply, Placer};
 pub use quarantine::{Judge, Observation, Passage, Suspicion};
 pub use request_metadata::RequestFacts;
 pub use reserve::{OrderFormat, Reservation, Ticket};
--- a/clayplank-forward/src/permits.rs
+++ b/clayplank-forward/src/permits.rs
@@ -10,7 +10,7 @@
 use crate::directory::Choice;
 use crate::entry::Entry;
 use crate::load::LoadGuard;
-use crate::placer::Turn;
+use crate::placer::PermitReply;
 use crate::refusal::Refusal;
 
 /// While no host grants permits, the hosts that may send are drawn by chance, anew in each interval
@@ -63,7 +63,7 @@
         loop {
             match directory.choose(&self.service, data_centre, &self.tried)? {
                 Choice::Counted(record) => return Some(record),
-                Choice::NeedsTurn(record) => {
+                Choice::NeedsPermit(record) => {
                     match self.acquire_permit(&record, Duration::ZERO).await {
                         PermitWait::Granted => return Some(record),
                         PermitWait::NotBefore(_) | PermitWait::Unusable => {}
@@ -85,8 +85,8 @@
             directory.count_permitted(id);
             return PermitWait::Granted;
         };
-        let wait = match self.entry.placer.take_turn(&limit, timeout).await {
-            Turn::After(wait) => {
+        let wait = match self.entry.placer.request_permit(&limit, timeout).await {
+            PermitReply::After(wait) => {
                 clayplank_clock::sleep(wait).await;
                 // By now the upstream may have departed, or its data centre may be cordoned.
                 if directory.usable_record(id).is_none() {
@@ -95,11 +95,11 @@
                 directory.count_permitted(id);
                 return PermitWait::Granted;
             }
-            Turn::Unknown if directory.count_without_permit(&record.heartbeat) => {
+            PermitReply::Unknown if directory.count_without_permit(&record.heartbeat) => {
                 return PermitWait::Granted;
             }
-            Turn::Unknown => REDRAW_INTERVAL,
-            Turn::NotBefore(wait) => wait,
+            PermitReply::Unknown => REDRAW_INTERVAL,
+            PermitReply::NotBefore(wait) => wait,
         };
         directory.note_no_permit(id, wait);
         PermitWait::NotBefore(wait)
--- a/clayplank-forward/src/placer.rs
+++ b/clayplank-forward/src/placer.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use clayplank_placement::{Ask, Event, Placed, PlacementId};
-use clayplank_registry::ObservedLimit;
+use clayplank_registry::LimitObservation;
 
 /// A boxed future, as returned by trait methods.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// Answer to a request for a permit to send to an upstream with a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum PermitReply {
     /// The permit is granted; the request may be sent after this time.
     After(Duration),
     /// No permit is granted; none will be available before this time.
@@ -30,10 +30,14 @@
     fn note(&self, id: PlacementId, event: Event);
 
     /// Reports the limit that an upstream stated to the keepers, and to the placement at this host.
-    fn note_limit(&self, observed: &ObservedLimit);
+    fn record_limit(&self, observed: &LimitObservation);
 
     /// Requests a permit for an upstream with a rate limit; `timeout` bounds the wait for it.
-    fn take_turn<'a>(&'a self, limit: &'a ObservedLimit, timeout: Duration) -> BoxFuture<'a, Turn>;
+    fn request_permit<'a>(
+        &'a self,
+        limit: &'a LimitObservation,
+        timeout: Duration,
+    ) -> BoxFuture<'a, PermitReply>;
 
     /// Allocates the id of the next placement.
     fn next_id(&self) -> PlacementId;
--- a/clayplank-forward/tests/components.rs
+++ b/clayplank-forward/tests/components.rs
@@ -36,7 +36,7 @@
     let mut budget = RetryBudget::new(limits);
     budget.set_hosts(4);
     for now_ms in 0..50 {
-        budget.note_first_try(now_ms, "app");
+        budget.record_first_attempt(now_ms, "app");
     }
     let taken = (0..100).filter(|_| budget.take_retry(50, "app")).count();
     assert_eq!(taken, 12, "four fifths of a quarter of 20, and of a fifth of 50");
--- a/clayplank-forward/tests/cordons.rs
+++ b/clayplank-forward/tests/cordons.rs
@@ -40,7 +40,7 @@
 fn choose(directory: &Directory) -> Option<UpstreamId> {
     match directory.choose("app", &DataCentre::new("a"), &[])? {
         Choice::Counted(record) => Some(record.heartbeat.id),
-        Choice::NeedsTurn(record) => panic!("{} has no rate limit", record.heartbeat.id),
+        Choice::NeedsPermit(record) => panic!("{} has no rate limit", record.heartbeat.id),
     }
 }
 
--- a/clayplank-forward/tests/entry/broken_stream.rs
+++ b/clayplank-forward/tests/entry/broken_stream.rs
@@ -5,9 +5,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clayplank_forward::{BoxFuture, Directory, EntryBuilder, Placer, Turn};
+use clayplank_forward::{BoxFuture, Directory, EntryBuilder, PermitReply, Placer};
 use clayplank_placement::{Ask, Assignment, EngineModel, Event, Part, Placed, PlacementId};
-use clayplank_registry::{Heartbeat, ObservedLimit, Record};
+use clayplank_registry::{Heartbeat, LimitObservation, Record};
 use clayplank_routes::{RequestKind, Route, ServiceGroup};
 use clayplank_types::{DataCentre, UpstreamId};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -50,10 +50,14 @@
 
     fn note(&self, _: PlacementId, _: Event) {}
 
-    fn note_limit(&self, _: &ObservedLimit) {}
+    fn record_limit(&self, _: &LimitObservation) {}
 
-    fn take_turn<'a>(&'a self, _: &'a ObservedLimit, _: Duration) -> BoxFuture<'a, Turn> {
-        Box::pin(std::future::ready(Turn::Unknown))
+    fn request_permit<'a>(
+        &'a self,
+        _: &'a LimitObservation,
+        _: Duration,
+    ) -> BoxFuture<'a, PermitReply> {
+        Box::pin(std::future::ready(PermitReply::Unknown))
     }
 
     fn next_id(&self) -> PlacementId {
--- a/clayplank-forward/tests/entry/harness.rs
+++ b/clayplank-forward/tests/entry/harness.rs
@@ -6,11 +6,11 @@
 
 use bytes::Bytes;
 use clayplank_forward::{
-    BoxFuture, Directory, Entry, EntryBuilder, Gate, OrderFormat, Placer, Turn, now_ms,
+    BoxFuture, Directory, Entry, EntryBuilder, Gate, OrderFormat, PermitReply, Placer, now_ms,
     serve_callers,
 };
 use clayplank_placement::{Ask, Event, Placed, PlacementId};
-use clayplank_registry::{Heartbeat, ObservedLimit, Record};
+use clayplank_registry::{Heartbeat, LimitObservation, Record};
 use clayplank_routes::{
     CallerLimits, PlanIndex, RequestKind, Route, ServiceGroup, ServingPlan, Target,
 };
@@ -33,10 +33,14 @@
 
     fn note(&self, _: PlacementId, _: Event) {}
 
-    fn note_limit(&self, _: &ObservedLimit) {}
+    fn record_limit(&self, _: &LimitObservation) {}
 
-    fn take_turn<'a>(&'a self, _: &'a ObservedLimit, _: Duration) -> BoxFuture<'a, Turn> {
-        Box::pin(std::future::ready(Turn::Unknown))
+    fn request_permit<'a>(
+        &'a self,
+        _: &'a LimitObservation,
+        _: Duration,
+    ) -> BoxFuture<'a, PermitReply> {
+        Box::pin(std::future::ready(PermitReply::Unknown))
     }
 
     fn next_id(&self) -> PlacementId {
--- a/clayplank-forward/tests/entry/rate_limits.rs
+++ b/clayplank-forward/tests/entry/rate_limits.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clayplank_forward::{BoxFuture, Directory, EntryBuilder, Placer, Turn, now_ms};
+use clayplank_forward::{BoxFuture, Directory, EntryBuilder, PermitReply, Placer, now_ms};
 use clayplank_placement::{Ask, Event, Placed, PlacementId};
-use clayplank_registry::{Heartbeat, ObservedLimit, Record};
+use clayplank_registry::{Heartbeat, LimitObservation, Record};
 use clayplank_routes::{RequestKind, Route};
 use clayplank_types::{DataCentre, UpstreamId};
 use tokio::io::AsyncWriteExt;
@@ -102,13 +102,17 @@
 
     fn note(&self, _: PlacementId, _: Event) {}
 
-    fn note_limit(&self, _: &ObservedLimit) {}
+    fn record_limit(&self, _: &LimitObservation) {}
 
-    fn take_turn<'a>(&'a self, _: &'a ObservedLimit, timeout: Duration) -> BoxFuture<'a, Turn> {
+    fn request_permit<'a>(
+        &'a self,
+        _: &'a LimitObservation,
+        timeout: Duration,
+    ) -> BoxFuture<'a, PermitReply> {
         let turn = if timeout.is_zero() {
-            Turn::NotBefore(Duration::from_millis(50))
+            PermitReply::NotBefore(Duration::from_millis(50))
         } else {
-            Turn::After(self.delays.lock().unwrap().remove(0))
+            PermitReply::After(self.delays.lock().unwrap().remove(0))
         };
         Box::pin(std::future::ready(turn))
     }
@@ -143,7 +147,7 @@
     let directory = Arc::new(Directory::default());
     directory.apply(vec![first, second]);
     for name in ["a", "b"] {
-        directory.note_limit(&ObservedLimit {
+        directory.record_limit(&LimitObservation {
             upstream: UpstreamId::new(name),
             requests_per_s: Some(1.0),
             at_ms: now_ms(),
--- a/clayplank-placement/src/fleet.rs
+++ b/clayplank-placement/src/fleet.rs
@@ -118,7 +118,7 @@
                 let is_cordoned = self.cordoned.contains(&spec.data_centre);
                 let mut engine = Engine::new(spec, is_open);
                 engine.is_cordoned = is_cordoned;
-                engine.rate_limit.set_named_limit(self.limits_per_s.get(&id).copied());
+                engine.rate_limit.set_declared_limit(self.limits_per_s.get(&id).copied());
                 self.engines.insert(id, engine);
             }
         }
@@ -161,13 +161,13 @@
 
     /// Sets the limit that an engine declares over all hosts, in requests per second; `None`
     /// removes it. The limit is kept for an engine that is added later.
-    pub fn set_named_limit(&mut self, id: &UpstreamId, requests_per_s: Option<f64>) {
+    pub fn set_declared_limit(&mut self, id: &UpstreamId, requests_per_s: Option<f64>) {
         match requests_per_s {
             Some(per_s) => self.limits_per_s.insert(id.clone(), per_s),
             None => self.limits_per_s.remove(id),
         };
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.rate_limit.set_named_limit(requests_per_s);
+            engine.rate_limit.set_declared_limit(requests_per_s);
         }
     }
 
--- a/clayplank-placement/src/rate_limit.rs
+++ b/clayplank-placement/src/rate_limit.rs
@@ -106,7 +106,7 @@
     }
 
     /// Sets the limit that it declares over all hosts, in requests per second; `None` for no limit.
-    pub fn set_named_limit(&mut self, requests_per_s: Option<f64>) {
+    pub fn set_declared_limit(&mut self, requests_per_s: Option<f64>) {
         self.declared_per_s = requests_per_s;
     }
 
@@ -131,14 +131,14 @@
     }
 
     /// Whether a standalone host may send a request now.
-    pub fn may_send_alone(&self, now_ms: f64, id: &UpstreamId, share: &HostShare) -> bool {
+    pub fn may_send_without_permit(&self, now_ms: f64, id: &UpstreamId, share: &HostShare) -> bool {
         let second = second_of(now_ms);
         let sent = if self.second == second { self.sent } else { 0 };
         self.per_s(now_ms).is_none_or(|per_s| sent < share.allowed(id, second, per_s))
     }
 
     /// Counts a request of a standalone host.
-    pub fn note_sent_alone(&mut self, now_ms: f64) {
+    pub fn record_sent_without_permit(&mut self, now_ms: f64) {
         let second = second_of(now_ms);
         if self.second != second {
             self.second = second;
@@ -170,7 +170,7 @@
     /// # Errors
     ///
     /// The time until the next permit, in ms, if it is longer than that.
-    pub fn take_turn(&mut self, now_ms: f64, max_wait_ms: f64) -> Result<f64, f64> {
+    pub fn acquire_permit(&mut self, now_ms: f64, max_wait_ms: f64) -> Result<f64, f64> {
         let wait_ms = self.declared_wait_ms(now_ms);
         if wait_ms > max_wait_ms {
             return Err(wait_ms);
@@ -197,7 +197,7 @@
     pub(crate) fn wait_ms(&self, now_ms: f64, id: &UpstreamId, sender: &Sender) -> f64 {
         match sender {
             Sender::Keeper => self.cold_wait_ms(now_ms).max(self.declared_wait_ms(now_ms)),
-            Sender::Host(share) if self.may_send_alone(now_ms, id, share) => 0.0,
+            Sender::Host(share) if self.may_send_without_permit(now_ms, id, share) => 0.0,
             Sender::Host(_) => SECOND_MS - now_ms % SECOND_MS,
         }
     }
@@ -212,7 +212,7 @@
     pub(crate) fn note_part(&mut self, now_ms: f64, sender: &Sender) {
         self.last_work_ms = Some(now_ms);
         if matches!(sender, Sender::Host(_)) {
-            self.note_sent_alone(now_ms);
+            self.record_sent_without_permit(now_ms);
         }
     }
 }
--- a/clayplank-placement/tests/limits.rs
+++ b/clayplank-placement/tests/limits.rs
@@ -74,7 +74,7 @@
     let requested_per_s = 2.0 * limit_per_s * engines as f64;
     let fleet = |fleet: Fleet| {
         let mut fleet = with_engines(fleet, engines);
-        (0..engines).for_each(|number| fleet.set_named_limit(&id(number), Some(limit_per_s)));
+        (0..engines).for_each(|number| fleet.set_declared_limit(&id(number), Some(limit_per_s)));
         fleet
     };
     let mut leaders = [fleet(Fleet::default()), fleet(Fleet::default())];
@@ -116,13 +116,13 @@
 #[test]
 fn a_prompt_waits_for_a_permit_while_it_can_be_in_time() {
     let mut fleet = with_engines(Fleet::default(), 1);
-    fleet.set_named_limit(&id(0), Some(10.0));
+    fleet.set_declared_limit(&id(0), Some(10.0));
     assert!(matches!(fleet.place(0.0, &request(1, 1)), Placed::At(_)));
     let Placed::Soon { again_in_ms } = fleet.place(1.0, &request(1, 2)) else {
         panic!("a permit is due within the goal");
     };
     assert!(matches!(fleet.place(1.0 + again_in_ms as f64, &request(1, 2)), Placed::At(_)));
-    fleet.set_named_limit(&id(0), Some(1.0));
+    fleet.set_declared_limit(&id(0), Some(1.0));
     let placed = fleet.place(300.0, &request(1, 3));
     let Placed::Full { retry_after_ms } = placed else { panic!("{placed:?}") };
     assert!(retry_after_ms > 500, "no permit is due before");
@@ -131,12 +131,12 @@
 #[test]
 fn a_limit_that_is_lifted_or_raised_ends_the_wait() {
     let mut fleet = with_engines(Fleet::default(), 1);
-    fleet.set_named_limit(&id(0), Some(0.5));
+    fleet.set_declared_limit(&id(0), Some(0.5));
     assert!(matches!(fleet.place(0.0, &request(1, 1)), Placed::At(_)));
     assert!(matches!(fleet.place(100.0, &request(1, 2)), Placed::Full { .. }));
-    fleet.set_named_limit(&id(0), Some(20.0));
+    fleet.set_declared_limit(&id(0), Some(20.0));
     assert!(matches!(fleet.place(200.0, &request(1, 3)), Placed::At(_)));
-    fleet.set_named_limit(&id(0), None);
+    fleet.set_declared_limit(&id(0), None);
     assert!(matches!(fleet.place(201.0, &request(1, 4)), Placed::At(_)));
 }
 
@@ -144,7 +144,7 @@
 #[test]
 fn an_engine_with_limit_zero_is_tried_now_and_then() {
     let mut fleet = with_engines(Fleet::default(), 1);
-    fleet.set_named_limit(&id(0), Some(0.0));
+    fleet.set_declared_limit(&id(0), Some(0.0));
     let placed = (0..600).filter(|number| {
         let request = request(1, *number);
         let is_placed = matches!(fleet.place(*number as f64 * 100.0, &request), Placed::At(_));
@@ -158,7 +158,7 @@
 #[test]
 fn a_limit_applies_to_an_engine_that_is_added_later() {
     let mut fleet = Fleet::default();
-    fleet.set_named_limit(&id(0), Some(0.5));
+    fleet.set_declared_limit(&id(0), Some(0.5));
     let mut fleet = with_engines(fleet, 1);
     assert!(matches!(fleet.place(0.0, &request(1, 1)), Placed::At(_)));
     assert!(matches!(fleet.place(100.0, &request(1, 2)), Placed::Full { .. }));
@@ -169,7 +169,7 @@
 #[test]
 fn an_engine_without_a_permit_prefills_parts_and_reserves_no_memory() {
     let mut fleet = with_engines(Fleet::default(), 2);
-    fleet.set_named_limit(&id(0), Some(0.5));
+    fleet.set_declared_limit(&id(0), Some(0.5));
     let long = |number: u64, prompt_tokens: u64| {
         let mut request = request(1, number);
         (request.prompt_tokens, request.goal_ms, request.limit_ms) =
--- a/clayplank-registry/src/lib.rs
+++ b/clayplank-registry/src/lib.rs
@@ -29,5 +29,5 @@
 
 pub use digest::{Buckets, Digest};
 pub use heartbeat::{Heartbeat, Standing, life_ids};
-pub use limits::{AgedLimit, LimitChanges, Limits, Noted, ObservedLimit};
+pub use limits::{AgedLimit, LimitChanges, LimitObservation, LimitUpdateResult, Limits};
 pub use registry::{Changes, Cursor, Record, Registry};
--- a/clayplank-registry/src/limits.rs
+++ b/clayplank-registry/src/limits.rs
@@ -18,7 +18,7 @@
 
 /// An observation of an upstream's rate limit, with a timestamp of the local clock.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ObservedLimit {
+pub struct LimitObservation {
     /// The upstream that reported the limit.
     pub upstream: UpstreamId,
     /// Requests per second that it accepts from all hosts together; `None` if it has no limit.
@@ -39,7 +39,7 @@
     pub age_ms: u64,
 }
 
-impl ObservedLimit {
+impl LimitObservation {
     /// Converts the timestamp to an age, to send the observation to another host.
     pub fn to_aged(&self, now_ms: u64) -> AgedLimit {
         AgedLimit {
@@ -52,8 +52,8 @@
 
 impl AgedLimit {
     /// Converts the age to a timestamp of the local clock.
-    pub fn into_observed(self, now_ms: u64) -> ObservedLimit {
-        ObservedLimit {
+    pub fn into_observation(self, now_ms: u64) -> LimitObservation {
+        LimitObservation {
             upstream: self.upstream,
             requests_per_s: self.requests_per_s,
             at_ms: now_ms.saturating_sub(self.age_ms),
@@ -63,14 +63,14 @@
 
 /// Effect of applying an observation.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Noted {
+pub enum LimitUpdateResult {
     /// The limit changed.
     Changed,
     /// The limit stays as it was.
     Unchanged,
     /// A later observation with another limit is known; the sender of the outdated one should
     /// receive it.
-    Outdated(ObservedLimit),
+    Outdated(LimitObservation),
 }
 
 /// Changes of limits after a cursor.
@@ -90,9 +90,9 @@
 }
 
 impl Entry {
-    fn to_observed(self, upstream: &UpstreamId) -> ObservedLimit {
+    fn to_observed(self, upstream: &UpstreamId) -> LimitObservation {
         let Self { requests_per_s, at_ms, .. } = self;
-        ObservedLimit { upstream: upstream.clone(), requests_per_s, at_ms }
+        LimitObservation { upstream: upstream.clone(), requests_per_s, at_ms }
     }
 }
 
@@ -112,37 +112,37 @@
 
     /// Applies an observation of another host. Unlike for [`Limits::note`], that an upstream has no
     /// limit is stored even if no limit is known here, since other hosts may still know one.
-    pub fn learn(&mut self, observed: &ObservedLimit) -> Noted {
-        let ObservedLimit { upstream, requests_per_s, at_ms } = observed;
+    pub fn apply_remote(&mut self, observed: &LimitObservation) -> LimitUpdateResult {
+        let LimitObservation { upstream, requests_per_s, at_ms } = observed;
         if requests_per_s.is_none() && !self.entries.contains_key(upstream) {
             self.put(upstream, None, *at_ms);
-            return Noted::Unchanged;
+            return LimitUpdateResult::Unchanged;
         }
-        self.note(observed)
+        self.apply_local(observed)
     }
 
     /// Applies an observation of the local host.
-    pub fn note(&mut self, observed: &ObservedLimit) -> Noted {
-        let ObservedLimit { upstream, requests_per_s, at_ms } = observed;
+    pub fn apply_local(&mut self, observed: &LimitObservation) -> LimitUpdateResult {
+        let LimitObservation { upstream, requests_per_s, at_ms } = observed;
         let (requests_per_s, at_ms) = (*requests_per_s, *at_ms);
         let known = self.entries.get(upstream).copied();
         match known {
-            None if requests_per_s.is_none() => return Noted::Unchanged,
+            None if requests_per_s.is_none() => return LimitUpdateResult::Unchanged,
             Some(known) if known.requests_per_s == requests_per_s => {
                 let entry = Entry { at_ms: known.at_ms.max(at_ms), ..known };
                 self.entries.insert(upstream.clone(), entry);
-                return Noted::Unchanged;
+                return LimitUpdateResult::Unchanged;
             }
             Some(known) if known.at_ms > at_ms => {
                 // Followers may have received the same outdated limit: a new change number sends
                 // them the current one again.
                 self.put(upstream, known.requests_per_s, known.at_ms);
-                return Noted::Outdated(known.to_observed(upstream));
+                return LimitUpdateResult::Outdated(known.to_observed(upstream));
             }
             None | Some(_) => {}
         }
         self.put(upstream, requests_per_s, at_ms);
-        Noted::Changed
+        LimitUpdateResult::Changed
     }
 
     fn put(&mut self, upstream: &UpstreamId, requests_per_s: Option<f64>, at_ms: u64) {
@@ -157,18 +157,18 @@
     }
 
     /// The latest observation for an upstream, if it has a limit.
-    pub fn observed_of(&self, upstream: &UpstreamId) -> Option<ObservedLimit> {
+    pub fn observation_of(&self, upstream: &UpstreamId) -> Option<LimitObservation> {
         let entry = self.entries.get(upstream).filter(|entry| entry.requests_per_s.is_some())?;
         Some(entry.to_observed(upstream))
     }
 
     /// The upstreams that have a limit, with that limit in requests per second.
-    pub fn limited(&self) -> impl Iterator<Item = (&UpstreamId, f64)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&UpstreamId, f64)> {
         self.entries.iter().filter_map(|(id, entry)| Some((id, entry.requests_per_s?)))
     }
 
     /// The latest observations for all upstreams that have a limit.
-    pub fn observed(&self) -> impl Iterator<Item = ObservedLimit> {
+    pub fn observations(&self) -> impl Iterator<Item = LimitObservation> {
         let in_force = self.entries.iter().filter(|(_, entry)| entry.requests_per_s.is_some());
         in_force.map(|(id, entry)| entry.to_observed(id))
     }
@@ -184,7 +184,7 @@
 
     /// Drops upstreams that are no longer known, and observations without a limit after their
     /// retention period.
-    pub fn forget(&mut self, now_ms: u64, is_known: impl Fn(&UpstreamId) -> bool) {
+    pub fn expire(&mut self, now_ms: u64, is_known: impl Fn(&UpstreamId) -> bool) {
         self.entries.retain(|id, entry| {
             let is_in_force = entry.requests_per_s.is_some();
             is_known(id) && (is_in_force || now_ms < entry.at_ms + LIFTED_RETENTION_MS)
--- a/clayplank-registry/tests/limits_agree.rs
+++ b/clayplank-registry/tests/limits_agree.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use clayplank_registry::{Cursor, Limits, Noted, ObservedLimit};
+use clayplank_registry::{Cursor, LimitObservation, LimitUpdateResult, Limits};
 use clayplank_types::UpstreamId;
 use proptest::prelude::*;
 
@@ -48,7 +48,7 @@
 /// A host with its limits, its observation to report, and its cursor for each keeper.
 struct Host {
     limits: Limits,
-    pending_report: Option<ObservedLimit>,
+    pending_report: Option<LimitObservation>,
     cursors: [Cursor; KEEPERS],
 }
 
@@ -99,12 +99,12 @@
     fn answer(&mut self, host: usize, sent_ago_ms: u64) {
         let at_ms =
             if self.named_limit.is_some() { self.now_ms } else { self.now_ms - sent_ago_ms };
-        let observed = ObservedLimit { upstream: id(), requests_per_s: self.named_limit, at_ms };
+        let observed = LimitObservation { upstream: id(), requests_per_s: self.named_limit, at_ms };
         let host = &mut self.hosts[host];
-        let is_reported = match host.limits.note(&observed) {
-            Noted::Changed => true,
-            Noted::Unchanged => observed.requests_per_s.is_some(),
-            Noted::Outdated(_) => false,
+        let is_reported = match host.limits.apply_local(&observed) {
+            LimitUpdateResult::Changed => true,
+            LimitUpdateResult::Unchanged => observed.requests_per_s.is_some(),
+            LimitUpdateResult::Outdated(_) => false,
         };
         if is_reported {
             host.pending_report = Some(observed);
@@ -114,14 +114,14 @@
     /// The host reports its pending observation; it stays pending if the call is lost.
     fn report(&mut self, host: usize, is_lost: bool) {
         if !is_lost && let Some(observed) = self.hosts[host].pending_report.take() {
-            self.keepers[self.leader].learn(&observed);
+            self.keepers[self.leader].apply_remote(&observed);
         }
     }
 
     fn spread(&mut self, keeper: usize) {
         let all = self.keepers[self.leader].changes_after(self.now_ms, Cursor::default());
         for limit in all.limits {
-            self.keepers[keeper].learn(&limit.into_observed(self.now_ms));
+            self.keepers[keeper].apply_remote(&limit.into_observation(self.now_ms));
         }
     }
 
@@ -129,7 +129,9 @@
         let host = &mut self.hosts[host];
         let changes = self.keepers[keeper].changes_after(self.now_ms, host.cursors[keeper]);
         for limit in changes.limits {
-            if let Noted::Outdated(current) = host.limits.learn(&limit.into_observed(self.now_ms)) {
+            if let LimitUpdateResult::Outdated(current) =
+                host.limits.apply_remote(&limit.into_observation(self.now_ms))
+            {
                 host.pending_report = Some(current);
             }
         }
--- a/clayplank-schedule/src/lib.rs
+++ b/clayplank-schedule/src/lib.rs
@@ -37,7 +37,7 @@
 pub use admission::Forecast;
 pub use engine::{EngineReport, EngineSpec};
 pub use grants::HeldGrant;
-pub use limits::{RateLimit, RetryBudget};
+pub use limits::{RequestRateLimit, RetryBudget};
 pub use policy::{Discipline, Lane, Mechanisms, Policy, PolicyBuilder};
 pub use pools::{PoolLoad, choose_pool};
 pub use reservation::{Ask, Decision, Grant, GrantId, GrantPart, Holder, Usage};
--- a/clayplank-schedule/src/limits.rs
+++ b/clayplank-schedule/src/limits.rs
@@ -9,13 +9,13 @@
 
 /// Token bucket that limits requests per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RateLimit {
+pub struct RequestRateLimit {
     /// Available credit, in thousandths of a request.
     credit_milli: u64,
     last_refill_ms: u64,
 }
 
-impl RateLimit {
+impl RequestRateLimit {
     /// Creates a full bucket.
     pub fn new(requests_per_s: u64, now_ms: u64) -> Self {
         Self { credit_milli: requests_per_s * BURST_S * MILLIS_PER_REQUEST, last_refill_ms: now_ms }
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     /// If there is too little credit: the time in ms until there is enough.
-    pub fn pass(&mut self, requests_per_s: u64, now_ms: u64) -> Result<(), u64> {
+    pub fn try_acquire(&mut self, requests_per_s: u64, now_ms: u64) -> Result<(), u64> {
         let elapsed_ms = now_ms.saturating_sub(self.last_refill_ms);
         let full_milli = requests_per_s * BURST_S * MILLIS_PER_REQUEST;
         self.credit_milli = (self.credit_milli + elapsed_ms * requests_per_s).min(full_milli);
@@ -59,12 +59,12 @@
     }
 
     /// Adds `retry_percent` hundredths of a retry to the budget, for a first attempt.
-    pub fn earn(&mut self, retry_percent: u64) {
+    pub fn deposit(&mut self, retry_percent: u64) {
         self.credit_percent = (self.credit_percent + retry_percent).min(MAX_SAVED_RETRIES * 100);
     }
 
     /// Takes one retry from the budget; returns `false` if less than one is left.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let enough = self.credit_percent >= 100;
         if enough {
             self.credit_percent -= 100;
--- a/clayplank-schedule/tests/decisions.rs
+++ b/clayplank-schedule/tests/decisions.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use clayplank_schedule::{
-    Ask, Decision, EngineReport, EngineSpec, Grant, Holder, Policy, RateLimit, RetryBudget,
+    Ask, Decision, EngineReport, EngineSpec, Grant, Holder, Policy, RequestRateLimit, RetryBudget,
     Scheduler, Usage,
 };
 use clayplank_types::{
@@ -271,24 +271,24 @@
 
 #[test]
 fn rate_limit_reports_the_time_until_the_next_request_is_allowed() {
-    let mut limit = RateLimit::new(2, 0);
+    let mut limit = RequestRateLimit::new(2, 0);
     assert_eq!(
-        (0..4).filter(|_| limit.pass(2, 0).is_ok()).count(),
+        (0..4).filter(|_| limit.try_acquire(2, 0).is_ok()).count(),
         4,
         "a burst of two seconds of the rate is allowed"
     );
-    assert_eq!(limit.pass(2, 0), Err(500));
-    assert_eq!(limit.pass(2, 499), Err(1));
-    assert_eq!(limit.pass(2, 500), Ok(()));
+    assert_eq!(limit.try_acquire(2, 0), Err(500));
+    assert_eq!(limit.try_acquire(2, 499), Err(1));
+    assert_eq!(limit.try_acquire(2, 500), Ok(()));
 }
 
 #[test]
 fn retries_are_limited_to_a_share_of_first_attempts() {
     let mut budget = RetryBudget::new();
-    assert!(budget.spend());
-    assert!(!budget.spend());
-    (0..9).for_each(|_| budget.earn(10));
-    assert!(!budget.spend());
-    budget.earn(10);
-    assert!(budget.spend());
+    assert!(budget.try_withdraw());
+    assert!(!budget.try_withdraw());
+    (0..9).for_each(|_| budget.deposit(10));
+    assert!(!budget.try_withdraw());
+    budget.deposit(10);
+    assert!(budget.try_withdraw());
 }
--- a/clayplankd/src/doors/account_limits.rs
+++ b/clayplankd/src/doors/account_limits.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use clayplank_schedule::{RateLimit, RetryBudget};
+use clayplank_schedule::{RequestRateLimit, RetryBudget};
 use clayplank_settings::ClientAccount;
 use clayplank_types::{AccountId, Refusal, RefusalReason};
 
@@ -15,7 +15,7 @@
 /// Limits of one account, and their current use.
 #[derive(Debug)]
 struct Limits {
-    rate: RateLimit,
+    rate: RequestRateLimit,
     retries: RetryBudget,
     in_progress: u64,
 }
@@ -43,17 +43,17 @@
         let now_ms = now_ms();
         let mut accounts = self.accounts.lock().unwrap_or_else(PoisonError::into_inner);
         let limits = accounts.entry(id.clone()).or_insert_with(|| Limits {
-            rate: RateLimit::new(account.requests_per_s, now_ms),
+            rate: RequestRateLimit::new(account.requests_per_s, now_ms),
             retries: RetryBudget::new(),
             in_progress: 0,
         });
         if limits.in_progress >= account.max_in_progress {
             return Err(Refusal::new(RefusalReason::QueueFull, IN_PROGRESS_RETRY_MS));
         }
-        let rate_check = limits.rate.pass(account.requests_per_s, now_ms);
+        let rate_check = limits.rate.try_acquire(account.requests_per_s, now_ms);
         rate_check.map_err(|retry_ms| Refusal::new(RefusalReason::RateLimit, retry_ms))?;
         limits.in_progress += 1;
-        limits.retries.earn(account.retry_percent);
+        limits.retries.deposit(account.retry_percent);
         Ok(AccountPermit { accounts: self.clone(), id: id.clone() })
     }
 }
@@ -62,7 +62,7 @@
     /// Takes one retry from the account's retry budget; false if the budget is used up.
     pub(crate) fn spend_retry(&self) -> bool {
         let mut accounts = self.accounts.accounts.lock().unwrap_or_else(PoisonError::into_inner);
-        accounts.get_mut(&self.id).is_some_and(|limits| limits.retries.spend())
+        accounts.get_mut(&self.id).is_some_and(|limits| limits.retries.try_withdraw())
     }
 }
 
--- a/clayplankd/src/fleet/fleet_keeper.rs
+++ b/clayplankd/src/fleet/fleet_keeper.rs
@@ -11,8 +11,8 @@
 use arc_swap::ArcSwapOption;
 use clayplank_placement::{Ask, Event, Fleet, Outlook, Placed, PlacementId, RateLimit, Renewed};
 use clayplank_registry::{
-    AgedLimit, Buckets, Changes, Cursor, Digest, Heartbeat, LimitChanges, Limits, Noted,
-    ObservedLimit, Registry, Standing,
+    AgedLimit, Buckets, Changes, Cursor, Digest, Heartbeat, LimitChanges, LimitObservation,
+    LimitUpdateResult, Limits, Registry, Standing,
 };
 use clayplank_routes::PlanIndex;
 use clayplank_state::{Delta, PackError, PlanDocument, pack};
@@ -315,13 +315,14 @@
     }
 
     /// Records the limits that upstreams named. Returns them with timestamps of the local clock.
-    pub(crate) fn note_limits(&self, limits: Vec<AgedLimit>) -> Vec<ObservedLimit> {
+    pub(crate) fn note_limits(&self, limits: Vec<AgedLimit>) -> Vec<LimitObservation> {
         let now_ms = now_ms();
-        let named: Vec<_> = limits.into_iter().map(|limit| limit.into_observed(now_ms)).collect();
+        let named: Vec<_> =
+            limits.into_iter().map(|limit| limit.into_observation(now_ms)).collect();
         for observed in &named {
-            if lock(&self.limits).learn(observed) == Noted::Changed {
+            if lock(&self.limits).apply_remote(observed) == LimitUpdateResult::Changed {
                 log_limit(observed);
-                lock(&self.fleet).set_named_limit(&observed.upstream, observed.requests_per_s);
+                lock(&self.fleet).set_declared_limit(&observed.upstream, observed.requests_per_s);
             }
         }
         named
@@ -336,8 +337,8 @@
     fn restore_named_limits(&self) {
         let limits = lock(&self.limits);
         let mut fleet = lock(&self.fleet);
-        for (id, per_s) in limits.limited() {
-            fleet.set_named_limit(id, Some(per_s));
+        for (id, per_s) in limits.iter() {
+            fleet.set_declared_limit(id, Some(per_s));
         }
     }
 
@@ -353,8 +354,8 @@
         let limit_per_s = lock(&self.limits).limit_per_s(&id);
         let mut permits = lock(&self.permits);
         let permit = permits.entry(id).or_default();
-        permit.set_named_limit(limit_per_s);
-        let taken = permit.take_turn(fleet_now_ms(), max_wait_ms as f64);
+        permit.set_declared_limit(limit_per_s);
+        let taken = permit.acquire_permit(fleet_now_ms(), max_wait_ms as f64);
         taken.map(|wait_ms| wait_ms.ceil() as u64).map_err(|wait_ms| wait_ms.ceil() as u64)
     }
 
@@ -362,7 +363,7 @@
     fn remove_unknown_limits(&self) {
         let registry = lock(&self.registry);
         let is_known = |id: &UpstreamId| registry.record(id).is_some();
-        lock(&self.limits).forget(now_ms(), is_known);
+        lock(&self.limits).expire(now_ms(), is_known);
         lock(&self.permits).retain(|id, _| is_known(id));
     }
 
@@ -534,7 +535,7 @@
     pub(crate) fn to_text(&self) -> String {
         let upstreams = lock(&self.registry).records().count();
         let placed = lock(&self.fleet).placed_count();
-        let limited = lock(&self.limits).limited().count();
+        let limited = lock(&self.limits).iter().count();
         format!(
             "clayplank_keeper_upstreams {upstreams}\nclayplank_keeper_limited_upstreams {limited}\n\
              clayplank_keeper_placements {placed}\nclayplank_keeper_entry_hosts {}\n",
@@ -561,7 +562,7 @@
         "An upstream's standing changed");
 }
 
-fn log_limit(observed: &ObservedLimit) {
+fn log_limit(observed: &LimitObservation) {
     log::info!(target: part::KEEPER,
         upstream = observed.upstream.as_str(), limit_per_s = observed.requests_per_s;
         "An upstream's limit changed");
--- a/clayplankd/src/fleet/fleet_link.rs
+++ b/clayplankd/src/fleet/fleet_link.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clayplank_forward::{BoxFuture, Placer, Turn};
+use clayplank_forward::{BoxFuture, PermitReply, Placer};
 use clayplank_placement::{Ask, Event, Fleet, Placed, PlacementId, Renewed};
-use clayplank_registry::{ObservedLimit, Record};
+use clayplank_registry::{LimitObservation, Record};
 use clayplank_routes::PlanIndex;
 use clayplank_state::{decode, encode};
 use clayplank_types::{DataCentre, HostId};
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) struct Reports {
     pub(crate) events: mpsc::UnboundedReceiver<(PlacementId, Event)>,
-    pub(crate) limits: mpsc::UnboundedReceiver<ObservedLimit>,
+    pub(crate) limits: mpsc::UnboundedReceiver<LimitObservation>,
 }
 
 /// Link of an entry host to the keepers that place its prompts, shared by all its requests.
@@ -56,7 +56,7 @@
     /// Placements of this host that are still running.
     active: Mutex<HashMap<PlacementId, Renewed>>,
     events: mpsc::UnboundedSender<(PlacementId, Event)>,
-    limits: mpsc::UnboundedSender<ObservedLimit>,
+    limits: mpsc::UnboundedSender<LimitObservation>,
     leader_unresponsive_until_ms: AtomicU64,
     deputy_unresponsive_until_ms: AtomicU64,
     unreachable: Mutex<Unreachable>,
@@ -128,7 +128,7 @@
     /// `None` if it does not answer.
     async fn request_permit(
         &self,
-        limit: &ObservedLimit,
+        limit: &LimitObservation,
         max_wait: Duration,
     ) -> Option<TakeTurnReply> {
         let request = TakeTurnRequest {
@@ -208,12 +208,12 @@
     }
 
     /// Applies the rate limit that an engine named, or its lifting, to local placement.
-    pub(crate) fn set_named_limit(&self, observed: &ObservedLimit) {
-        lock(&self.local_fleet).set_named_limit(&observed.upstream, observed.requests_per_s);
+    pub(crate) fn set_declared_limit(&self, observed: &LimitObservation) {
+        lock(&self.local_fleet).set_declared_limit(&observed.upstream, observed.requests_per_s);
     }
 
     /// Queues a limit for the report to the keeper that places prompts.
-    pub(crate) fn tell_limit(&self, observed: ObservedLimit) {
+    pub(crate) fn tell_limit(&self, observed: LimitObservation) {
         self.limits.send(observed).ok();
     }
 
@@ -270,21 +270,21 @@
         self.events.send((id, event)).ok();
     }
 
-    fn note_limit(&self, observed: &ObservedLimit) {
-        self.set_named_limit(observed);
+    fn record_limit(&self, observed: &LimitObservation) {
+        self.set_declared_limit(observed);
         self.tell_limit(observed.clone());
     }
 
-    fn take_turn<'a>(
+    fn request_permit<'a>(
         &'a self,
-        limit: &'a ObservedLimit,
+        limit: &'a LimitObservation,
         max_wait: Duration,
-    ) -> BoxFuture<'a, Turn> {
+    ) -> BoxFuture<'a, PermitReply> {
         Box::pin(async move {
             match self.request_permit(limit, max_wait).await {
-                Some(reply) if reply.is_taken => Turn::After(millis(reply.wait_ms)),
-                Some(reply) => Turn::NotBefore(millis(reply.wait_ms)),
-                None => Turn::Unknown,
+                Some(reply) if reply.is_taken => PermitReply::After(millis(reply.wait_ms)),
+                Some(reply) => PermitReply::NotBefore(millis(reply.wait_ms)),
+                None => PermitReply::Unknown,
             }
         })
     }
--- a/clayplankd/src/fleet/limit_reports.rs
+++ b/clayplankd/src/fleet/limit_reports.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clayplank_placement::{Event, PlacementId};
-use clayplank_registry::{AgedLimit, ObservedLimit};
+use clayplank_registry::{AgedLimit, LimitObservation};
 use clayplank_state::encode;
 use clayplank_types::UpstreamId;
 use clayplank_wire::ReportRequest;
@@ -25,13 +25,13 @@
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Newest limit of each upstream that no keeper has accepted yet.
-type PendingLimits = BTreeMap<UpstreamId, ObservedLimit>;
+type PendingLimits = BTreeMap<UpstreamId, LimitObservation>;
 
 /// Reports limits, and repeats them until a keeper accepts them: a single answer of the upstream
 /// may be the only one that shows that a limit was lifted.
 pub(crate) async fn run_limit_reports(
     link: Arc<FleetLink>,
-    mut observed: mpsc::UnboundedReceiver<ObservedLimit>,
+    mut observed: mpsc::UnboundedReceiver<LimitObservation>,
 ) {
     let mut pending = PendingLimits::new();
     loop {
--- a/clayplankd/src/fleet/spread.rs
+++ b/clayplankd/src/fleet/spread.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clayplank_registry::{AgedLimit, Heartbeat, ObservedLimit};
+use clayplank_registry::{AgedLimit, Heartbeat, LimitObservation};
 use clayplank_state::encode;
 use clayplank_types::{HostId, UpstreamId};
 use clayplank_wire::SpreadRequest;
@@ -39,7 +39,7 @@
     peers: Peers,
     keepers: KeeperClient,
     pending: Arc<Mutex<Vec<Heartbeat>>>,
-    pending_limits: Arc<Mutex<BTreeMap<UpstreamId, ObservedLimit>>>,
+    pending_limits: Arc<Mutex<BTreeMap<UpstreamId, LimitObservation>>>,
 }
 
 impl Spread {
@@ -75,7 +75,7 @@
     }
 
     /// Queues a limit for the next call. It replaces an earlier one of the same upstream.
-    pub(crate) fn push_limit(&self, limit: ObservedLimit) {
+    pub(crate) fn push_limit(&self, limit: LimitObservation) {
         lock(&self.pending_limits).insert(limit.upstream.clone(), limit);
     }
 
--- a/clayplankd/src/follow/following.rs
+++ b/clayplankd/src/follow/following.rs
@@ -7,7 +7,7 @@
 
 use clayplank_forward::{Directory, Entry, Gate};
 use clayplank_members::{FollowTimes, KeeperChoice};
-use clayplank_registry::{Buckets, Changes, Cursor, LimitChanges, Noted, Record};
+use clayplank_registry::{Buckets, Changes, Cursor, LimitChanges, LimitUpdateResult, Record};
 use clayplank_routes::PlanIndex;
 use clayplank_state::{
     Delta, EditError, PackError, PlanDocument, PlanEdit, decode, encode, unpack,
@@ -283,11 +283,11 @@
         };
         let now_ms = now_ms();
         for limit in changes.limits {
-            let observed = limit.into_observed(now_ms);
-            match self.directory.learn_limit(&observed) {
-                Noted::Changed => self.link.set_named_limit(&observed),
-                Noted::Unchanged => {}
-                Noted::Outdated(local_limit) => self.link.tell_limit(local_limit),
+            let observed = limit.into_observation(now_ms);
+            match self.directory.apply_reported_limit(&observed) {
+                LimitUpdateResult::Changed => self.link.set_declared_limit(&observed),
+                LimitUpdateResult::Unchanged => {}
+                LimitUpdateResult::Outdated(local_limit) => self.link.tell_limit(local_limit),
             }
         }
         position.limits_cursor = changes.cursor;
@@ -324,7 +324,7 @@
     fn set_engines(&self) {
         if let Some(plan) = self.gate.plan() {
             self.link.set_engines(&plan, &self.directory.records());
-            self.directory.limits().iter().for_each(|limit| self.link.set_named_limit(limit));
+            self.directory.limits().iter().for_each(|limit| self.link.set_declared_limit(limit));
         }
     }
 
