--- a/clayplank-forward/src/admit.rs
+++ b/clayplank-forward/src/admit.rs
@@ -17,7 +17,7 @@
 use crate::call::Call;
 use crate::clock::{millis, now_ms};
 use crate::entry::Entry;
-use crate::quarantine::Passage;
+use crate::quarantine::Admission;
 use crate::refusal::{AnswerBody, Refusal};
 use crate::request_metadata::RequestFacts;
 
@@ -160,8 +160,8 @@
         attempt_id: &str,
         fingerprint: RequestFingerprint,
     ) -> Result<bool, Refusal> {
-        match self.quarantine.let_through(fingerprint).await {
-            Ok(passage) => Ok(passage == Passage::Trial),
+        match self.quarantine.admit(fingerprint).await {
+            Ok(passage) => Ok(passage == Admission::Trial),
             Err(retry_after_ms) => {
                 log::info!(target: "forward",
                     request = attempt_id, fingerprint:% = fingerprint;
--- a/clayplank-forward/src/call.rs
+++ b/clayplank-forward/src/call.rs
@@ -88,7 +88,7 @@
     /// it.
     pub(crate) fn is_quarantined(&self) -> bool {
         let may_be_tried = self.is_trial && self.sent_count == 0;
-        !may_be_tried && self.entry.quarantine.held_for(self.fingerprint).is_some()
+        !may_be_tried && self.entry.quarantine.time_to_trial(self.fingerprint).is_some()
     }
 
     /// Whether another attempt is allowed; takes a retry from the budget if so.
@@ -142,7 +142,7 @@
             Refusal::TimedOut
         } else if self.may_have_run {
             Refusal::Failed
-        } else if let Some(wait) = self.entry.quarantine.held_for(self.fingerprint) {
+        } else if let Some(wait) = self.entry.quarantine.time_to_trial(self.fingerprint) {
             Refusal::Quarantined { retry_after_ms: wait.as_millis() as u64 }
         } else {
             refusal
--- a/clayplank-forward/src/entry.rs
+++ b/clayplank-forward/src/entry.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use clayplank_types::{DataCentre, HeldBack};
+use clayplank_types::{DataCentre, QuarantinedRequest};
 
 use crate::budget::{BudgetLimits, RetryBudget};
 use crate::buffer_quota::BufferQuota;
@@ -11,7 +11,7 @@
 use crate::metrics::Metrics;
 use crate::names::HeaderNames;
 use crate::placer::Placer;
-use crate::quarantine::{Judge, NoAuthority, Suspicion};
+use crate::quarantine::{NoAuthority, QuarantineAuthority, RequestQuarantine};
 use crate::reserve::OrderFormat;
 use crate::termination::PendingBreaks;
 
@@ -40,7 +40,7 @@
     /// Broken requests whose upstreams may have terminated.
     pub(crate) pending_breaks: PendingBreaks,
     /// Quarantine of requests under which upstreams terminate.
-    pub(crate) quarantine: Suspicion,
+    pub(crate) quarantine: RequestQuarantine,
 }
 
 impl std::fmt::Debug for Entry {
@@ -56,7 +56,7 @@
     budget: Option<RetryBudget>,
     orders: Option<Arc<dyn OrderFormat>>,
     data_centre: DataCentre,
-    judge: Option<Arc<dyn Judge>>,
+    quarantine_authority: Option<Arc<dyn QuarantineAuthority>>,
     max_connections: Option<usize>,
     max_held_bytes: Option<usize>,
 }
@@ -93,8 +93,8 @@
     }
 
     /// Sets the authority that decides which requests are quarantined; without one, none are.
-    pub fn judge(mut self, judge: Arc<dyn Judge>) -> Self {
-        self.judge = Some(judge);
+    pub fn quarantine_authority(mut self, judge: Arc<dyn QuarantineAuthority>) -> Self {
+        self.quarantine_authority = Some(judge);
         self
     }
 
@@ -133,7 +133,9 @@
             metrics: Metrics::default(),
             data_centre: self.data_centre,
             pending_breaks: PendingBreaks::default(),
-            quarantine: Suspicion::new(self.judge.unwrap_or_else(|| Arc::new(NoAuthority))),
+            quarantine: RequestQuarantine::new(
+                self.quarantine_authority.unwrap_or_else(|| Arc::new(NoAuthority)),
+            ),
         }
     }
 }
@@ -154,8 +156,8 @@
     }
 
     /// Replaces the set of quarantined requests.
-    pub fn set_held_back(&self, held_back: Vec<HeldBack>) {
-        self.quarantine.set_held_back(held_back);
+    pub fn set_quarantined(&self, held_back: Vec<QuarantinedRequest>) {
+        self.quarantine.set_quarantined(held_back);
     }
 
     /// All metrics in the Prometheus text format.
--- a/clayplank-forward/src/quarantine.rs
+++ b/clayplank-forward/src/quarantine.rs
@@ -7,7 +7,7 @@
 
 use arc_swap::ArcSwap;
 use clayplank_clock::Instant;
-use clayplank_types::{HeldBack, RequestFingerprint, SeenOutcome};
+use clayplank_types::{ObservedOutcome, QuarantinedRequest, RequestFingerprint};
 
 use crate::clock::millis;
 use crate::placer::BoxFuture;
@@ -26,9 +26,9 @@
 
 /// Reason why a request may be sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passage {
+pub enum Admission {
     /// The request is not quarantined.
-    Free,
+    NotQuarantined,
     /// The request is quarantined, and this host may try it once.
     Trial,
 }
@@ -41,16 +41,16 @@
     /// Caller of the request; empty if unknown.
     pub caller: String,
     /// Observed outcome.
-    pub outcome: SeenOutcome,
+    pub outcome: ObservedOutcome,
     /// Time of the observation.
     pub at: Instant,
 }
 
 /// Authority that decides for all hosts which requests are quarantined; implemented outside this
 /// crate.
-pub trait Judge: Send + Sync + 'static {
+pub trait QuarantineAuthority: Send + Sync + 'static {
     /// Reports an observation of this host; does not wait.
-    fn tell(&self, observation: Observation);
+    fn report(&self, observation: Observation);
 
     /// Whether this host may send a quarantined request to an upstream, once.
     fn claim_trial(&self, fingerprint: RequestFingerprint) -> BoxFuture<'_, bool>;
@@ -60,8 +60,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct NoAuthority;
 
-impl Judge for NoAuthority {
-    fn tell(&self, _: Observation) {}
+impl QuarantineAuthority for NoAuthority {
+    fn report(&self, _: Observation) {}
 
     fn claim_trial(&self, _: RequestFingerprint) -> BoxFuture<'_, bool> {
         Box::pin(std::future::ready(true))
@@ -76,22 +76,22 @@
 }
 
 /// This host's knowledge of requests under which upstreams terminate.
-pub struct Suspicion {
-    judge: Arc<dyn Judge>,
+pub struct RequestQuarantine {
+    judge: Arc<dyn QuarantineAuthority>,
     /// Time of the next permitted trial of each quarantined request.
     quarantined: ArcSwap<HashMap<RequestFingerprint, Instant>>,
     outcomes: Mutex<LocalOutcomes>,
 }
 
-impl std::fmt::Debug for Suspicion {
+impl std::fmt::Debug for RequestQuarantine {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Suspicion").field("held_back", &self.count()).finish_non_exhaustive()
     }
 }
 
-impl Suspicion {
+impl RequestQuarantine {
     /// Creates an empty state; `judge` decides for all hosts.
-    pub fn new(judge: Arc<dyn Judge>) -> Self {
+    pub fn new(judge: Arc<dyn QuarantineAuthority>) -> Self {
         Self { judge, quarantined: ArcSwap::default(), outcomes: Mutex::default() }
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Time until the next trial of a quarantined request; `None` if it is not quarantined.
-    pub fn held_for(&self, fingerprint: RequestFingerprint) -> Option<Duration> {
+    pub fn time_to_trial(&self, fingerprint: RequestFingerprint) -> Option<Duration> {
         let next_trial = self.quarantined.load().get(&fingerprint).copied()?;
         Some(next_trial.saturating_duration_since(Instant::now()))
     }
@@ -115,25 +115,25 @@
     ///
     /// # Errors
     /// The request is quarantined.
-    pub async fn let_through(&self, fingerprint: RequestFingerprint) -> Result<Passage, u64> {
-        let Some(wait) = self.held_for(fingerprint) else {
-            return Ok(Passage::Free);
+    pub async fn admit(&self, fingerprint: RequestFingerprint) -> Result<Admission, u64> {
+        let Some(wait) = self.time_to_trial(fingerprint) else {
+            return Ok(Admission::NotQuarantined);
         };
         if wait.is_zero() && self.judge.claim_trial(fingerprint).await {
             log::info!(target: "forward",
                 fingerprint:% = fingerprint; "Sends a quarantined request as a trial");
-            return Ok(Passage::Trial);
+            return Ok(Admission::Trial);
         }
         Err((wait.as_millis() as u64).max(MIN_QUARANTINE_RETRY_MS))
     }
 
     /// Replaces the set of quarantined requests. Newly quarantined requests that were recently
     /// answered here are reported: they may have been quarantined because of other requests.
-    pub fn set_held_back(&self, held_back: Vec<HeldBack>) {
+    pub fn set_quarantined(&self, held_back: Vec<QuarantinedRequest>) {
         let now = Instant::now();
         let former = self.quarantined.load_full();
         let mut next = HashMap::new();
-        for HeldBack { fingerprint, caller, next_trial_in_ms, .. } in held_back {
+        for QuarantinedRequest { fingerprint, caller, next_trial_in_ms, .. } in held_back {
             next.insert(fingerprint, now + millis(next_trial_in_ms));
             if former.contains_key(&fingerprint) {
                 continue;
@@ -143,8 +143,8 @@
                 next_trial_in_ms = next_trial_in_ms;
                 "A request is held back");
             if let Some(at) = self.answered_at(fingerprint) {
-                let outcome = SeenOutcome::Survived;
-                self.judge.tell(Observation { fingerprint, caller, outcome, at });
+                let outcome = ObservedOutcome::Survived;
+                self.judge.report(Observation { fingerprint, caller, outcome, at });
             }
         }
         for fingerprint in former.keys().filter(|known| !next.contains_key(known)) {
@@ -172,8 +172,8 @@
         let is_suspect = outcomes.terminated.remove(&fingerprint);
         drop(outcomes);
         if is_suspect || self.quarantined.load().contains_key(&fingerprint) {
-            let (caller, outcome) = (caller.to_owned(), SeenOutcome::Survived);
-            self.judge.tell(Observation { fingerprint, caller, outcome, at });
+            let (caller, outcome) = (caller.to_owned(), ObservedOutcome::Survived);
+            self.judge.report(Observation { fingerprint, caller, outcome, at });
         }
     }
 
@@ -192,6 +192,6 @@
         }
         outcomes.terminated.insert(observation.fingerprint);
         drop(outcomes);
-        self.judge.tell(observation);
+        self.judge.report(observation);
     }
 }
--- a/clayplank-forward/src/termination.rs
+++ b/clayplank-forward/src/termination.rs
@@ -11,12 +11,12 @@
 
 use clayplank_clock::Instant;
 use clayplank_registry::{Record, Standing};
-use clayplank_types::{RequestFingerprint, SeenOutcome, UpstreamId};
+use clayplank_types::{ObservedOutcome, RequestFingerprint, UpstreamId};
 
 use crate::call::Call;
 use crate::entry::Entry;
 use crate::exchange::is_refused;
-use crate::quarantine::{Observation, Suspicion};
+use crate::quarantine::{Observation, RequestQuarantine};
 
 /// Delay between a broken connection and the check whether the upstream still listens: nearly all
 /// connections of a terminating upstream break within this time.
@@ -32,7 +32,7 @@
 
 /// A request that ran at an upstream when its connection broke or its time-out passed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Break {
+pub struct BrokenRequest {
     /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// Caller of the request; empty if unknown.
@@ -43,14 +43,14 @@
 
 /// Evidence that an upstream has terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndCause {
+pub enum TerminationEvidence {
     /// Connections to its address are refused.
     Refused,
     /// A new incarnation of it is running.
     Replaced,
 }
 
-impl EndCause {
+impl TerminationEvidence {
     fn as_str(self) -> &'static str {
         match self {
             Self::Refused => "refused",
@@ -65,9 +65,14 @@
     is_refused(address).await
 }
 
-impl Suspicion {
+impl RequestQuarantine {
     /// Logs that an upstream terminated under requests, and reports each of them.
-    pub fn note_upstream_ended(&self, upstream: &UpstreamId, cause: EndCause, breaks: Vec<Break>) {
+    pub fn report_termination(
+        &self,
+        upstream: &UpstreamId,
+        cause: TerminationEvidence,
+        breaks: Vec<BrokenRequest>,
+    ) {
         let fingerprints: BTreeSet<_> = breaks.iter().map(|one| one.fingerprint).collect();
         let logged: Vec<_> =
             fingerprints.iter().take(MAX_LOGGED_FINGERPRINTS).map(ToString::to_string).collect();
@@ -75,8 +80,8 @@
             upstream = upstream.as_str(), cause = cause.as_str(), requests = breaks.len(),
             fingerprints = logged.join(" ");
             "An upstream ended under requests");
-        for Break { fingerprint, caller, at } in breaks {
-            let outcome = SeenOutcome::Ended(upstream.clone());
+        for BrokenRequest { fingerprint, caller, at } in breaks {
+            let outcome = ObservedOutcome::Ended(upstream.clone());
             self.note_terminated(Observation { fingerprint, caller, outcome, at });
         }
     }
@@ -85,19 +90,19 @@
 /// Broken requests by upstream, while it is unknown whether the upstream terminated.
 #[derive(Debug, Default)]
 pub(crate) struct PendingBreaks {
-    pending: Mutex<HashMap<UpstreamId, Vec<Break>>>,
+    pending: Mutex<HashMap<UpstreamId, Vec<BrokenRequest>>>,
 }
 
 impl PendingBreaks {
     /// Adds a broken request; returns whether it is the only one pending at its upstream.
-    fn add(&self, upstream: &UpstreamId, broken: Break) -> bool {
+    fn add(&self, upstream: &UpstreamId, broken: BrokenRequest) -> bool {
         let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
         let breaks = pending.entry(upstream.clone()).or_default();
         breaks.push(broken);
         breaks.len() == 1
     }
 
-    fn take(&self, upstream: &UpstreamId) -> Vec<Break> {
+    fn take(&self, upstream: &UpstreamId) -> Vec<BrokenRequest> {
         let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
         pending.remove(upstream).unwrap_or_default()
     }
@@ -115,7 +120,7 @@
             return;
         }
         let caller = self.caller.clone();
-        let broken = Break { fingerprint: self.fingerprint, caller, at: Instant::now() };
+        let broken = BrokenRequest { fingerprint: self.fingerprint, caller, at: Instant::now() };
         if entry.pending_breaks.add(upstream, broken) {
             tokio::spawn(check_terminated(Arc::clone(entry), record));
         }
@@ -129,14 +134,14 @@
     // later.
     let breaks = entry.pending_breaks.take(&record.heartbeat.id);
     let cause = if has_stopped {
-        EndCause::Refused
+        TerminationEvidence::Refused
     } else if has_successor_soon(&entry, &record).await {
-        EndCause::Replaced
+        TerminationEvidence::Replaced
     } else {
         return;
     };
     entry.metrics.count_attempt("upstream_ended");
-    entry.quarantine.note_upstream_ended(&record.heartbeat.id, cause, breaks);
+    entry.quarantine.report_termination(&record.heartbeat.id, cause, breaks);
 }
 
 /// Whether a new incarnation of an upstream appears soon.
--- a/clayplank-forward/tests/entry/quarantine.rs
+++ b/clayplank-forward/tests/entry/quarantine.rs
@@ -6,10 +6,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clayplank_forward::{BoxFuture, Directory, EntryBuilder, Judge, Observation};
+use clayplank_forward::{BoxFuture, Directory, EntryBuilder, Observation, QuarantineAuthority};
 use clayplank_registry::Standing;
 use clayplank_routes::{RequestKind, Route};
-use clayplank_types::{HeldBack, RequestFingerprint, RequestIdentity, SeenOutcome};
+use clayplank_types::{ObservedOutcome, QuarantinedRequest, RequestFingerprint, RequestIdentity};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -29,8 +29,8 @@
     trial_claims: AtomicUsize,
 }
 
-impl Judge for RecordingJudge {
-    fn tell(&self, observation: Observation) {
+impl QuarantineAuthority for RecordingJudge {
+    fn report(&self, observation: Observation) {
         self.observations.lock().unwrap().push(observation);
     }
 
@@ -103,7 +103,7 @@
         }
         let judge = Arc::<RecordingJudge>::default();
         let host = Host::start(
-            EntryBuilder::default().judge(judge.clone()),
+            EntryBuilder::default().quarantine_authority(judge.clone()),
             Route { time_limit_ms: 5_000, ..route(RequestKind::Repeatable) },
             plain_service(),
             Arc::clone(&directory),
@@ -128,7 +128,7 @@
     }
 
     /// Outcomes reported so far, after a wait that covers the probe of one connection.
-    async fn reported_outcomes(&self) -> Vec<SeenOutcome> {
+    async fn reported_outcomes(&self) -> Vec<ObservedOutcome> {
         tokio::time::sleep(Duration::from_millis(150)).await;
         self.judge.observations.lock().unwrap().iter().map(|one| one.outcome.clone()).collect()
     }
@@ -139,7 +139,7 @@
 
     /// Quarantines one request, and no other.
     fn quarantine(&self, fingerprint: RequestFingerprint, next_trial_in: Duration) {
-        self.host.entry.set_held_back(vec![HeldBack {
+        self.host.entry.set_quarantined(vec![QuarantinedRequest {
             fingerprint,
             caller: String::new(),
             ended: Vec::new(),
@@ -166,7 +166,7 @@
     let fixture = Fixture::start(&[behaviour, behaviour]).await;
     fixture.send("crashing").await;
     let reported = fixture.reported_outcomes().await;
-    let count = reported.iter().filter(|one| matches!(one, SeenOutcome::Ended(_))).count();
+    let count = reported.iter().filter(|one| matches!(one, ObservedOutcome::Ended(_))).count();
     assert_eq!((count, reported.len()), (terminations, terminations), "{reported:?}");
     let reported = fixture.judge.observations.lock().unwrap();
     assert!(
@@ -194,7 +194,7 @@
     let address = upstream(Behaviour::Answers, Arc::clone(&fixture.requests)).await;
     fixture.directory.apply(vec![record("next", address)]);
     assert!(fixture.send("beside").await.starts_with("HTTP/1.1 200"));
-    assert_eq!(fixture.reported_outcomes().await[1], SeenOutcome::Survived);
+    assert_eq!(fixture.reported_outcomes().await[1], ObservedOutcome::Survived);
 }
 
 #[tokio::test]
@@ -274,5 +274,5 @@
     });
     assert_eq!(fixture.reported_outcomes().await, []);
     fixture.quarantine(fingerprint, Duration::ZERO);
-    assert_eq!(fixture.reported_outcomes().await, [SeenOutcome::Survived]);
+    assert_eq!(fixture.reported_outcomes().await, [ObservedOutcome::Survived]);
 }
--- a/clayplank-state/src/command.rs
+++ b/clayplank-state/src/command.rs
@@ -3,13 +3,14 @@
 use std::sync::Arc;
 
 use clayplank_types::{
-    AttemptId, DataCentre, HostId, Incarnation, Partner, RequestFingerprint, Sighting, UpstreamId,
+    AttemptId, DataCentre, HostId, Incarnation, Partner, RequestFingerprint, RequestObservation,
+    UpstreamId,
 };
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
 use crate::claims::{Answer, ClaimKey};
-use crate::quarantine::{Trial, Verdicts};
+use crate::quarantine::{QuarantineChanges, TrialReply};
 use crate::settings::{SettingKey, SettingValue, Versioned};
 
 /// The bytes do not decode to the requested type, or the value cannot be encoded.
@@ -77,7 +78,7 @@
         lease_ms: u64,
     },
     /// A host reports upstreams that terminated or survived while they ran certain requests.
-    NoteSightings(Vec<Sighting>),
+    NoteSightings(Vec<RequestObservation>),
     /// A host requests permission to send a quarantined request to an upstream once, as a trial.
     ClaimTrial(RequestFingerprint),
     /// An operator lifts the quarantine of a request.
@@ -196,9 +197,9 @@
         wait_ms: u64,
     },
     /// The reported observations were applied; these changes of the quarantine resulted.
-    Noted(Verdicts),
+    Noted(QuarantineChanges),
     /// Whether the requesting host may send the request to an upstream.
-    Trial(Trial),
+    Trial(TrialReply),
     /// The request is not quarantined now.
     Lifted {
         /// Whether it was quarantined before the command.
--- a/clayplank-state/src/lib.rs
+++ b/clayplank-state/src/lib.rs
@@ -48,6 +48,6 @@
 pub use machine::{Counts, Machine};
 pub use packing::{PackError, pack, unpack};
 pub use plan_edit::{EditError, PlanEdit};
-pub use quarantine::{Trial, Verdicts};
+pub use quarantine::{QuarantineChanges, TrialReply};
 pub use settings::{Delta, SettingKey, SettingValue, Versioned};
 pub use view::{SettingsView, StaleDelta};
--- a/clayplank-state/src/machine.rs
+++ b/clayplank-state/src/machine.rs
@@ -2,14 +2,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use clayplank_types::{DataCentre, HeldBack, HostId, RequestFingerprint, Sighting, UpstreamId};
+use clayplank_types::{
+    DataCentre, HostId, QuarantinedRequest, RequestFingerprint, RequestObservation, UpstreamId,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::claims::Claims;
 use crate::command::{Body, CodecError, Command, PlanDocument, Reply, decode, encode};
 use crate::cordons::Cordons;
 use crate::plan::Plan;
-use crate::quarantine::{Suspects, Trial};
+use crate::quarantine::{Suspects, TrialReply};
 use crate::settings::{Delta, Settings};
 
 /// Latest revision and sizes of a machine's state, for status reports.
@@ -71,7 +73,7 @@
         }
     }
 
-    fn apply_sightings(&mut self, sightings: &[Sighting]) -> Reply {
+    fn apply_sightings(&mut self, sightings: &[RequestObservation]) -> Reply {
         let verdicts = self.suspects.apply(self.now_ms, sightings);
         if !verdicts.is_empty() {
             self.bump_quarantine_revision();
@@ -81,7 +83,7 @@
 
     fn claim_trial(&mut self, fingerprint: RequestFingerprint) -> Reply {
         let trial = self.suspects.claim_trial(self.now_ms, fingerprint);
-        if trial == Trial::Granted {
+        if trial == TrialReply::Granted {
             // The other hosts receive the time of the next trial.
             self.bump_quarantine_revision();
         }
@@ -142,13 +144,13 @@
         let mut delta = self.settings.delta_after(revision);
         delta.plan = self.plan.changed_after(revision);
         let has_changed = self.suspects.revision > revision;
-        delta.held_back = has_changed.then(|| self.held_back());
+        delta.held_back = has_changed.then(|| self.quarantined());
         delta.cordoned = self.cordons.changed_after(revision);
         delta
     }
 
     /// All quarantined requests.
-    pub fn held_back(&self) -> Vec<HeldBack> {
+    pub fn quarantined(&self) -> Vec<QuarantinedRequest> {
         self.suspects.quarantined(self.now_ms)
     }
 
--- a/clayplank-state/src/quarantine.rs
+++ b/clayplank-state/src/quarantine.rs
@@ -19,7 +19,8 @@
 use std::collections::BTreeMap;
 
 use clayplank_types::{
-    HeldBack, HostMoment, RequestFingerprint, SeenOutcome, Sighting, UpstreamId,
+    HostTimestamp, ObservedOutcome, QuarantinedRequest, RequestFingerprint, RequestObservation,
+    UpstreamId,
 };
 use serde::{Deserialize, Serialize};
 
@@ -68,7 +69,7 @@
     /// Time by the keepers' clocks, in ms since the Unix epoch.
     at_ms: u64,
     /// Time by the clock of the host that observed it, if reported.
-    seen: Option<HostMoment>,
+    seen: Option<HostTimestamp>,
 }
 
 impl Termination {
@@ -123,9 +124,9 @@
     }
 
     /// The entry sent to hosts if the request is quarantined, otherwise `None`.
-    fn to_entry(&self, now_ms: u64, fingerprint: RequestFingerprint) -> Option<HeldBack> {
+    fn to_entry(&self, now_ms: u64, fingerprint: RequestFingerprint) -> Option<QuarantinedRequest> {
         let quarantine = self.held?;
-        Some(HeldBack {
+        Some(QuarantinedRequest {
             fingerprint,
             caller: self.caller.clone(),
             ended: self.terminated_upstreams(),
@@ -149,7 +150,7 @@
 
 /// Reply to a host that requests a trial of a quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Trial {
+pub enum TrialReply {
     /// The host may send the request once; no other host may until the next trial.
     Granted,
     /// The request is not quarantined, so hosts may send it freely.
@@ -163,14 +164,14 @@
 
 /// Changes of the quarantine caused by reported observations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Verdicts {
+pub struct QuarantineChanges {
     /// Requests that are now quarantined and were not before.
-    pub held_back: Vec<HeldBack>,
+    pub held_back: Vec<QuarantinedRequest>,
     /// Requests whose quarantine was lifted.
     pub lifted: Vec<RequestFingerprint>,
 }
 
-impl Verdicts {
+impl QuarantineChanges {
     /// Whether the quarantine is unchanged, so that hosts need no update.
     pub fn is_empty(&self) -> bool {
         self.held_back.is_empty() && self.lifted.is_empty()
@@ -190,18 +191,22 @@
 
 impl Suspects {
     /// Applies the observations of a host.
-    pub(crate) fn apply(&mut self, now_ms: u64, sightings: &[Sighting]) -> Verdicts {
+    pub(crate) fn apply(
+        &mut self,
+        now_ms: u64,
+        sightings: &[RequestObservation],
+    ) -> QuarantineChanges {
         self.remove_expired(now_ms);
-        let mut verdicts = Verdicts::default();
+        let mut verdicts = QuarantineChanges::default();
         for sighting in sightings {
             let at_ms = now_ms.saturating_sub(sighting.ago_ms);
             match &sighting.outcome {
-                SeenOutcome::Ended(upstream) => {
+                ObservedOutcome::Ended(upstream) => {
                     let termination =
                         Termination { upstream: upstream.clone(), at_ms, seen: sighting.seen };
                     self.apply_termination(now_ms, sighting, termination, &mut verdicts);
                 }
-                SeenOutcome::Survived => {
+                ObservedOutcome::Survived => {
                     self.apply_survival(at_ms, sighting.fingerprint, &mut verdicts);
                 }
             }
@@ -214,9 +219,9 @@
     fn apply_termination(
         &mut self,
         now_ms: u64,
-        sighting: &Sighting,
+        sighting: &RequestObservation,
         termination: Termination,
-        verdicts: &mut Verdicts,
+        verdicts: &mut QuarantineChanges,
     ) {
         let fingerprint = sighting.fingerprint;
         let suspect = self.suspects.get_mut(&fingerprint);
@@ -276,7 +281,7 @@
         &mut self,
         at_ms: u64,
         fingerprint: RequestFingerprint,
-        verdicts: &mut Verdicts,
+        verdicts: &mut QuarantineChanges,
     ) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
@@ -292,18 +297,22 @@
     }
 
     /// Grants a trial of a quarantined request if one is due, and schedules the next.
-    pub(crate) fn claim_trial(&mut self, now_ms: u64, fingerprint: RequestFingerprint) -> Trial {
+    pub(crate) fn claim_trial(
+        &mut self,
+        now_ms: u64,
+        fingerprint: RequestFingerprint,
+    ) -> TrialReply {
         let suspect = self.suspects.get_mut(&fingerprint);
         let Some(quarantine) = suspect.and_then(|suspect| suspect.held.as_mut()) else {
-            return Trial::NotNeeded;
+            return TrialReply::NotNeeded;
         };
         if now_ms < quarantine.next_trial_ms {
-            return Trial::TooEarly { next_in_ms: quarantine.next_trial_ms - now_ms };
+            return TrialReply::TooEarly { next_in_ms: quarantine.next_trial_ms - now_ms };
         }
         quarantine.trials += 1;
         let last = TRIAL_INTERVALS_MS.len() - 1;
         quarantine.next_trial_ms = now_ms + TRIAL_INTERVALS_MS[quarantine.trials.min(last)];
-        Trial::Granted
+        TrialReply::Granted
     }
 
     /// Lifts the quarantine of a request and removes the terminations recorded under it. Returns
@@ -314,7 +323,7 @@
     }
 
     /// All quarantined requests, ordered by fingerprint.
-    pub(crate) fn quarantined(&self, now_ms: u64) -> Vec<HeldBack> {
+    pub(crate) fn quarantined(&self, now_ms: u64) -> Vec<QuarantinedRequest> {
         self.suspects
             .iter()
             .filter_map(|(fingerprint, suspect)| suspect.to_entry(now_ms, *fingerprint))
@@ -356,7 +365,7 @@
 
     /// Lifts the quarantine that started first, of the caller's requests or of all, if there are
     /// too many.
-    fn limit_quarantined(&mut self, caller: &str, verdicts: &mut Verdicts) {
+    fn limit_quarantined(&mut self, caller: &str, verdicts: &mut QuarantineChanges) {
         let quarantined = || self.suspects.iter().filter(|(_, suspect)| suspect.held.is_some());
         let of_caller = || quarantined().filter(|(_, suspect)| suspect.caller == caller);
         let since = |suspect: &Suspect| suspect.held.map(|quarantine| quarantine.since_ms);
--- a/clayplank-state/tests/quarantine.rs
+++ b/clayplank-state/tests/quarantine.rs
@@ -3,19 +3,21 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use clayplank_state::{Body, Command, Machine, Reply, Trial, Verdicts};
-use clayplank_types::{HostMoment, RequestFingerprint, SeenOutcome, Sighting, UpstreamId};
+use clayplank_state::{Body, Command, Machine, QuarantineChanges, Reply, TrialReply};
+use clayplank_types::{
+    HostTimestamp, ObservedOutcome, RequestFingerprint, RequestObservation, UpstreamId,
+};
 use proptest::prelude::*;
 
 const SECOND_MS: u64 = 1_000;
 /// Fingerprint of the request that terminates each upstream that runs it.
 const CRASHING: u128 = 1;
 
-fn terminated(request: u128, caller: &str, upstream: &str) -> Sighting {
-    Sighting {
+fn terminated(request: u128, caller: &str, upstream: &str) -> RequestObservation {
+    RequestObservation {
         fingerprint: RequestFingerprint::new(request),
         caller: caller.to_owned(),
-        outcome: SeenOutcome::Ended(UpstreamId::new(upstream)),
+        outcome: ObservedOutcome::Ended(UpstreamId::new(upstream)),
         ago_ms: 0,
         seen: None,
     }
@@ -28,29 +30,34 @@
     let mut machine = Machine::default();
     let mut quarantined = 0;
     for (number, reported_ms) in [(0, 1_090), (1, 1_095), (2, 1_145)] {
-        let seen = Some(HostMoment { life: 7, at_ms: 500 + 70 * number });
-        let sighting = Sighting { seen, ..terminated(CRASHING, "clubs", &format!("u{number}")) };
+        let seen = Some(HostTimestamp { life: 7, at_ms: 500 + 70 * number });
+        let sighting =
+            RequestObservation { seen, ..terminated(CRASHING, "clubs", &format!("u{number}")) };
         quarantined += report(&mut machine, reported_ms, &[sighting]).held_back.len();
     }
     assert_eq!(quarantined, 1);
 }
 
-fn survived(request: u128) -> Sighting {
-    Sighting { outcome: SeenOutcome::Survived, ..terminated(request, "clubs", "") }
+fn survived(request: u128) -> RequestObservation {
+    RequestObservation { outcome: ObservedOutcome::Survived, ..terminated(request, "clubs", "") }
 }
 
 fn apply(machine: &mut Machine, at_ms: u64, body: Body) -> Reply {
     machine.apply(&Command { at_ms, body })
 }
 
-fn report(machine: &mut Machine, at_ms: u64, sightings: &[Sighting]) -> Verdicts {
+fn report(
+    machine: &mut Machine,
+    at_ms: u64,
+    sightings: &[RequestObservation],
+) -> QuarantineChanges {
     match apply(machine, at_ms, Body::NoteSightings(sightings.to_vec())) {
         Reply::Noted(verdicts) => verdicts,
         reply => panic!("{reply:?}"),
     }
 }
 
-fn claim_trial(machine: &mut Machine, at_ms: u64, request: u128) -> Trial {
+fn claim_trial(machine: &mut Machine, at_ms: u64, request: u128) -> TrialReply {
     match apply(machine, at_ms, Body::ClaimTrial(RequestFingerprint::new(request))) {
         Reply::Trial(trial) => trial,
         reply => panic!("{reply:?}"),
@@ -58,7 +65,7 @@
 }
 
 fn quarantined(machine: &Machine) -> Vec<RequestFingerprint> {
-    machine.held_back().iter().map(|one| one.fingerprint).collect()
+    machine.quarantined().iter().map(|one| one.fingerprint).collect()
 }
 
 /// A machine in which three upstreams have terminated under one request, a second apart.
@@ -115,7 +122,7 @@
     let all: Vec<_> = (0..6).map(|number| terminated(7, "clubs", &format!("u{number}"))).collect();
     assert!(report(&mut machine, 1_000, &all).is_empty());
     // Another host reports a termination of about the same time 20 ms later.
-    let late = Sighting { ago_ms: 15, ..terminated(7, "clubs", "u9") };
+    let late = RequestObservation { ago_ms: 15, ..terminated(7, "clubs", "u9") };
     assert!(report(&mut machine, 1_020, &[late]).is_empty());
 }
 
@@ -125,7 +132,7 @@
     for number in 1..=3 {
         let upstream = format!("u{number}");
         // The other request was running by chance at the second and third upstream.
-        let others: &[Sighting] =
+        let others: &[RequestObservation] =
             if number == 1 { &[] } else { &[terminated(8, "halls", &upstream)] };
         report(&mut machine, number * SECOND_MS, &[terminated(CRASHING, "clubs", &upstream)]);
         report(&mut machine, number * SECOND_MS + 10, others);
@@ -140,7 +147,8 @@
 fn a_request_quarantined_by_mistake_is_cleared_by_its_first_answer() {
     let mut machine = with_one_quarantined();
     assert!(
-        report(&mut machine, 4_000, &[Sighting { ago_ms: 3_500, ..survived(CRASHING) }]).is_empty()
+        report(&mut machine, 4_000, &[RequestObservation { ago_ms: 3_500, ..survived(CRASHING) }])
+            .is_empty()
     );
     let verdicts = report(&mut machine, 4_000, &[survived(CRASHING)]);
     assert_eq!(verdicts.lifted, [RequestFingerprint::new(CRASHING)]);
@@ -151,11 +159,14 @@
 #[test]
 fn trials_are_granted_to_one_host_at_a_time_and_rarely() {
     let mut machine = with_one_quarantined();
-    assert_eq!(claim_trial(&mut machine, 4_000, CRASHING), Trial::TooEarly { next_in_ms: 59_000 });
+    assert_eq!(
+        claim_trial(&mut machine, 4_000, CRASHING),
+        TrialReply::TooEarly { next_in_ms: 59_000 }
+    );
     let mut granted = Vec::new();
     for tenth in 0..36_000 {
         let at_ms = 4_000 + tenth * 100;
-        if claim_trial(&mut machine, at_ms, CRASHING) == Trial::Granted {
+        if claim_trial(&mut machine, at_ms, CRASHING) == TrialReply::Granted {
             granted.push(at_ms / SECOND_MS);
             report(
                 &mut machine,
@@ -165,7 +176,7 @@
         }
     }
     assert_eq!(granted, [63, 663]);
-    assert_eq!(claim_trial(&mut machine, 4_000, 99), Trial::NotNeeded, "another request");
+    assert_eq!(claim_trial(&mut machine, 4_000, 99), TrialReply::NotNeeded, "another request");
 }
 
 #[test]
@@ -199,7 +210,7 @@
             );
         }
     }
-    let quarantined = machine.held_back();
+    let quarantined = machine.quarantined();
     assert_eq!(quarantined.iter().filter(|one| one.caller == "flood").count(), 64);
     assert!(
         quarantined.iter().any(|one| one.caller == "clubs"),
--- a/clayplank-types/src/lib.rs
+++ b/clayplank-types/src/lib.rs
@@ -23,7 +23,7 @@
     AccountId, AttemptId, DataCentre, HostId, Incarnation, Partner, PoolId, RequestId,
     UnknownIdText, UpstreamId,
 };
-pub use observation::{HeldBack, HostMoment, SeenOutcome, Sighting};
+pub use observation::{HostTimestamp, ObservedOutcome, QuarantinedRequest, RequestObservation};
 pub use outcome::{Outcome, Refusal, RefusalReason};
 pub use prefix::{MAX_PREFIX_BLOCKS, PREFIX_BLOCK_TOKENS, prefix_hashes};
 pub use priority::{EnginePriority, Priority};
--- a/clayplank-types/src/observation.rs
+++ b/clayplank-types/src/observation.rs
@@ -8,7 +8,7 @@
 
 /// Outcome of a request at an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SeenOutcome {
+pub enum ObservedOutcome {
     /// This upstream terminated while it ran the request.
     Ended(UpstreamId),
     /// The upstream answered the request completely and did not terminate.
@@ -18,7 +18,7 @@
 /// Timestamp by the clock of one incarnation of a host. The difference of two such timestamps does
 /// not depend on the transmission time of the messages that carry them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HostMoment {
+pub struct HostTimestamp {
     /// Incarnation of the host, drawn when it starts.
     pub life: u64,
     /// Time since the start of that incarnation, in ms.
@@ -27,22 +27,22 @@
 
 /// Observation of a request by a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct RequestObservation {
     /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// Caller of the request. The number of remembered observations is limited per caller.
     pub caller: String,
     /// Outcome of the request.
-    pub outcome: SeenOutcome,
+    pub outcome: ObservedOutcome,
     /// Age of the observation when it was sent, in ms.
     pub ago_ms: u64,
     /// Time of the observation by the clock of the host that made it; `None` if it was not sent.
-    pub seen: Option<HostMoment>,
+    pub seen: Option<HostTimestamp>,
 }
 
 /// A quarantined request, as it is reported to hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldBack {
+pub struct QuarantinedRequest {
     /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// Caller of the request.
--- a/clayplank-wire/tests/broken_bytes.rs
+++ b/clayplank-wire/tests/broken_bytes.rs
@@ -11,7 +11,9 @@
 use clayplank_state::{
     Body, Command, Delta, Machine, PlanDocument, PlanEdit, Reply, decode, encode, pack, unpack,
 };
-use clayplank_types::{HeldBack, RequestFingerprint, SeenOutcome, Sighting, UpstreamId};
+use clayplank_types::{
+    ObservedOutcome, QuarantinedRequest, RequestFingerprint, RequestObservation, UpstreamId,
+};
 use proptest::prelude::*;
 use serde::de::DeserializeOwned;
 
@@ -39,16 +41,16 @@
     read::<Command>(bytes);
     read::<Reply>(bytes);
     read::<Delta>(bytes);
-    read::<Vec<HeldBack>>(bytes);
+    read::<Vec<QuarantinedRequest>>(bytes);
     Machine::from_snapshot(bytes).ok();
     PlanEdit::unpack(bytes).ok();
 }
 
-fn sighting(number: u64) -> Sighting {
-    Sighting {
+fn sighting(number: u64) -> RequestObservation {
+    RequestObservation {
         fingerprint: RequestFingerprint::new(u128::from(number) << 70),
         caller: "clubs".to_owned(),
-        outcome: SeenOutcome::Ended(UpstreamId::new(format!("u{number}"))),
+        outcome: ObservedOutcome::Ended(UpstreamId::new(format!("u{number}"))),
         ago_ms: number * 40,
         seen: None,
     }
@@ -59,12 +61,14 @@
     let mut machine = Machine::default();
     let document = PlanDocument { version: 7, text: "{\"version\":7}".into() };
     machine.apply(&Command { at_ms: 9, body: Body::Publish(document) });
-    let repeated = (0..3)
-        .map(|number| Sighting { fingerprint: RequestFingerprint::new(1), ..sighting(number) });
+    let repeated = (0..3).map(|number| RequestObservation {
+        fingerprint: RequestFingerprint::new(1),
+        ..sighting(number)
+    });
     let body = Body::NoteSightings(repeated.collect());
     let command = Command { at_ms: 1_000, body };
     let reply = machine.apply(&command);
-    assert_eq!(machine.held_back().len(), 1);
+    assert_eq!(machine.quarantined().len(), 1);
     let heartbeat = Heartbeat { service: "pool".to_owned(), ..Heartbeat::default() }.named("u");
     let record = Record { heartbeat: heartbeat.clone(), is_silent: true };
     let changes = Changes { cursor: Cursor { life: 3, change: 4 }, records: vec![record] };
--- a/clayplankd/src/doors/control_endpoint.rs
+++ b/clayplankd/src/doors/control_endpoint.rs
@@ -12,7 +12,7 @@
 use clayplank_routes::ServingPlan;
 use clayplank_settings::Faults;
 use clayplank_state::{Body, Delta, PlanDocument, Reply};
-use clayplank_types::{DataCentre, HeldBack, HostId, RequestFingerprint};
+use clayplank_types::{DataCentre, HostId, QuarantinedRequest, RequestFingerprint};
 use http::{HeaderValue, Request, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -218,7 +218,7 @@
     }
 }
 
-fn quarantined_json(quarantined: &HeldBack) -> Value {
+fn quarantined_json(quarantined: &QuarantinedRequest) -> Value {
     serde_json::json!({
         "fingerprint": quarantined.fingerprint.to_string(),
         "caller": quarantined.caller,
--- a/clayplankd/src/doors/quarantine.rs
+++ b/clayplankd/src/doors/quarantine.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use clayplank_clock::Instant;
-use clayplank_forward::{Break, EndCause, has_stopped_listening};
+use clayplank_forward::{BrokenRequest, TerminationEvidence, has_stopped_listening};
 use clayplank_types::{Refusal, RefusalReason, RequestFingerprint, UpstreamId};
 
 use crate::process::host::Host;
@@ -30,8 +30,8 @@
     ) -> Result<(), Refusal> {
         let fingerprint = identity.fingerprint;
         let quarantined_for_ms = match is_first_attempt {
-            true => self.suspicion.let_through(fingerprint).await.err(),
-            false => self.suspicion.held_for(fingerprint).map(|span| span.as_millis() as u64),
+            true => self.suspicion.admit(fingerprint).await.err(),
+            false => self.suspicion.time_to_trial(fingerprint).map(|span| span.as_millis() as u64),
         };
         let Some(retry_after_ms) = quarantined_for_ms else {
             return Ok(());
@@ -55,13 +55,13 @@
             return;
         };
         let Identity { fingerprint, caller } = identity.clone();
-        let broken_attempt = Break { fingerprint, caller, at: Instant::now() };
+        let broken_attempt = BrokenRequest { fingerprint, caller, at: Instant::now() };
         let upstream_incarnation = UpstreamId::new(format!("{upstream}@{attempt}"));
         tokio::spawn(async move {
             if has_stopped_listening(address).await {
-                host.suspicion.note_upstream_ended(
+                host.suspicion.report_termination(
                     &upstream_incarnation,
-                    EndCause::Refused,
+                    TerminationEvidence::Refused,
                     vec![broken_attempt],
                 );
             }
--- a/clayplankd/src/fleet/sightings.rs
+++ b/clayplankd/src/fleet/sightings.rs
@@ -6,9 +6,9 @@
 
 use std::time::Duration;
 
-use clayplank_forward::{BoxFuture, Judge, Observation, now_ms};
-use clayplank_state::{Body, Reply, Trial, Verdicts};
-use clayplank_types::{HeldBack, HostMoment, RequestFingerprint, Sighting};
+use clayplank_forward::{BoxFuture, Observation, QuarantineAuthority, now_ms};
+use clayplank_state::{Body, QuarantineChanges, Reply, TrialReply};
+use clayplank_types::{HostTimestamp, QuarantinedRequest, RequestFingerprint, RequestObservation};
 use tokio::sync::mpsc;
 
 use crate::keepers::keeper_client::KeeperClient;
@@ -48,8 +48,8 @@
     }
 }
 
-impl Judge for SightingLink {
-    fn tell(&self, observation: Observation) {
+impl QuarantineAuthority for SightingLink {
+    fn report(&self, observation: Observation) {
         if let Err(error) = self.observations.try_send(observation) {
             log::warn!(target: part::KEEPER, cause:% = error; "Discarded an observation of a request before it was reported to the keepers");
         }
@@ -58,7 +58,7 @@
     fn claim_trial(&self, fingerprint: RequestFingerprint) -> BoxFuture<'_, bool> {
         Box::pin(async move {
             match self.keepers.execute(&Body::ClaimTrial(fingerprint), TRIAL_TIMEOUT).await {
-                Ok(Reply::Trial(Trial::Granted | Trial::NotNeeded)) => true,
+                Ok(Reply::Trial(TrialReply::Granted | TrialReply::NotNeeded)) => true,
                 Ok(_) => false,
                 Err(error) => {
                     log::info!(target: part::KEEPER, cause:% = error; "The keepers did not answer a trial claim");
@@ -115,10 +115,10 @@
 }
 
 /// Converts an observation to its form in keeper commands. `incarnation` is that of this task.
-fn to_sighting(incarnation: u64, observation: &Observation) -> Sighting {
+fn to_sighting(incarnation: u64, observation: &Observation) -> RequestObservation {
     let ago_ms = observation.at.elapsed().as_millis() as u64;
-    let observed = HostMoment { life: incarnation, at_ms: now_ms().saturating_sub(ago_ms) };
-    Sighting {
+    let observed = HostTimestamp { life: incarnation, at_ms: now_ms().saturating_sub(ago_ms) };
+    RequestObservation {
         fingerprint: observation.fingerprint,
         caller: observation.caller.clone(),
         outcome: observation.outcome.clone(),
@@ -127,8 +127,8 @@
     }
 }
 
-fn log_verdicts(verdicts: &Verdicts) {
-    for HeldBack { fingerprint, caller, ended, .. } in &verdicts.held_back {
+fn log_verdicts(verdicts: &QuarantineChanges) {
+    for QuarantinedRequest { fingerprint, caller, ended, .. } in &verdicts.held_back {
         let ended: Vec<_> = ended.iter().map(ToString::to_string).collect();
         log::warn!(target: part::KEEPER,
             fingerprint:% = fingerprint, caller = caller, ended = ended.join(" ");
--- a/clayplankd/src/follow/following.rs
+++ b/clayplankd/src/follow/following.rs
@@ -233,7 +233,7 @@
             position.plan = plan;
         }
         if let Some(quarantined) = delta.held_back {
-            self.entry.set_held_back(quarantined);
+            self.entry.set_quarantined(quarantined);
         }
         if let Some(cordoned) = delta.cordoned {
             self.set_cordoned(cordoned);
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -6,7 +6,7 @@
 
 use clayplank_agreement::{Options, Store, StoreError};
 use clayplank_clock::Instant;
-use clayplank_forward::Suspicion;
+use clayplank_forward::RequestQuarantine;
 use clayplank_settings::{Faults, HostSettings, Role};
 use clayplank_types::{HostId, Incarnation};
 use clayplank_upstream::{EngineEdge, HttpClient, HttpEngines};
@@ -209,7 +209,7 @@
         metrics: Default::default(),
         progress: InProgress::default(),
         service_loads: Default::default(),
-        suspicion: Arc::new(Suspicion::new(Arc::new(sighting_link))),
+        suspicion: Arc::new(RequestQuarantine::new(Arc::new(sighting_link))),
     })
 }
 
--- a/clayplankd/src/process/host.rs
+++ b/clayplankd/src/process/host.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Weak};
 
-use clayplank_forward::Suspicion;
+use clayplank_forward::RequestQuarantine;
 use clayplank_settings::HostSettings;
 use clayplank_types::{Incarnation, UpstreamId};
 use clayplank_upstream::{EngineEdge, HttpClient};
@@ -47,7 +47,7 @@
     pub(crate) progress: InProgress,
     pub(crate) service_loads: ServiceLoads,
     /// Requests suspected of ending upstreams.
-    pub(crate) suspicion: Arc<Suspicion>,
+    pub(crate) suspicion: Arc<RequestQuarantine>,
 }
 
 impl Host {
--- a/clayplankd/src/process/seeded_entry.rs
+++ b/clayplankd/src/process/seeded_entry.rs
@@ -88,7 +88,7 @@
             .names(self.contract.header_names())
             .budget(RetryBudget::new(budget_limits(bounds)))
             .orders(Arc::clone(&self.contract) as Arc<dyn OrderFormat>)
-            .judge(Arc::new(sighting_link))
+            .quarantine_authority(Arc::new(sighting_link))
             .data_centre(self.settings.data_centre.clone())
             .build(Arc::clone(&gate), Arc::clone(&directory), link.clone());
         let entry = Arc::new(entry);
