--- a/bench/src/members.rs
+++ b/bench/src/members.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use clayplank_members::{Effect, Members, Status, Timing};
+use clayplank_members::{FailureDetectorTiming, Members, ProbeAction, Status};
 use clayplank_state::encode;
 use clayplank_types::{DataCentre, HostId, Incarnation};
 
@@ -33,8 +33,13 @@
         };
         let view = |number: usize| {
             let incarnation = Incarnation(1_000 + number as u64);
-            let mut members =
-                Members::new(host(number), incarnation, hosts(), Timing::default(), 0);
+            let mut members = Members::new(
+                host(number),
+                incarnation,
+                hosts(),
+                FailureDetectorTiming::default(),
+                0,
+            );
             members.delay_first_probe();
             (host(number), members)
         };
@@ -51,23 +56,24 @@
         }
     }
 
-    fn execute(&mut self, now_ms: u64, from: &HostId, effect: Effect) {
+    fn execute(&mut self, now_ms: u64, from: &HostId, effect: ProbeAction) {
         match effect {
-            Effect::Probe(target) if self.exchange(now_ms, from, &target) => {
+            ProbeAction::Probe(target) if self.exchange(now_ms, from, &target) => {
                 if let Some(view) = self.views.get_mut(from) {
-                    view.note_reached(&target);
+                    view.record_ack(&target);
                 }
             }
-            Effect::Probe(target) => {
-                let more = self.views.get_mut(from).map(|view| view.note_missed(now_ms, &target));
+            ProbeAction::Probe(target) => {
+                let more =
+                    self.views.get_mut(from).map(|view| view.record_missed_probe(now_ms, &target));
                 more.into_iter().flatten().for_each(|effect| self.execute(now_ms, from, effect));
             }
-            Effect::ProbeVia { target, .. } => {
+            ProbeAction::ProbeVia { target, .. } => {
                 let is_reached = Some(&target) != self.failed.as_ref();
                 if let Some(view) = self.views.get_mut(from) {
                     match is_reached {
-                        true => view.note_reached(&target),
-                        false => view.note_missed_via(now_ms, &target),
+                        true => view.record_ack(&target),
+                        false => view.record_missed_indirect_probe(now_ms, &target),
                     }
                 }
             }
@@ -77,8 +83,8 @@
     /// A probe and its reply, both with piggybacked gossip; `false` if the target has failed.
     fn exchange(&mut self, now_ms: u64, from: &HostId, target: &HostId) -> bool {
         let rumours = self.views.get_mut(from).map(|view| {
-            let mut rumours = view.take_rumours();
-            rumours.extend(view.rumour_for(target));
+            let mut rumours = view.take_updates();
+            rumours.extend(view.refutable_update_for(target));
             rumours
         });
         self.count(rumours.as_ref());
@@ -86,12 +92,12 @@
             return false;
         }
         let reply = self.views.get_mut(target).map(|view| {
-            view.apply_rumours(now_ms, &rumours.unwrap_or_default());
-            view.take_rumours()
+            view.apply_updates(now_ms, &rumours.unwrap_or_default());
+            view.take_updates()
         });
         self.count(reply.as_ref());
         if let Some(view) = self.views.get_mut(from) {
-            view.apply_rumours(now_ms, &reply.unwrap_or_default());
+            view.apply_updates(now_ms, &reply.unwrap_or_default());
         }
         true
     }
--- a/clayplank-members/src/follow_times.rs
+++ b/clayplank-members/src/follow_timeouts.rs
@@ -2,7 +2,7 @@
 //! change must be in force.
 //!
 //! A host follows one keeper by long polling, and sends hedged requests to other keepers if that
-//! one does not answer. [`FollowTimes::worst_ms`] bounds the delay when the tolerated number of
+//! one does not answer. [`FollowTimeouts::worst_ms`] bounds the delay when the tolerated number of
 //! keepers is unresponsive and all of them are queried first.
 
 /// Share of the bound after which a keeper answers a long poll without updates.
@@ -24,39 +24,39 @@
 
 /// Time-outs of a host that follows keepers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FollowTimes {
+pub struct FollowTimeouts {
     /// Duration of a long poll without updates, in ms.
-    pub hold_ms: u64,
+    pub long_poll_ms: u64,
     /// Delay after which a hedged request is sent to a second keeper, in ms.
-    pub hedge_ms: u64,
+    pub hedge_delay_ms: u64,
     /// Interval between further hedged requests, in ms.
-    pub step_ms: u64,
+    pub hedge_interval_ms: u64,
 }
 
-impl FollowTimes {
+impl FollowTimeouts {
     /// Computes the time-outs for changes that must be in force within `apply_ms`.
-    pub fn of_bound(apply_ms: u64) -> Self {
+    pub fn for_bound(apply_ms: u64) -> Self {
         let hold_ms = (apply_ms as f64 * LONG_POLL_SHARE).min(MAX_LONG_POLL_MS);
         let scale = hold_ms / LONG_POLL_SHARE;
         Self {
-            hold_ms: hold_ms as u64,
-            hedge_ms: (scale * HEDGE_DELAY_SHARE) as u64,
-            step_ms: (scale * HEDGE_INTERVAL_SHARE) as u64,
+            long_poll_ms: hold_ms as u64,
+            hedge_delay_ms: (scale * HEDGE_DELAY_SHARE) as u64,
+            hedge_interval_ms: (scale * HEDGE_INTERVAL_SHARE) as u64,
         }
     }
 
     /// Time-out of a request to one keeper, in ms. A keeper may be delayed for as long as an
     /// election takes.
-    pub fn patience_ms(&self) -> u64 {
-        self.hedge_ms + 2 * self.step_ms
+    pub fn timeout_ms(&self) -> u64 {
+        self.hedge_delay_ms + 2 * self.hedge_interval_ms
     }
 
     /// Maximum delay of a change, in ms, with this many unresponsive keepers, all of them queried
     /// before the one that answers.
-    pub fn worst_ms(&self, unresponsive: u64) -> u64 {
+    pub fn max_delay_ms(&self, unresponsive: u64) -> u64 {
         let until_queried_ms = match unresponsive {
             0 => 0,
-            _ => self.hedge_ms + (unresponsive - 1) * self.step_ms,
+            _ => self.hedge_delay_ms + (unresponsive - 1) * self.hedge_interval_ms,
         };
         until_queried_ms + CONFIRMATION_MS
     }
--- a/clayplank-members/src/keeper_choice.rs
+++ b/clayplank-members/src/keeper_ranking.rs
@@ -27,12 +27,12 @@
 
 /// The ranking of keepers by one entry host, with the back-off of those that failed.
 #[derive(Debug)]
-pub struct KeeperChoice {
+pub struct KeeperRanking {
     local: HostId,
     backoffs: HashMap<HostId, Backoff>,
 }
 
-impl KeeperChoice {
+impl KeeperRanking {
     /// Creates the ranking of host `local`, with no keeper in back-off.
     pub fn new(local: HostId) -> Self {
         Self { local, backoffs: HashMap::new() }
@@ -40,7 +40,7 @@
 
     /// Returns the keepers in the order in which to query them: first those without back-off by
     /// rank, then those in back-off by the end of it.
-    pub fn order(&self, keepers: &[HostId]) -> Vec<HostId> {
+    pub fn ranked(&self, keepers: &[HostId]) -> Vec<HostId> {
         let retry_at = |keeper: &HostId| self.backoffs.get(keeper).map(|backoff| backoff.until_ms);
         let rank = |keeper: &HostId| weigh(self.local.as_str(), keeper);
         let mut order = keepers.to_vec();
@@ -50,7 +50,7 @@
 
     /// Returns the keepers whose back-off has expired, for a retry. They stay in back-off until
     /// they have answered, and are returned again only after a further delay.
-    pub fn take_due(&mut self, now_ms: u64, keepers: &[HostId]) -> Vec<HostId> {
+    pub fn take_retries(&mut self, now_ms: u64, keepers: &[HostId]) -> Vec<HostId> {
         let mut due = Vec::new();
         for keeper in keepers {
             let Some(backoff) = self.backoffs.get_mut(keeper) else {
@@ -65,14 +65,14 @@
     }
 
     /// Records that a keeper did not answer, or is not in contact with a leader.
-    pub fn note_failed(&mut self, now_ms: u64, keeper: HostId) {
+    pub fn record_failure(&mut self, now_ms: u64, keeper: HostId) {
         let previous_ms = self.backoffs.get(&keeper).map_or(0, |backoff| backoff.delay_ms);
         let delay_ms = (2 * previous_ms).clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
         self.backoffs.insert(keeper, Backoff { until_ms: now_ms + delay_ms, delay_ms });
     }
 
     /// Records that a keeper confirmed its state, or is in contact with a leader.
-    pub fn note_answered(&mut self, keeper: &HostId) {
+    pub fn record_success(&mut self, keeper: &HostId) {
         self.backoffs.remove(keeper);
     }
 }
--- a/clayplank-members/src/keeper_search.rs
+++ b/clayplank-members/src/keeper_search.rs
@@ -43,29 +43,32 @@
 
 impl KnownKeepers {
     /// Creates the view of host `local` from bootstrap hosts, which need not be keepers.
-    pub fn of_seeds(local: HostId, bootstrap_hosts: impl IntoIterator<Item = HostId>) -> Self {
+    pub fn from_bootstrap_hosts(
+        local: HostId,
+        bootstrap_hosts: impl IntoIterator<Item = HostId>,
+    ) -> Self {
         let mut known = Self { local: Some(local), ..Self::default() };
-        known.set_seeds(bootstrap_hosts);
+        known.set_bootstrap_hosts(bootstrap_hosts);
         known
     }
 
     /// Creates the view of a host whose settings list all keepers.
-    pub fn of_keepers(keepers: impl IntoIterator<Item = HostId>) -> Self {
+    pub fn from_keepers(keepers: impl IntoIterator<Item = HostId>) -> Self {
         Self { keepers: keepers.into_iter().collect(), ..Self::default() }
     }
 
     /// Replaces the bootstrap hosts after a change of the settings. The previous ones remain
     /// contacts.
-    pub fn set_seeds(&mut self, bootstrap_hosts: impl IntoIterator<Item = HostId>) {
+    pub fn set_bootstrap_hosts(&mut self, bootstrap_hosts: impl IntoIterator<Item = HostId>) {
         let local = self.local.clone();
         let bootstrap_hosts =
             bootstrap_hosts.into_iter().filter(|host| Some(host) != local.as_ref()).collect();
         let previous = std::mem::replace(&mut self.bootstrap_hosts, bootstrap_hosts);
-        previous.into_iter().for_each(|host| self.learn_contact(host));
+        previous.into_iter().for_each(|host| self.add_contact(host));
     }
 
     /// The bootstrap hosts from the settings.
-    pub fn seeds(&self) -> &[HostId] {
+    pub fn bootstrap_hosts(&self) -> &[HostId] {
         &self.bootstrap_hosts
     }
 
@@ -82,12 +85,12 @@
             return;
         }
         let previous = std::mem::replace(&mut self.keepers, keepers);
-        previous.into_iter().for_each(|host| self.learn_contact(host));
+        previous.into_iter().for_each(|host| self.add_contact(host));
         self.contacts.retain(|contact| !self.keepers.contains(contact));
     }
 
     /// Adds keepers reported by other hosts; returns whether one of them was new.
-    pub fn learn_keepers(&mut self, hosts: impl IntoIterator<Item = HostId>) -> bool {
+    pub fn add_keepers(&mut self, hosts: impl IntoIterator<Item = HostId>) -> bool {
         let before = self.keepers.len();
         for host in hosts {
             if self.keepers.len() < MAX_KEEPERS && !self.keepers.contains(&host) {
@@ -99,7 +102,7 @@
     }
 
     /// Adds a host that may know keepers. The oldest contact is evicted if there are too many.
-    pub fn learn_contact(&mut self, host: HostId) {
+    pub fn add_contact(&mut self, host: HostId) {
         let is_known = self.local.as_ref() == Some(&host)
             || self.bootstrap_hosts.contains(&host)
             || self.keepers.contains(&host);
@@ -123,7 +126,7 @@
 
     /// A random selection of hosts that may know keepers, to send to a host that searches. Empty if
     /// keepers are known, as those are sent instead.
-    pub fn named_contacts(&self, rng: &mut impl Rng) -> Vec<HostId> {
+    pub fn sample_contacts(&self, rng: &mut impl Rng) -> Vec<HostId> {
         if !self.keepers.is_empty() {
             return Vec::new();
         }
@@ -137,14 +140,14 @@
 
     /// Sets the leader, and adds it to the keepers; returns the previous leader.
     pub fn set_leader(&mut self, leader: HostId) -> Option<HostId> {
-        self.learn_keepers([leader.clone()]);
+        self.add_keepers([leader.clone()]);
         self.leader.replace(leader)
     }
 
     /// The next host to query for the leader: keepers in random order with the last known leader
     /// after the others, then bootstrap hosts, then other contacts. Hosts learned from earlier
     /// queries of the same search are included.
-    pub fn next_to_ask(&self, queried: &HashSet<HostId>, rng: &mut impl Rng) -> Option<HostId> {
+    pub fn next_to_query(&self, queried: &HashSet<HostId>, rng: &mut impl Rng) -> Option<HostId> {
         let was_queried = |host: &&HostId| queried.contains(*host);
         let mut keepers: Vec<_> = self.keepers.iter().filter(|host| !was_queried(host)).collect();
         let queried_keepers = self.keepers.len() - keepers.len();
--- a/clayplank-members/src/lib.rs
+++ b/clayplank-members/src/lib.rs
@@ -16,15 +16,15 @@
 //! assert!(members.owner_of(&PoolId::new("p"), &DataCentre::new("hall-1")).is_some());
 //! ```
 
-mod follow_times;
-mod keeper_choice;
+mod follow_timeouts;
+mod keeper_ranking;
 mod keeper_search;
 mod members;
 mod rendezvous;
 mod update;
 
-pub use follow_times::FollowTimes;
-pub use keeper_choice::KeeperChoice;
+pub use follow_timeouts::FollowTimeouts;
+pub use keeper_ranking::KeeperRanking;
 pub use keeper_search::KnownKeepers;
-pub use members::{Effect, Members, Timing};
-pub use update::{Rumour, Status};
+pub use members::{FailureDetectorTiming, Members, ProbeAction};
+pub use update::{MemberUpdate, Status};
--- a/clayplank-members/src/members.rs
+++ b/clayplank-members/src/members.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::rendezvous::choose_owner;
-use crate::update::{Rumour, Status};
+use crate::update::{MemberUpdate, Status};
 
 /// Peers that are requested to probe a host indirectly after it missed a direct probe.
 const INDIRECT_PROBES: usize = 2;
@@ -22,14 +22,14 @@
 
 /// Time-outs of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Timing {
+pub struct FailureDetectorTiming {
     /// Interval between two probes sent by one host, in ms.
     pub probe_interval_ms: u64,
     /// Time from the suspicion of a host until it is declared dead, in ms.
     pub suspect_ms: u64,
 }
 
-impl Default for Timing {
+impl Default for FailureDetectorTiming {
     fn default() -> Self {
         Self { probe_interval_ms: 500, suspect_ms: 2_000 }
     }
@@ -37,7 +37,7 @@
 
 /// A network operation that the caller of this package has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum ProbeAction {
     /// Send a probe to this host.
     Probe(HostId),
     /// Request that `via` probe `target`.
@@ -67,7 +67,7 @@
 pub struct Members {
     local: HostId,
     members: BTreeMap<HostId, Member>,
-    timing: Timing,
+    timing: FailureDetectorTiming,
     next_probe_ms: u64,
     probe_queue: Vec<HostId>,
     rng: SmallRng,
@@ -80,7 +80,7 @@
         local: HostId,
         incarnation: Incarnation,
         hosts: impl IntoIterator<Item = (HostId, DataCentre)>,
-        timing: Timing,
+        timing: FailureDetectorTiming,
         now_ms: u64,
     ) -> Self {
         let member = |data_centre| Member {
@@ -128,7 +128,7 @@
     }
 
     /// Announces that the local host is departing. This holds until its next incarnation.
-    pub fn leave(&mut self) {
+    pub fn announce_departure(&mut self) {
         let version = self.members.get(&self.local).map_or(0, |member| member.version);
         self.set_local(version, Status::Leaving);
     }
@@ -143,14 +143,14 @@
     }
 
     /// Declares hosts dead whose suspicion has timed out, and starts the next probe if it is due.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<Effect> {
+    pub fn tick(&mut self, now_ms: u64) -> Vec<ProbeAction> {
         self.declare_suspects_dead(now_ms);
         if now_ms < self.next_probe_ms {
             return Vec::new();
         }
         // After a suspension of the process, missed probes are not made up for.
         self.next_probe_ms = now_ms + self.timing.probe_interval_ms;
-        self.next_probe_target().map(Effect::Probe).into_iter().collect()
+        self.next_probe_target().map(ProbeAction::Probe).into_iter().collect()
     }
 
     fn declare_suspects_dead(&mut self, now_ms: u64) {
@@ -177,7 +177,7 @@
     }
 
     /// Records that a host answered a direct or an indirect probe.
-    pub fn note_reached(&mut self, host: &HostId) {
+    pub fn record_ack(&mut self, host: &HostId) {
         let max_transmissions = self.max_transmissions();
         if let Some(member) = self.members.get_mut(host) {
             member.pending_indirect_probes = 0;
@@ -189,7 +189,7 @@
     }
 
     /// Records that a host missed a direct probe; returns the indirect probes to request.
-    pub fn note_missed(&mut self, now_ms: u64, target: &HostId) -> Vec<Effect> {
+    pub fn record_missed_probe(&mut self, now_ms: u64, target: &HostId) -> Vec<ProbeAction> {
         if self.status(target) != Some(Status::Live) {
             return Vec::new();
         }
@@ -203,11 +203,14 @@
         if selected.is_empty() {
             self.suspect(now_ms, target);
         }
-        selected.into_iter().map(|via| Effect::ProbeVia { via, target: target.clone() }).collect()
+        selected
+            .into_iter()
+            .map(|via| ProbeAction::ProbeVia { via, target: target.clone() })
+            .collect()
     }
 
     /// Records that an indirect probe of the target failed too.
-    pub fn note_missed_via(&mut self, now_ms: u64, target: &HostId) {
+    pub fn record_missed_indirect_probe(&mut self, now_ms: u64, target: &HostId) {
         let Some(member) =
             self.members.get_mut(target).filter(|member| member.pending_indirect_probes > 0)
         else {
@@ -232,7 +235,7 @@
     }
 
     /// Takes the updates to piggyback on the next probe or reply, the least transmitted first.
-    pub fn take_rumours(&mut self) -> Vec<Rumour> {
+    pub fn take_updates(&mut self) -> Vec<MemberUpdate> {
         let mut pending: Vec<_> =
             self.members.iter().filter(|(_, member)| member.transmissions_left > 0).collect();
         pending.sort_by_key(|(_, member)| std::cmp::Reverse(member.transmissions_left));
@@ -252,19 +255,19 @@
         selected.iter().filter_map(|host| self.update_of(host)).collect()
     }
 
-    fn update_of(&self, host: &HostId) -> Option<Rumour> {
+    fn update_of(&self, host: &HostId) -> Option<MemberUpdate> {
         let member = self.members.get(host)?;
-        Some(Rumour { host: host.clone(), version: member.version, status: member.status })
+        Some(MemberUpdate { host: host.clone(), version: member.version, status: member.status })
     }
 
     /// The update to send to a host that this view holds for suspect, departing or dead, so that it
     /// can refute it; `None` if the host is live or unknown.
-    pub fn rumour_for(&self, host: &HostId) -> Option<Rumour> {
+    pub fn refutable_update_for(&self, host: &HostId) -> Option<MemberUpdate> {
         self.update_of(host).filter(|update| update.status != Status::Live)
     }
 
     /// Applies updates received from a peer, and refutes those about the local host.
-    pub fn apply_rumours(&mut self, now_ms: u64, updates: &[Rumour]) {
+    pub fn apply_updates(&mut self, now_ms: u64, updates: &[MemberUpdate]) {
         for update in updates {
             if update.host == self.local {
                 self.refute(update);
@@ -274,7 +277,7 @@
         }
     }
 
-    fn refute(&mut self, update: &Rumour) {
+    fn refute(&mut self, update: &MemberUpdate) {
         let Some(local) = self.members.get(&self.local) else {
             return;
         };
@@ -284,7 +287,7 @@
         }
     }
 
-    fn apply_update(&mut self, now_ms: u64, update: &Rumour) {
+    fn apply_update(&mut self, now_ms: u64, update: &MemberUpdate) {
         let max_transmissions = self.max_transmissions();
         let Some(member) = self.members.get_mut(&update.host) else {
             return;
@@ -301,7 +304,7 @@
     }
 
     /// Applies a notice of the platform that a host is departing.
-    pub fn apply_platform_leaving(&mut self, host: &HostId) {
+    pub fn apply_platform_departure(&mut self, host: &HostId) {
         let max_transmissions = self.max_transmissions();
         if let Some(member) =
             self.members.get_mut(host).filter(|member| member.status < Status::Leaving)
--- a/clayplank-members/src/update.rs
+++ b/clayplank-members/src/update.rs
@@ -20,7 +20,7 @@
 
 /// A membership update: the status of one host, as it spreads by gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumour {
+pub struct MemberUpdate {
     /// The host that the update is about.
     pub host: HostId,
     /// Version of the host's state, incremented by that host alone: it starts at its incarnation
@@ -30,7 +30,7 @@
     pub status: Status,
 }
 
-impl Rumour {
+impl MemberUpdate {
     /// Whether this update supersedes a known state with this version and status.
     pub(crate) fn beats(&self, version: u64, status: Status) -> bool {
         (self.version, self.status) > (version, status)
--- a/clayplank-members/tests/keeper_choice.rs
+++ b/clayplank-members/tests/keeper_ranking.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use clayplank_members::KeeperChoice;
+use clayplank_members::KeeperRanking;
 use clayplank_types::HostId;
 use rstest::rstest;
 
@@ -13,16 +13,16 @@
 }
 
 /// The keeper that a host follows.
-fn followed_keeper(choice: &KeeperChoice, keepers: &[HostId]) -> HostId {
-    choice.order(keepers).remove(0)
+fn followed_keeper(choice: &KeeperRanking, keepers: &[HostId]) -> HostId {
+    choice.ranked(keepers).remove(0)
 }
 
-fn choices(hosts: usize) -> Vec<KeeperChoice> {
-    (0..hosts).map(|number| KeeperChoice::new(HostId::new(format!("10.9.{number}.7")))).collect()
+fn choices(hosts: usize) -> Vec<KeeperRanking> {
+    (0..hosts).map(|number| KeeperRanking::new(HostId::new(format!("10.9.{number}.7")))).collect()
 }
 
 /// Number of hosts that follow each keeper.
-fn spread(choices: &[KeeperChoice], keepers: &[HostId]) -> BTreeMap<HostId, usize> {
+fn spread(choices: &[KeeperRanking], keepers: &[HostId]) -> BTreeMap<HostId, usize> {
     let mut spread = BTreeMap::new();
     for choice in choices {
         *spread.entry(followed_keeper(choice, keepers)).or_default() += 1;
@@ -48,7 +48,7 @@
     let failed = &keepers[3];
     for choice in &mut choices {
         if followed_keeper(choice, &keepers) == *failed {
-            choice.note_failed(0, failed.clone());
+            choice.record_failure(0, failed.clone());
         }
     }
     let during_failure = spread(&choices, &keepers);
@@ -58,9 +58,9 @@
         assert!(more < 2 * before[failed] / 9 + 5, "{keeper:?} gets {more} more");
     }
     for choice in &mut choices {
-        let due = choice.take_due(10_000, &keepers);
+        let due = choice.take_retries(10_000, &keepers);
         assert!(due.iter().all(|keeper| keeper == failed), "{due:?}");
-        due.iter().for_each(|keeper| choice.note_answered(keeper));
+        due.iter().for_each(|keeper| choice.record_success(keeper));
     }
     assert_eq!(spread(&choices, &keepers), before, "it was retried and answered");
 }
@@ -68,45 +68,45 @@
 #[test]
 fn a_keeper_in_backoff_is_followed_only_after_it_has_answered() {
     let keepers = keepers(3);
-    let mut choice = KeeperChoice::new(HostId::new("host"));
+    let mut choice = KeeperRanking::new(HostId::new("host"));
     let failed = followed_keeper(&choice, &keepers);
-    choice.note_failed(0, failed.clone());
+    choice.record_failure(0, failed.clone());
     let followed = followed_keeper(&choice, &keepers);
-    assert_eq!(choice.take_due(999, &keepers), []);
-    assert_eq!(choice.take_due(1_000, &keepers), std::slice::from_ref(&failed));
-    assert_eq!(choice.take_due(1_001, &keepers), [], "it is being retried");
+    assert_eq!(choice.take_retries(999, &keepers), []);
+    assert_eq!(choice.take_retries(1_000, &keepers), std::slice::from_ref(&failed));
+    assert_eq!(choice.take_retries(1_001, &keepers), [], "it is being retried");
     assert_eq!(followed_keeper(&choice, &keepers), followed);
-    choice.note_answered(&failed);
+    choice.record_success(&failed);
     assert_eq!(followed_keeper(&choice, &keepers), failed);
 }
 
 #[test]
 fn a_keeper_that_fails_repeatedly_is_retried_with_growing_delays() {
     let keepers = keepers(2);
-    let mut choice = KeeperChoice::new(HostId::new("host"));
+    let mut choice = KeeperRanking::new(HostId::new("host"));
     let failed = followed_keeper(&choice, &keepers);
-    choice.note_failed(0, failed.clone());
+    choice.record_failure(0, failed.clone());
     let (mut now_ms, mut retries) = (0, 1);
     while now_ms < 120_000 {
-        for keeper in choice.take_due(now_ms, &keepers) {
+        for keeper in choice.take_retries(now_ms, &keepers) {
             assert_eq!(keeper, failed);
             retries += 1;
-            choice.note_failed(now_ms, keeper);
+            choice.record_failure(now_ms, keeper);
         }
         now_ms += 100;
     }
     assert!((5..=9).contains(&retries), "{retries} times in two minutes");
-    choice.note_answered(&failed);
+    choice.record_success(&failed);
     assert_eq!(followed_keeper(&choice, &keepers), failed);
 }
 
 #[test]
 fn keepers_that_all_failed_are_ordered_by_the_end_of_their_backoff() {
     let keepers = keepers(3);
-    let mut choice = KeeperChoice::new(HostId::new("host"));
+    let mut choice = KeeperRanking::new(HostId::new("host"));
     for (number, keeper) in keepers.iter().enumerate() {
-        choice.note_failed(100 * number as u64, keeper.clone());
+        choice.record_failure(100 * number as u64, keeper.clone());
     }
-    assert_eq!(choice.order(&keepers), keepers);
-    assert!(KeeperChoice::new(HostId::new("host")).order(&[]).is_empty());
+    assert_eq!(choice.ranked(&keepers), keepers);
+    assert!(KeeperRanking::new(HostId::new("host")).ranked(&[]).is_empty());
 }
--- a/clayplank-members/tests/keeper_search.rs
+++ b/clayplank-members/tests/keeper_search.rs
@@ -70,7 +70,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let known = (0..hosts)
             .map(|at| {
-                KnownKeepers::of_seeds(
+                KnownKeepers::from_bootstrap_hosts(
                     host(at),
                     draw_bootstrap_hosts(&mut rng, bootstrap, at, hosts),
                 )
@@ -82,11 +82,14 @@
 
     /// Whether a host has a running bootstrap host, or is the bootstrap host of a running one.
     fn is_connected(&self, local: usize) -> bool {
-        let knows_running_host =
-            self.known[local].seeds().iter().any(|bootstrap| !self.is_down[number(bootstrap)]);
+        let knows_running_host = self.known[local]
+            .bootstrap_hosts()
+            .iter()
+            .any(|bootstrap| !self.is_down[number(bootstrap)]);
         knows_running_host
-            || (0..self.known.len())
-                .any(|at| !self.is_down[at] && self.known[at].seeds().contains(&host(local)))
+            || (0..self.known.len()).any(|at| {
+                !self.is_down[at] && self.known[at].bootstrap_hosts().contains(&host(local))
+            })
     }
 
     /// Keepers announce themselves to their bootstrap hosts and contacts.
@@ -94,7 +97,7 @@
         for keeper in 0..KEEPERS {
             let contacts: Vec<_> = self.known[keeper].contacts().map(number).collect();
             for at in contacts.into_iter().filter(|at| *at >= KEEPERS) {
-                self.known[at].learn_keepers([host(keeper)]);
+                self.known[at].add_keepers([host(keeper)]);
             }
         }
     }
@@ -102,10 +105,10 @@
     /// A host that has found its first keeper reports it to its bootstrap hosts.
     fn report_keepers(&mut self, local: usize) {
         let keepers = self.known[local].keepers().to_vec();
-        for bootstrap in self.known[local].seeds().to_vec() {
+        for bootstrap in self.known[local].bootstrap_hosts().to_vec() {
             let at = number(&bootstrap);
             if !self.is_down[at] {
-                self.known[at].learn_keepers(keepers.iter().cloned());
+                self.known[at].add_keepers(keepers.iter().cloned());
             }
         }
     }
@@ -114,7 +117,7 @@
     /// queried.
     fn search(&mut self, local: usize) -> (bool, usize) {
         let mut queried = HashSet::new();
-        while let Some(target) = self.known[local].next_to_ask(&queried, &mut self.rng) {
+        while let Some(target) = self.known[local].next_to_query(&queried, &mut self.rng) {
             queried.insert(target.clone());
             let at = number(&target);
             if self.is_down[at] {
@@ -125,11 +128,11 @@
                 self.report_keepers(local);
                 return (true, queried.len());
             }
-            self.known[at].learn_contact(host(local));
+            self.known[at].add_contact(host(local));
             let keepers = self.known[at].keepers().to_vec();
-            let contacts = self.known[at].named_contacts(&mut self.rng);
-            self.known[local].learn_keepers(keepers);
-            contacts.into_iter().for_each(|contact| self.known[local].learn_contact(contact));
+            let contacts = self.known[at].sample_contacts(&mut self.rng);
+            self.known[local].add_keepers(keepers);
+            contacts.into_iter().for_each(|contact| self.known[local].add_contact(contact));
         }
         (false, queried.len())
     }
@@ -169,13 +172,13 @@
 
 #[test]
 fn contacts_are_bounded_and_bootstrap_hosts_are_retained() {
-    let mut known = KnownKeepers::of_seeds(host(0), [host(0), host(1), host(2)]);
-    (3..500).for_each(|at| known.learn_contact(host(at)));
+    let mut known = KnownKeepers::from_bootstrap_hosts(host(0), [host(0), host(1), host(2)]);
+    (3..500).for_each(|at| known.add_contact(host(at)));
     let contacts: Vec<_> = known.contacts().map(number).collect();
     assert_eq!(contacts[..2], [1, 2], "without the host itself");
     assert_eq!(contacts.last(), Some(&499));
     assert!(contacts.len() < 20, "{}", contacts.len());
-    known.set_seeds([host(9)]);
+    known.set_bootstrap_hosts([host(9)]);
     let contacts: Vec<_> = known.contacts().map(number).collect();
     assert_eq!(contacts[0], 9);
     assert!(contacts.contains(&1), "a former bootstrap host stays a contact");
@@ -184,13 +187,13 @@
 #[test]
 fn keepers_are_queried_first_and_the_last_leader_after_the_other_keepers() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut known = KnownKeepers::of_seeds(host(0), [host(1)]);
-    known.learn_keepers([host(2), host(3)]);
+    let mut known = KnownKeepers::from_bootstrap_hosts(host(0), [host(1)]);
+    known.add_keepers([host(2), host(3)]);
     known.set_leader(host(4));
-    known.learn_contact(host(5));
+    known.add_contact(host(5));
     let mut queried = HashSet::new();
     let mut order = Vec::new();
-    while let Some(next) = known.next_to_ask(&queried, &mut rng) {
+    while let Some(next) = known.next_to_query(&queried, &mut rng) {
         order.push(number(&next));
         queried.insert(next);
     }
@@ -200,9 +203,9 @@
 
 #[test]
 fn replaced_keepers_remain_only_as_contacts() {
-    let mut known = KnownKeepers::of_seeds(host(0), [host(1)]);
+    let mut known = KnownKeepers::from_bootstrap_hosts(host(0), [host(1)]);
     for newest in 10..500 {
-        known.learn_keepers([host(newest)]);
+        known.add_keepers([host(newest)]);
         known.set_keepers([host(newest - 2), host(newest - 1), host(newest)]);
     }
     let keepers: Vec<_> = known.keepers().iter().map(number).collect();
@@ -216,12 +219,12 @@
 #[test]
 fn repeated_searches_query_each_of_many_keepers() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut known = KnownKeepers::of_seeds(host(0), []);
-    known.learn_keepers((1..=60).map(host));
+    let mut known = KnownKeepers::from_bootstrap_hosts(host(0), []);
+    known.add_keepers((1..=60).map(host));
     let mut found = HashSet::new();
     for _ in 0..40 {
         let mut queried = HashSet::new();
-        while let Some(next) = known.next_to_ask(&queried, &mut rng) {
+        while let Some(next) = known.next_to_query(&queried, &mut rng) {
             queried.insert(next);
         }
         assert!(queried.len() <= 16, "{}", queried.len());
--- a/clayplank-wire/tests/broken_bytes.rs
+++ b/clayplank-wire/tests/broken_bytes.rs
@@ -5,7 +5,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use clayplank_agreement::{Configuration, Envelope, Introduction, ReplicaId};
-use clayplank_members::Rumour;
+use clayplank_members::MemberUpdate;
 use clayplank_placement::{Ask, Event, Placed, PlacementId, Renewed};
 use clayplank_registry::{Buckets, Changes, Cursor, Digest, Heartbeat, Record};
 use clayplank_state::{
@@ -27,7 +27,7 @@
     read::<Introduction>(bytes);
     read::<ReplicaId>(bytes);
     read::<Configuration>(bytes);
-    read::<Vec<Rumour>>(bytes);
+    read::<Vec<MemberUpdate>>(bytes);
     read::<Ask>(bytes);
     read::<Placed>(bytes);
     read::<Vec<Renewed>>(bytes);
--- a/clayplankd/src/follow/exchange.rs
+++ b/clayplankd/src/follow/exchange.rs
@@ -56,7 +56,7 @@
         let mut sent = SentRequests::new();
         let mut failures = Vec::new();
         let mut unqueried = ranked_keepers.iter().peekable();
-        let mut wait_ms = times.hedge_ms;
+        let mut wait_ms = times.hedge_delay_ms;
         let mut hedges = 0;
         loop {
             if let Some(keeper) = unqueried.next_if(|_| hedges <= MAX_HEDGES) {
@@ -69,13 +69,13 @@
             }
             match clayplank_clock::timeout(millis(wait_ms), pending.next()).await {
                 Ok(Some(Ok(answer))) => {
-                    failures.extend(unresponsive(&sent, &failures, &answer, times.hedge_ms));
+                    failures.extend(unresponsive(&sent, &failures, &answer, times.hedge_delay_ms));
                     return ExchangeResult { answer: Some(answer), failures };
                 }
                 Ok(Some(Err(failure))) => failures.push(failure),
                 Ok(None) => {}
                 Err(_) => {
-                    wait_ms = times.step_ms;
+                    wait_ms = times.hedge_interval_ms;
                     hedges += 1;
                 }
             }
@@ -99,7 +99,7 @@
         let Some(request) = self.request(keeper, position, is_hedge) else {
             return Err(failure(ExchangeOutcome::Failed, "the request cannot be encoded"));
         };
-        let timeout = millis(self.times().patience_ms());
+        let timeout = millis(self.times().timeout_ms());
         let call = self
             .keepers
             .peers()
--- a/clayplankd/src/follow/following.rs
+++ b/clayplankd/src/follow/following.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use clayplank_forward::{Directory, Entry, Gate};
-use clayplank_members::{FollowTimes, KeeperChoice};
+use clayplank_members::{FollowTimeouts, KeeperRanking};
 use clayplank_registry::{Buckets, Changes, Cursor, LimitChanges, LimitUpdateResult, Record};
 use clayplank_routes::PlanIndex;
 use clayplank_state::{
@@ -68,7 +68,7 @@
 /// Follows the keepers until the task is dropped.
 pub(crate) async fn run_following(following: Following) {
     let mut position = Position::default();
-    let mut choice = KeeperChoice::new(following.host.clone());
+    let mut choice = KeeperRanking::new(following.host.clone());
     let mut log = FollowLog::new(Arc::clone(&following.figures));
     let mut leader_changes = following.keepers.subscribe();
     let mut probes = JoinSet::new();
@@ -77,14 +77,14 @@
         record_probes(&mut probes, &mut choice);
         let keepers = following.keepers.hosts();
         following.figures.set_keepers(keepers.len());
-        following.start_probes(&mut probes, choice.take_due(now_ms(), &keepers));
-        let outcome = following.exchange(&choice.order(&keepers), &position).await;
+        following.start_probes(&mut probes, choice.take_retries(now_ms(), &keepers));
+        let outcome = following.exchange(&choice.ranked(&keepers), &position).await;
         for failure in &outcome.failures {
             following.record_failure(failure, outcome.answer.is_some(), &mut choice, &mut log);
         }
         if let Some(answer) = outcome.answer {
             failed_exchanges = 0;
-            choice.note_answered(&answer.keeper);
+            choice.record_success(&answer.keeper);
             position.keeper = Some(answer.keeper);
             following.apply_answer(&mut position, &mut log, &answer.followed, answer.requested_ms);
             continue;
@@ -97,11 +97,11 @@
 }
 
 /// Records which of the probed keepers hear a leader.
-fn record_probes(probes: &mut JoinSet<(HostId, bool)>, choice: &mut KeeperChoice) {
+fn record_probes(probes: &mut JoinSet<(HostId, bool)>, choice: &mut KeeperRanking) {
     while let Some(probed) = probes.try_join_next() {
         match probed {
-            Ok((keeper, true)) => choice.note_answered(&keeper),
-            Ok((keeper, false)) => choice.note_failed(now_ms(), keeper),
+            Ok((keeper, true)) => choice.record_success(&keeper),
+            Ok((keeper, false)) => choice.record_failure(now_ms(), keeper),
             // The keeper stays suspect, and is probed again.
             Err(error) => {
                 log::error!(target: part::SETTINGS, "A keeper probe task failed: {error}")
@@ -115,7 +115,7 @@
 async fn wait_for_leader(
     pause_ms: u64,
     leader_changes: &mut watch::Receiver<Option<HostId>>,
-    choice: &mut KeeperChoice,
+    choice: &mut KeeperRanking,
 ) {
     let pause = clayplank_clock::sleep(millis(rand::random_range(0..pause_ms)));
     tokio::select! {
@@ -123,7 +123,7 @@
         // The channel stays open as long as the host runs.
         _ = leader_changes.changed() => {
             if let Some(leader) = &*leader_changes.borrow_and_update() {
-                choice.note_answered(leader);
+                choice.record_success(leader);
             }
         }
     }
@@ -131,8 +131,8 @@
 
 impl Following {
     /// Time-outs of requests to keepers, derived from the time within which a change must be in force.
-    pub(crate) fn times(&self) -> FollowTimes {
-        FollowTimes::of_bound(self.apply_ms.load(Ordering::SeqCst))
+    pub(crate) fn times(&self) -> FollowTimeouts {
+        FollowTimeouts::for_bound(self.apply_ms.load(Ordering::SeqCst))
     }
 
     /// Probes the suspect keepers that are due, concurrently with the followed one: whether they hear a
@@ -153,7 +153,7 @@
         &self,
         failure: &Failure,
         has_answer: bool,
-        choice: &mut KeeperChoice,
+        choice: &mut KeeperRanking,
         log: &mut FollowLog,
     ) {
         let Failure { keeper, requested_ms, outcome, cause } = failure;
@@ -162,7 +162,7 @@
             self.suspect_if_leader(keeper);
         }
         if has_answer || *outcome == ExchangeOutcome::Failed {
-            choice.note_failed(now_ms(), keeper.clone());
+            choice.record_failure(now_ms(), keeper.clone());
         }
     }
 
--- a/clayplankd/src/follow/relay.rs
+++ b/clayplankd/src/follow/relay.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clayplank_members::FollowTimes;
+use clayplank_members::FollowTimeouts;
 use clayplank_placement::Renewed;
 use clayplank_registry::{Buckets, Changes, Cursor, LimitChanges};
 use clayplank_state::{CodecError, Delta, PackError, decode, encode, unpack};
@@ -97,7 +97,7 @@
     fleet: Arc<FleetKeeper>,
     peers: Peers,
     applied: watch::Receiver<Applied>,
-    times: FollowTimes,
+    times: FollowTimeouts,
     /// Notified when a follower waits for a round.
     round_requested: Notify,
     confirmed: watch::Sender<Confirmed>,
@@ -142,7 +142,7 @@
         fleet: Arc<FleetKeeper>,
         peers: Peers,
         applied: watch::Receiver<Applied>,
-        times: FollowTimes,
+        times: FollowTimeouts,
     ) -> Self {
         Self {
             local_host,
@@ -196,7 +196,7 @@
             }
         };
         // After the time-out the follower is answered without updates.
-        clayplank_clock::timeout(millis(self.times.hold_ms), updates).await.ok();
+        clayplank_clock::timeout(millis(self.times.long_poll_ms), updates).await.ok();
     }
 
     /// The newest started round.
--- a/clayplankd/src/keepers/keeper_client.rs
+++ b/clayplankd/src/keepers/keeper_client.rs
@@ -97,17 +97,17 @@
 impl KeeperClient {
     pub(crate) fn new(settings: &HostSettings, peers: Peers) -> Self {
         let keepers = settings.hosts.iter().filter(|entry| entry.keeper);
-        let keepers = KnownKeepers::of_keepers(keepers.map(|entry| entry.host.clone()));
+        let keepers = KnownKeepers::from_keepers(keepers.map(|entry| entry.host.clone()));
         Self::from_known(None, keepers, peers)
     }
 
     /// Creates a client from bootstrap addresses: hosts that are keepers or may know some.
-    pub(crate) fn of_seeds(
+    pub(crate) fn from_bootstrap_hosts(
         local_host: HostId,
         seeds: impl IntoIterator<Item = HostId>,
         peers: Peers,
     ) -> Self {
-        let keepers = KnownKeepers::of_seeds(local_host.clone(), seeds);
+        let keepers = KnownKeepers::from_bootstrap_hosts(local_host.clone(), seeds);
         Self::from_known(Some(local_host), keepers, peers)
     }
 
@@ -123,8 +123,8 @@
     }
 
     /// Replaces the bootstrap addresses by those that the settings now name.
-    pub(crate) fn set_seeds(&self, seeds: impl IntoIterator<Item = HostId>) {
-        lock(&self.state).hosts.set_seeds(seeds);
+    pub(crate) fn set_bootstrap_hosts(&self, seeds: impl IntoIterator<Item = HostId>) {
+        lock(&self.state).hosts.set_bootstrap_hosts(seeds);
         self.hosts_learned.notify_one();
     }
 
@@ -135,7 +135,7 @@
 
     /// Adds keepers that peers know. A peer's list may be outdated, so no keeper is removed.
     pub(crate) fn learn(&self, keepers: impl IntoIterator<Item = HostId>) {
-        if lock(&self.state).hosts.learn_keepers(keepers) {
+        if lock(&self.state).hosts.add_keepers(keepers) {
             self.hosts_learned.notify_one();
         }
     }
@@ -143,7 +143,7 @@
     /// Adds hosts that may know keepers.
     pub(crate) fn learn_contacts(&self, hosts: impl IntoIterator<Item = HostId>) {
         let mut state = lock(&self.state);
-        hosts.into_iter().for_each(|host| state.hosts.learn_contact(host));
+        hosts.into_iter().for_each(|host| state.hosts.add_contact(host));
     }
 
     /// All known keepers.
@@ -157,8 +157,8 @@
     }
 
     /// The contacts to send to another host: a few of them, and only while no keeper is known.
-    pub(crate) fn named_contacts(&self) -> Vec<HostId> {
-        lock(&self.state).hosts.named_contacts(&mut rand::rng())
+    pub(crate) fn sample_contacts(&self) -> Vec<HostId> {
+        lock(&self.state).hosts.sample_contacts(&mut rand::rng())
     }
 
     /// The last known leader.
--- a/clayplankd/src/keepers/leader_search.rs
+++ b/clayplankd/src/keepers/leader_search.rs
@@ -61,7 +61,7 @@
 
     /// The next host to query, except those in `queried`.
     fn next_to_query(&self, queried: &HashSet<HostId>) -> Option<HostId> {
-        lock(&self.state).hosts.next_to_ask(queried, &mut rand::rng())
+        lock(&self.state).hosts.next_to_query(queried, &mut rand::rng())
     }
 
     /// Queries a host for the next leader that it hears from, and adds the keepers and contacts that it
@@ -97,7 +97,7 @@
     /// Sends the known keepers to the bootstrap addresses: other hosts may start from the same ones.
     async fn notify_bootstrap_hosts(self) {
         let request = self.find_leader_request(Duration::ZERO);
-        let bootstrap_hosts = lock(&self.state).hosts.seeds().to_vec();
+        let bootstrap_hosts = lock(&self.state).hosts.bootstrap_hosts().to_vec();
         let calls = bootstrap_hosts.iter().map(|host| {
             let request = request.clone();
             self.peers.call(host, LEADER_WAIT, |mut client| async move {
--- a/clayplankd/src/process/inner.rs
+++ b/clayplankd/src/process/inner.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clayplank_agreement::{Envelope, ReplicaId};
-use clayplank_members::Rumour;
+use clayplank_members::MemberUpdate;
 use clayplank_placement::{Ask, Event, PlacementId, Renewed};
 use clayplank_registry::{AgedLimit, Heartbeat};
 use clayplank_schedule::{GrantId, HeldGrant, Holder, Usage};
@@ -77,7 +77,7 @@
     }
 
     fn known_contacts(&self) -> Vec<String> {
-        names(&self.keepers.as_ref().map(KeeperClient::named_contacts).unwrap_or_default())
+        names(&self.keepers.as_ref().map(KeeperClient::sample_contacts).unwrap_or_default())
     }
 
     fn keeper(&self) -> Result<&Address<Keeper>, Status> {
@@ -246,7 +246,7 @@
 
     async fn probe(&self, request: Request<ProbeRequest>) -> RpcResult<ProbeReply> {
         let request = request.into_inner();
-        let rumours: Vec<Rumour> = decode(&request.gossip).map_err(malformed)?;
+        let rumours: Vec<MemberUpdate> = decode(&request.gossip).map_err(malformed)?;
         let membership = self.membership.as_ref();
         let membership = membership.ok_or_else(|| Status::unimplemented("no membership here"))?;
         let local_rumours = membership.send(Gossip(rumours)).await.map_err(actor_stopped)?;
--- a/clayplankd/src/process/membership.rs
+++ b/clayplankd/src/process/membership.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use clayplank_members::{Effect, Members, Rumour, Status, Timing};
+use clayplank_members::{FailureDetectorTiming, MemberUpdate, Members, ProbeAction, Status};
 use clayplank_settings::HostSettings;
 use clayplank_state::{decode, encode};
 use clayplank_types::{HostId, Incarnation, PoolId, UpstreamId};
@@ -59,7 +59,7 @@
     ) -> (Self, Arc<MembersView>) {
         let hosts =
             settings.hosts.iter().map(|entry| (entry.host.clone(), entry.data_centre.clone()));
-        let timing = Timing {
+        let timing = FailureDetectorTiming {
             probe_interval_ms: settings.timing.probe_interval_ms,
             suspect_ms: settings.timing.suspect_ms,
         };
@@ -82,22 +82,22 @@
         self.view.members.store(Arc::new(self.members.clone()));
     }
 
-    fn start_effect(&mut self, effect: Effect, context: &Context<Self>) {
+    fn start_effect(&mut self, effect: ProbeAction, context: &Context<Self>) {
         let Some(address) = context.mailbox().address().try_upgrade() else {
             return;
         };
         let (peers, timeout) = (self.peers.clone(), self.probe_timeout);
-        let mut rumours = self.members.take_rumours();
+        let mut rumours = self.members.take_updates();
         match effect {
-            Effect::Probe(target) => {
-                rumours.extend(self.members.rumour_for(&target));
+            ProbeAction::Probe(target) => {
+                rumours.extend(self.members.refutable_update_for(&target));
                 let request = self.probe_request("", &rumours);
                 tokio::spawn(async move {
                     let answer = probe(&peers, &target, request, timeout).await;
                     address.send(ProbeEnded { target, answer }).await.ok();
                 });
             }
-            Effect::ProbeVia { via, target } => {
+            ProbeAction::ProbeVia { via, target } => {
                 let request = self.probe_request(target.as_str(), &rumours);
                 tokio::spawn(async move {
                     let answer = probe(&peers, &via, request, timeout * 2).await;
@@ -108,7 +108,7 @@
         }
     }
 
-    fn probe_request(&self, via_target: &str, rumours: &[Rumour]) -> ProbeRequest {
+    fn probe_request(&self, via_target: &str, rumours: &[MemberUpdate]) -> ProbeRequest {
         ProbeRequest {
             from_host: self.local_host.to_string(),
             via_target: via_target.to_owned(),
@@ -124,7 +124,7 @@
     host: &HostId,
     request: ProbeRequest,
     timeout: Duration,
-) -> Option<(bool, Vec<Rumour>)> {
+) -> Option<(bool, Vec<MemberUpdate>)> {
     let reply = peers
         .call(host, timeout, |mut client| async move { client.probe(request).await })
         .await
@@ -149,7 +149,7 @@
 /// A direct probe by this host ended.
 struct ProbeEnded {
     target: HostId,
-    answer: Option<(bool, Vec<Rumour>)>,
+    answer: Option<(bool, Vec<MemberUpdate>)>,
 }
 
 impl Handler<ProbeEnded> for Membership {
@@ -158,11 +158,11 @@
     async fn handle(&mut self, probed: ProbeEnded, context: &mut Context<Self>) {
         match probed.answer {
             Some((_, rumours)) => {
-                self.members.note_reached(&probed.target);
-                self.members.apply_rumours(now_ms(), &rumours);
+                self.members.record_ack(&probed.target);
+                self.members.apply_updates(now_ms(), &rumours);
             }
             None => {
-                for effect in self.members.note_missed(now_ms(), &probed.target) {
+                for effect in self.members.record_missed_probe(now_ms(), &probed.target) {
                     self.start_effect(effect, context);
                 }
             }
@@ -182,23 +182,23 @@
 
     async fn handle(&mut self, probed: IndirectProbeEnded, _: &mut Context<Self>) {
         match probed.is_reached {
-            true => self.members.note_reached(&probed.target),
-            false => self.members.note_missed_via(now_ms(), &probed.target),
+            true => self.members.record_ack(&probed.target),
+            false => self.members.record_missed_indirect_probe(now_ms(), &probed.target),
         }
         self.publish();
     }
 }
 
 /// Rumours of a host that probes this one; answered with the local rumours.
-pub(crate) struct Gossip(pub(crate) Vec<Rumour>);
+pub(crate) struct Gossip(pub(crate) Vec<MemberUpdate>);
 
 impl Handler<Gossip> for Membership {
-    type Return = Vec<Rumour>;
+    type Return = Vec<MemberUpdate>;
 
     async fn handle(&mut self, gossip: Gossip, _: &mut Context<Self>) -> Self::Return {
-        self.members.apply_rumours(now_ms(), &gossip.0);
+        self.members.apply_updates(now_ms(), &gossip.0);
         self.publish();
-        self.members.take_rumours()
+        self.members.take_updates()
     }
 }
 
@@ -209,12 +209,12 @@
     type Return = ();
 
     async fn handle(&mut self, _: Leave, context: &mut Context<Self>) {
-        self.members.leave();
+        self.members.announce_departure();
         self.publish();
         let live_peers: Vec<_> =
             self.members.live().filter(|host| **host != self.local_host).cloned().collect();
         for peer in live_peers.into_iter().take(MAX_DEPARTURE_PROBES) {
-            self.start_effect(Effect::Probe(peer), context);
+            self.start_effect(ProbeAction::Probe(peer), context);
         }
     }
 }
@@ -229,7 +229,7 @@
     type Return = ();
 
     async fn handle(&mut self, leaving: PlatformLeaving, _: &mut Context<Self>) {
-        leaving.0.iter().for_each(|host| self.members.apply_platform_leaving(host));
+        leaving.0.iter().for_each(|host| self.members.apply_platform_departure(host));
         self.publish();
     }
 }
--- a/clayplankd/src/process/seeded.rs
+++ b/clayplankd/src/process/seeded.rs
@@ -74,8 +74,11 @@
     ) -> Result<Self, StartError> {
         let peers = Peers::with_inner_port(settings.listen.inner.port());
         let local_host = HostId::new(settings.ip.to_string());
-        let keepers =
-            KeeperClient::of_seeds(local_host.clone(), bootstrap_hosts(&settings), peers.clone());
+        let keepers = KeeperClient::from_bootstrap_hosts(
+            local_host.clone(),
+            bootstrap_hosts(&settings),
+            peers.clone(),
+        );
         let (failed_sender, failed) = mpsc::channel(1);
         let (closing, closing_receiver) = watch::channel(false);
         let context = StartContext {
@@ -128,7 +131,7 @@
     /// Applies changed settings: bootstrap addresses, bounds and the log level. Other changed
     /// fields are named in the log, and take effect at the next start.
     pub fn reload(&mut self, settings: SeededSettings) {
-        self.keepers.set_seeds(bootstrap_hosts(&settings));
+        self.keepers.set_bootstrap_hosts(bootstrap_hosts(&settings));
         set_log_level(settings.log.level);
         if let Some(entry) = &self.entry {
             entry.set_bounds(&settings.bounds);
--- a/clayplankd/src/process/seeded_keeper.rs
+++ b/clayplankd/src/process/seeded_keeper.rs
@@ -4,7 +4,7 @@
 
 use clayplank_agreement::{Options, Store, StoreError, StoredState};
 use clayplank_forward::serve_simple;
-use clayplank_members::FollowTimes;
+use clayplank_members::FollowTimeouts;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use xtra::Mailbox;
@@ -169,7 +169,7 @@
             Arc::clone(&fleet),
             self.peers.clone(),
             applied,
-            FollowTimes::of_bound(self.settings.bounds.apply_ms),
+            FollowTimeouts::for_bound(self.settings.bounds.apply_ms),
         ));
         tokio::spawn(run_relay(Arc::clone(&relay)));
         tokio::spawn(run_engine_watch(Arc::clone(&fleet)));
