--- a/clayplank-forward/src/directory.rs
+++ b/clayplank-forward/src/directory.rs
@@ -7,8 +7,8 @@
 
 use clayplank_placement::{ColdStart, HostShare, RateLimit};
 use clayplank_registry::{
-    Buckets, Digest, Heartbeat, LimitObservation, LimitUpdateResult, Limits, Record, Standing,
-    life_ids,
+    Buckets, Digest, Heartbeat, LimitObservation, LimitUpdateResult, Limits, Record,
+    UpstreamStatus, incarnation_ids,
 };
 use clayplank_routes::ServingPlan;
 use clayplank_types::{DataCentre, UpstreamId};
@@ -84,9 +84,9 @@
     /// records changed by it to `changed`.
     fn apply_record(&mut self, record: Record, changed: &mut Vec<Record>) {
         let id = record.heartbeat.id.clone();
-        let departs = record.heartbeat.standing == Standing::Gone;
+        let departs = record.heartbeat.standing == UpstreamStatus::Gone;
         if let Some(known) = self.records.get(&id) {
-            let is_departed = known.heartbeat.standing == Standing::Gone;
+            let is_departed = known.heartbeat.standing == UpstreamStatus::Gone;
             let is_older = record.heartbeat.sequence < known.heartbeat.sequence;
             if is_departed || (is_older && !departs) {
                 return;
@@ -114,16 +114,17 @@
 
     /// Whether an upstream accepts new work.
     fn accepts_work(&self, heartbeat: &Heartbeat) -> bool {
-        heartbeat.standing == Standing::Ready && !self.cordoned.contains(&heartbeat.data_centre)
+        heartbeat.standing == UpstreamStatus::Ready
+            && !self.cordoned.contains(&heartbeat.data_centre)
     }
 
     /// Heartbeats of the incarnations of an upstream that have not departed.
     fn running_incarnations(&self, name: &str) -> impl Iterator<Item = &Heartbeat> {
         let without_start = self.records.get(&UpstreamId::new(name));
-        let with_start = self.records.range(life_ids(name)).map(|(_, record)| record);
+        let with_start = self.records.range(incarnation_ids(name)).map(|(_, record)| record);
         let incarnations =
             without_start.into_iter().chain(with_start).map(|record| &record.heartbeat);
-        incarnations.filter(|one| one.standing != Standing::Gone)
+        incarnations.filter(|one| one.standing != UpstreamStatus::Gone)
     }
 
     fn has_later_incarnation(&self, heartbeat: &Heartbeat) -> bool {
@@ -144,7 +145,7 @@
             self.departed_at_ms.insert(id.clone(), now_ms());
             self.replaced.insert(id.clone());
             if let Some(record) = self.records.get_mut(&id) {
-                record.heartbeat.standing = Standing::Gone;
+                record.heartbeat.standing = UpstreamStatus::Gone;
                 ended.push(record.clone());
             }
         }
@@ -157,13 +158,13 @@
     fn mark_replaced(&mut self, changed: &Heartbeat) {
         let is_in_place = |one: &Heartbeat| one.address == changed.address && one.id != changed.id;
         match changed.standing {
-            Standing::Gone => {
+            UpstreamStatus::Gone => {
                 let mut others = self.records.values().map(|record| &record.heartbeat);
-                if others.any(|one| one.standing == Standing::Ready && is_in_place(one)) {
+                if others.any(|one| one.standing == UpstreamStatus::Ready && is_in_place(one)) {
                     self.replaced.insert(changed.id.clone());
                 }
             }
-            Standing::Ready => {
+            UpstreamStatus::Ready => {
                 // Departed upstreams are few, whereas the records of all upstreams may arrive at
                 // once.
                 let departed = self.departed_at_ms.keys().filter_map(|id| self.records.get(id));
@@ -171,7 +172,7 @@
                 let former = departed.filter(|one| is_in_place(one)).map(|one| one.id.clone());
                 self.replaced.extend(former);
             }
-            Standing::Draining => {}
+            UpstreamStatus::Draining => {}
         }
     }
 
@@ -291,7 +292,7 @@
     pub fn note_replaced(&self, id: &UpstreamId) {
         let mut inner = self.lock();
         if let Some(record) = inner.records.get_mut(id) {
-            record.heartbeat.standing = Standing::Gone;
+            record.heartbeat.standing = UpstreamStatus::Gone;
             inner.departed_at_ms.insert(id.clone(), now_ms());
             inner.replaced.insert(id.clone());
         }
@@ -306,12 +307,12 @@
         let has_departed = inner
             .records
             .get(&former.id)
-            .is_none_or(|record| record.heartbeat.standing == Standing::Gone);
+            .is_none_or(|record| record.heartbeat.standing == UpstreamStatus::Gone);
         let follows = |one: &Heartbeat| {
             let is_in_place = one.name == former.name || one.address == former.address;
             one.id != former.id
                 && one.service == former.service
-                && one.standing == Standing::Ready
+                && one.standing == UpstreamStatus::Ready
                 && is_in_place
         };
         has_departed && inner.records.values().any(|record| follows(&record.heartbeat))
@@ -371,7 +372,8 @@
         let inner = self.lock();
         let address = name.parse().ok();
         let is_named = |heartbeat: &&Heartbeat| {
-            let is_at = heartbeat.standing != Standing::Gone && address == Some(heartbeat.address);
+            let is_at =
+                heartbeat.standing != UpstreamStatus::Gone && address == Some(heartbeat.address);
             heartbeat.name == name || is_at
         };
         let heartbeats = inner.records.values().map(|record| &record.heartbeat);
--- a/clayplank-forward/src/termination.rs
+++ b/clayplank-forward/src/termination.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use clayplank_clock::Instant;
-use clayplank_registry::{Record, Standing};
+use clayplank_registry::{Record, UpstreamStatus};
 use clayplank_types::{ObservedOutcome, RequestFingerprint, UpstreamId};
 
 use crate::call::Call;
@@ -116,7 +116,7 @@
             return;
         };
         // An upstream that announced its departure may terminate at any time.
-        if record.heartbeat.standing != Standing::Ready {
+        if record.heartbeat.standing != UpstreamStatus::Ready {
             return;
         }
         let caller = self.caller.clone();
--- a/clayplank-forward/tests/components.rs
+++ b/clayplank-forward/tests/components.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clayplank_forward::{BudgetLimits, Directory, EventSplitter, Gate, RetryBudget};
-use clayplank_registry::{Heartbeat, Record, Standing};
+use clayplank_registry::{Heartbeat, Record, UpstreamStatus};
 use clayplank_types::{DataCentre, UpstreamId};
 use rstest::rstest;
 use tokio::time::Instant;
@@ -44,7 +44,7 @@
     assert!(budget.take_retry(1_200, "app"), "the window has passed");
 }
 
-fn record(name: &str, data_centre: &str, standing: Standing, sequence: u64) -> Record {
+fn record(name: &str, data_centre: &str, standing: UpstreamStatus, sequence: u64) -> Record {
     let heartbeat = Heartbeat {
         sequence,
         service: "app".to_owned(),
@@ -53,15 +53,15 @@
         standing,
         ..Heartbeat::default()
     };
-    Record { heartbeat: heartbeat.named(name), is_silent: false }
+    Record { heartbeat: heartbeat.with_name(name), is_silent: false }
 }
 
 #[tokio::test(start_paused = true)]
 async fn near_services_with_few_requests_are_preferred() {
     let directory = Directory::default();
     directory.apply(vec![
-        record("near", "a", Standing::Ready, 1),
-        record("far", "b", Standing::Ready, 1),
+        record("near", "a", UpstreamStatus::Ready, 1),
+        record("far", "b", UpstreamStatus::Ready, 1),
     ]);
     let local = DataCentre::new("a");
     let mut chosen = Vec::new();
@@ -77,8 +77,8 @@
 async fn a_service_that_failed_is_avoided_for_a_limited_time() {
     let directory = Directory::default();
     directory.apply(vec![
-        record("near", "a", Standing::Ready, 1),
-        record("far", "b", Standing::Ready, 1),
+        record("near", "a", UpstreamStatus::Ready, 1),
+        record("far", "b", UpstreamStatus::Ready, 1),
     ]);
     let local = DataCentre::new("a");
     directory.choose("app", &local, &[]).unwrap();
@@ -96,11 +96,11 @@
 fn departure_is_final_and_outdated_heartbeats_are_ignored() {
     let directory = Directory::default();
     let local = DataCentre::new("a");
-    directory.apply(vec![record("u", "a", Standing::Draining, 5)]);
-    directory.apply(vec![record("u", "a", Standing::Ready, 4)]);
+    directory.apply(vec![record("u", "a", UpstreamStatus::Draining, 5)]);
+    directory.apply(vec![record("u", "a", UpstreamStatus::Ready, 4)]);
     assert!(directory.choose("app", &local, &[]).is_none());
-    directory.apply(vec![record("u", "a", Standing::Gone, 0)]);
-    directory.apply(vec![record("u", "a", Standing::Ready, 9)]);
+    directory.apply(vec![record("u", "a", UpstreamStatus::Gone, 0)]);
+    directory.apply(vec![record("u", "a", UpstreamStatus::Ready, 9)]);
     assert!(directory.choose("app", &local, &[]).is_none());
 }
 
@@ -108,8 +108,8 @@
 async fn a_service_without_recent_heartbeats_is_chosen_last() {
     let directory = Directory::default();
     let local = DataCentre::new("a");
-    let silent = Record { is_silent: true, ..record("silent", "a", Standing::Ready, 2) };
-    directory.apply(vec![silent, record("heard", "b", Standing::Ready, 1)]);
+    let silent = Record { is_silent: true, ..record("silent", "a", UpstreamStatus::Ready, 2) };
+    directory.apply(vec![silent, record("heard", "b", UpstreamStatus::Ready, 1)]);
     let choose = |avoid: &[UpstreamId]| {
         directory.choose("app", &local, avoid).unwrap().record().heartbeat.id.clone()
     };
@@ -122,15 +122,15 @@
 #[tokio::test(start_paused = true)]
 async fn departed_upstreams_are_removed_eventually() {
     let directory = Directory::default();
-    directory.apply(vec![record("old", "a", Standing::Gone, 1)]);
-    directory.apply(vec![record("old", "a", Standing::Ready, 2)]);
+    directory.apply(vec![record("old", "a", UpstreamStatus::Gone, 1)]);
+    directory.apply(vec![record("old", "a", UpstreamStatus::Ready, 2)]);
     assert_eq!(
         directory.records()[0].heartbeat.standing,
-        Standing::Gone,
+        UpstreamStatus::Gone,
         "late updates change nothing"
     );
     tokio::time::advance(Duration::from_secs(180)).await;
-    directory.apply(vec![record("new", "a", Standing::Ready, 1)]);
+    directory.apply(vec![record("new", "a", UpstreamStatus::Ready, 1)]);
     let ids: Vec<_> = directory.records().into_iter().map(|one| one.heartbeat.id).collect();
     assert_eq!(ids, [UpstreamId::new("new")]);
 }
@@ -157,9 +157,9 @@
 }
 
 /// The record of an incarnation of `u` that started at `born_ms`.
-fn incarnation(born_ms: u64, standing: Standing) -> Record {
+fn incarnation(born_ms: u64, standing: UpstreamStatus) -> Record {
     let record = record("u", "a", standing, 1);
-    Record { heartbeat: Heartbeat { born_ms, ..record.heartbeat }.named("u"), ..record }
+    Record { heartbeat: Heartbeat { born_ms, ..record.heartbeat }.with_name("u"), ..record }
 }
 
 /// A keeper that has just become leader may know only the later incarnation, and then nobody reports the
@@ -168,9 +168,12 @@
 fn a_later_incarnation_replaces_former_ones_without_notice() {
     let directory = Directory::default();
     let local = DataCentre::new("a");
-    directory.apply(vec![incarnation(100, Standing::Ready)]);
-    directory.apply(vec![incarnation(200, Standing::Ready)]);
-    directory.apply(vec![incarnation(100, Standing::Draining), incarnation(100, Standing::Ready)]);
+    directory.apply(vec![incarnation(100, UpstreamStatus::Ready)]);
+    directory.apply(vec![incarnation(200, UpstreamStatus::Ready)]);
+    directory.apply(vec![
+        incarnation(100, UpstreamStatus::Draining),
+        incarnation(100, UpstreamStatus::Ready),
+    ]);
     let chosen = directory.choose("app", &local, &[]).unwrap().record().heartbeat.clone();
     assert_eq!(chosen.born_ms, 200);
     assert_eq!(directory.find("u"), Some(chosen.id.clone()));
@@ -180,8 +183,11 @@
 #[test]
 fn a_departed_incarnation_is_followed_by_one_whose_clock_was_set_back() {
     let directory = Directory::default();
-    directory.apply(vec![incarnation(200, Standing::Ready)]);
-    directory.apply(vec![incarnation(200, Standing::Gone), incarnation(100, Standing::Ready)]);
+    directory.apply(vec![incarnation(200, UpstreamStatus::Ready)]);
+    directory.apply(vec![
+        incarnation(200, UpstreamStatus::Gone),
+        incarnation(100, UpstreamStatus::Ready),
+    ]);
     let chosen =
         directory.choose("app", &DataCentre::new("a"), &[]).unwrap().record().heartbeat.clone();
     assert_eq!(chosen.born_ms, 100);
--- a/clayplank-forward/tests/cordons.rs
+++ b/clayplank-forward/tests/cordons.rs
@@ -23,7 +23,7 @@
         cold_left_ms,
         ..Heartbeat::default()
     };
-    Record { heartbeat: heartbeat.named(name), is_silent: false }
+    Record { heartbeat: heartbeat.with_name(name), is_silent: false }
 }
 
 fn directory(records: Vec<Record>, hosts: u64) -> Directory {
--- a/clayplank-forward/tests/entry/broken_stream.rs
+++ b/clayplank-forward/tests/entry/broken_stream.rs
@@ -152,7 +152,7 @@
     }
     let Record { heartbeat, is_silent } =
         prompt.directory.record(&UpstreamId::new("writer")).unwrap();
-    let later = Heartbeat { born_ms: 1, ..heartbeat }.named("writer");
+    let later = Heartbeat { born_ms: 1, ..heartbeat }.with_name("writer");
     prompt.directory.apply(vec![Record { heartbeat: later, is_silent }]);
     let answer = prompt.answer().await;
     assert!(answer.starts_with("HTTP/1.1 502"), "the time limit has not passed yet: {answer}");
--- a/clayplank-forward/tests/entry/harness.rs
+++ b/clayplank-forward/tests/entry/harness.rs
@@ -69,7 +69,7 @@
 pub fn record(name: &str, address: SocketAddr) -> Record {
     let heartbeat =
         Heartbeat { address, service: SERVICE.to_owned(), slots: 4, ..Heartbeat::default() };
-    Record { heartbeat: heartbeat.named(name), is_silent: false }
+    Record { heartbeat: heartbeat.with_name(name), is_silent: false }
 }
 
 /// A route for all paths that admits callers without an account.
--- a/clayplank-forward/tests/entry/quarantine.rs
+++ b/clayplank-forward/tests/entry/quarantine.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use clayplank_forward::{BoxFuture, Directory, EntryBuilder, Observation, QuarantineAuthority};
-use clayplank_registry::Standing;
+use clayplank_registry::UpstreamStatus;
 use clayplank_routes::{RequestKind, Route};
 use clayplank_types::{ObservedOutcome, QuarantinedRequest, RequestFingerprint, RequestIdentity};
 use rstest::rstest;
@@ -210,7 +210,7 @@
         }
     };
     let mut draining = record("u0", address);
-    draining.heartbeat.standing = Standing::Draining;
+    draining.heartbeat.standing = UpstreamStatus::Draining;
     draining.heartbeat.sequence = 2;
     tokio::join!(response, async {
         request_received.await;
--- a/clayplank-forward/tests/entry/rate_limits.rs
+++ b/clayplank-forward/tests/entry/rate_limits.rs
@@ -137,7 +137,7 @@
             stream.write_all(answer.as_bytes()).await.unwrap();
         }
     });
-    (Record { heartbeat: heartbeat.named(name), is_silent: false }, requests)
+    (Record { heartbeat: heartbeat.with_name(name), is_silent: false }, requests)
 }
 
 #[tokio::test]
--- a/clayplank-forward/tests/entry/replaced_upstreams.rs
+++ b/clayplank-forward/tests/entry/replaced_upstreams.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use clayplank_forward::{Directory, EntryBuilder};
-use clayplank_registry::{Heartbeat, Record, Standing};
+use clayplank_registry::{Heartbeat, Record, UpstreamStatus};
 use clayplank_routes::{RequestKind, Route};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -47,13 +47,13 @@
 /// The record of an incarnation that started at `born_ms`.
 fn incarnation(name: &str, born_ms: u64, address: SocketAddr) -> Record {
     let Record { heartbeat, .. } = record(name, address);
-    let heartbeat = Heartbeat { sequence: 1, born_ms, ..heartbeat }.named(name);
+    let heartbeat = Heartbeat { sequence: 1, born_ms, ..heartbeat }.with_name(name);
     Record { heartbeat, is_silent: false }
 }
 
 fn departed(record: &Record) -> Record {
     let mut record = record.clone();
-    record.heartbeat.standing = Standing::Gone;
+    record.heartbeat.standing = UpstreamStatus::Gone;
     record.heartbeat.sequence += 1;
     record
 }
--- a/clayplank-registry/src/digest.rs
+++ b/clayplank-registry/src/digest.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-use crate::heartbeat::Standing;
+use crate::heartbeat::UpstreamStatus;
 use crate::registry::Record;
 
 /// Number of buckets of a digest. With 3,000 upstreams, one record that differs causes the 94
@@ -24,7 +24,7 @@
     pub fn of<'a>(records: impl IntoIterator<Item = &'a Record>) -> Self {
         let mut digest = Self::default();
         let present =
-            records.into_iter().filter(|record| record.heartbeat.standing != Standing::Gone);
+            records.into_iter().filter(|record| record.heartbeat.standing != UpstreamStatus::Gone);
         for record in present {
             digest.0[bucket(&record.heartbeat.id)] ^= hash_record(record);
         }
@@ -68,7 +68,7 @@
     heartbeat.address.hash(&mut hasher);
     heartbeat.data_centre.as_str().hash(&mut hasher);
     heartbeat.slots.hash(&mut hasher);
-    (heartbeat.standing == Standing::Ready).hash(&mut hasher);
+    (heartbeat.standing == UpstreamStatus::Ready).hash(&mut hasher);
     is_silent.hash(&mut hasher);
     hasher.finish()
 }
--- a/clayplank-registry/src/heartbeat.rs
+++ b/clayplank-registry/src/heartbeat.rs
@@ -9,7 +9,7 @@
 /// Status of an upstream with regard to new requests, as it reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum UpstreamStatus {
     /// It accepts new requests.
     #[default]
     Ready,
@@ -48,7 +48,7 @@
     /// Maximum number of requests that the upstream runs concurrently.
     pub slots: u32,
     /// Status of the upstream.
-    pub standing: Standing,
+    pub standing: UpstreamStatus,
     /// Remaining duration of the cold period, in ms, during which the upstream accepts only a
     /// limited number of requests per second.
     #[serde(default)]
@@ -66,7 +66,7 @@
             address: SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0),
             data_centre: DataCentre::default(),
             slots: 0,
-            standing: Standing::Ready,
+            standing: UpstreamStatus::Ready,
             cold_left_ms: 0,
         }
     }
@@ -81,7 +81,7 @@
 
 impl Heartbeat {
     /// Sets the name, and the id that follows from the name and `born_ms`.
-    pub fn named(self, name: &str) -> Self {
+    pub fn with_name(self, name: &str) -> Self {
         let id = match self.born_ms {
             0 => UpstreamId::new(name),
             born_ms => UpstreamId::new(format!("{name}{INCARNATION_SEPARATOR}{born_ms}")),
@@ -96,14 +96,14 @@
     }
 
     /// A departure notice that does not identify the incarnation; as a rule the latest one departs.
-    pub fn gone(name: &str) -> Self {
-        Self { standing: Standing::Gone, ..Self::default() }.named(name)
+    pub fn departure(name: &str) -> Self {
+        Self { standing: UpstreamStatus::Gone, ..Self::default() }.with_name(name)
     }
 }
 
 /// Range of the ids of all incarnations of this name, except that of an incarnation without a start
 /// time.
-pub fn life_ids(name: &str) -> Range<UpstreamId> {
+pub fn incarnation_ids(name: &str) -> Range<UpstreamId> {
     let bound = |separator| UpstreamId::new(format!("{name}{separator}"));
     bound(INCARNATION_SEPARATOR)..bound(AFTER_INCARNATION_SEPARATOR)
 }
--- a/clayplank-registry/src/lib.rs
+++ b/clayplank-registry/src/lib.rs
@@ -7,19 +7,19 @@
 //! and messages of those are ignored from then on.
 //!
 //! ```
-//! use clayplank_registry::{Heartbeat, Registry, Standing};
+//! use clayplank_registry::{Heartbeat, Registry, UpstreamStatus};
 //!
 //! let mut registry = Registry::new(1);
 //! let heartbeat = Heartbeat { sequence: 1, born_ms: 7, ..Heartbeat::default() }.named("engine-1");
 //! registry.apply(0, &heartbeat);
 //! registry.leave(10, &Heartbeat::gone("engine-1"));
 //! registry.apply(20, &Heartbeat { sequence: 2, ..heartbeat.clone() });
-//! assert_eq!(registry.record(&heartbeat.id).unwrap().heartbeat.standing, Standing::Gone);
+//! assert_eq!(registry.record(&heartbeat.id).unwrap().heartbeat.standing, UpstreamStatus::Gone);
 //!
 //! // The upstream restarts under the same name.
 //! let restarted = Heartbeat { sequence: 1, born_ms: 9, ..heartbeat }.named("engine-1");
 //! registry.apply(30, &restarted);
-//! assert_eq!(registry.record(&restarted.id).unwrap().heartbeat.standing, Standing::Ready);
+//! assert_eq!(registry.record(&restarted.id).unwrap().heartbeat.standing, UpstreamStatus::Ready);
 //! ```
 
 mod digest;
@@ -28,6 +28,6 @@
 mod registry;
 
 pub use digest::{Buckets, Digest};
-pub use heartbeat::{Heartbeat, Standing, life_ids};
+pub use heartbeat::{Heartbeat, UpstreamStatus, incarnation_ids};
 pub use limits::{AgedLimit, LimitChanges, LimitObservation, LimitUpdateResult, Limits};
 pub use registry::{Changes, Cursor, Record, Registry};
--- a/clayplank-registry/src/registry.rs
+++ b/clayplank-registry/src/registry.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::digest::{Buckets, Digest};
-use crate::heartbeat::{Heartbeat, Standing, life_ids};
+use crate::heartbeat::{Heartbeat, UpstreamStatus, incarnation_ids};
 
 /// Retention period of the record of a departed upstream, in ms; far longer than any delay of a
 /// heartbeat.
@@ -106,16 +106,18 @@
     /// Applies a heartbeat; returns whether it changed anything that followers have to know.
     pub fn apply(&mut self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
         match heartbeat.standing {
-            Standing::Gone => {
+            UpstreamStatus::Gone => {
                 self.apply_to_incarnation(now_ms, &self.departing_incarnation(now_ms, heartbeat))
             }
-            Standing::Ready | Standing::Draining => self.apply_to_incarnation(now_ms, heartbeat),
+            UpstreamStatus::Ready | UpstreamStatus::Draining => {
+                self.apply_to_incarnation(now_ms, heartbeat)
+            }
         }
     }
 
     /// Applies a departure notice; returns it completed with the state of the departing
     /// incarnation, to be sent to the other keepers.
-    pub fn leave(&mut self, now_ms: u64, departure: &Heartbeat) -> Heartbeat {
+    pub fn apply_departure(&mut self, now_ms: u64, departure: &Heartbeat) -> Heartbeat {
         let departure = self.departing_incarnation(now_ms, departure);
         self.apply_to_incarnation(now_ms, &departure);
         departure
@@ -135,11 +137,11 @@
             return true;
         };
         let current = &entry.record.heartbeat;
-        if current.standing == Standing::Gone {
+        if current.standing == UpstreamStatus::Gone {
             return false;
         }
         let is_newer = heartbeat.sequence > current.sequence;
-        if !is_newer && heartbeat.standing != Standing::Gone {
+        if !is_newer && heartbeat.standing != UpstreamStatus::Gone {
             return false;
         }
         entry.last_received_ms = now_ms;
@@ -159,7 +161,7 @@
     /// All known incarnations of an upstream.
     fn incarnations(&self, name: &str) -> impl Iterator<Item = &Entry> {
         let without_start_time = self.entries.get(&UpstreamId::new(name));
-        let with_start_time = self.entries.range(life_ids(name)).map(|(_, entry)| entry);
+        let with_start_time = self.entries.range(incarnation_ids(name)).map(|(_, entry)| entry);
         without_start_time.into_iter().chain(with_start_time)
     }
 
@@ -178,13 +180,13 @@
     fn end_earlier_incarnations(&mut self, newer: &Heartbeat) -> bool {
         let earlier: Vec<_> = self
             .incarnations(&newer.name)
-            .filter(|entry| entry.record.heartbeat.standing != Standing::Gone)
+            .filter(|entry| entry.record.heartbeat.standing != UpstreamStatus::Gone)
             .map(|entry| entry.record.heartbeat.id.clone())
             .collect();
         for id in &earlier {
             self.change += 1;
             if let Some(entry) = self.entries.get_mut(id) {
-                entry.record.heartbeat.standing = Standing::Gone;
+                entry.record.heartbeat.standing = UpstreamStatus::Gone;
                 entry.last_change = self.change;
             }
         }
@@ -193,7 +195,7 @@
 
     /// Whether an answer with this start time comes from incarnation `id`, or does not identify its
     /// incarnation. If a later one answered, `id` is marked as departed.
-    pub fn confirm_life(&mut self, now_ms: u64, id: &UpstreamId, born_ms: u64) -> bool {
+    pub fn confirm_incarnation(&mut self, now_ms: u64, id: &UpstreamId, born_ms: u64) -> bool {
         let Some(entry) = self.entries.get(id) else {
             return false;
         };
@@ -202,7 +204,7 @@
             return true;
         }
         if born_ms > current.born_ms {
-            let departure = Heartbeat { standing: Standing::Gone, ..current.clone() };
+            let departure = Heartbeat { standing: UpstreamStatus::Gone, ..current.clone() };
             self.apply_to_incarnation(now_ms, &departure);
         }
         false
@@ -223,7 +225,7 @@
         let departing =
             incarnations.get(usize::from(is_late_message)).map(|entry| &entry.record.heartbeat);
         let known = departing.unwrap_or(departure).clone();
-        Heartbeat { standing: Standing::Gone, ..known }
+        Heartbeat { standing: UpstreamStatus::Gone, ..known }
     }
 
     /// An upstream that continues to send heartbeats is the only one at its address: others there
@@ -239,10 +241,10 @@
             let heartbeat = &mut entry.record.heartbeat;
             let is_predecessor = *id != newer.id
                 && heartbeat.address == newer.address
-                && heartbeat.standing != Standing::Gone
+                && heartbeat.standing != UpstreamStatus::Gone
                 && entry.last_received_ms < since_ms;
             if is_predecessor {
-                heartbeat.standing = Standing::Gone;
+                heartbeat.standing = UpstreamStatus::Gone;
                 self.change += 1;
                 entry.last_change = self.change;
             }
@@ -270,7 +272,7 @@
 
     /// Restores records of an earlier incarnation of the registry, except where a heartbeat of the
     /// same or a later incarnation of the upstream was received.
-    pub fn remember(&mut self, now_ms: u64, heartbeats: &[Heartbeat]) {
+    pub fn restore(&mut self, now_ms: u64, heartbeats: &[Heartbeat]) {
         for heartbeat in heartbeats {
             let is_known = self.entries.contains_key(&heartbeat.id);
             if is_known || self.is_of_earlier_incarnation(now_ms, heartbeat) {
@@ -286,24 +288,24 @@
 
     /// Marks restored upstreams without a heartbeat for `unconfirmed_ms` as draining, since they
     /// may have departed meanwhile. The next heartbeat makes them ready again.
-    pub fn doubt_remembered(&mut self, now_ms: u64, unconfirmed_ms: u64) {
+    pub fn drain_unconfirmed(&mut self, now_ms: u64, unconfirmed_ms: u64) {
         let unconfirmed = self.entries.values_mut().filter(|entry| {
-            let is_ready = entry.record.heartbeat.standing == Standing::Ready;
+            let is_ready = entry.record.heartbeat.standing == UpstreamStatus::Ready;
             entry.is_restored && is_ready && now_ms > entry.last_received_ms + unconfirmed_ms
         });
         for entry in unconfirmed {
             self.change += 1;
             entry.last_change = self.change;
-            entry.record.heartbeat.standing = Standing::Draining;
+            entry.record.heartbeat.standing = UpstreamStatus::Draining;
         }
     }
 
     /// Marks upstreams without a heartbeat for `silent_ms`, and drops expired records; returns
     /// whether one was dropped.
-    pub fn age(&mut self, now_ms: u64, silent_ms: u64) -> bool {
+    pub fn expire(&mut self, now_ms: u64, silent_ms: u64) -> bool {
         let known = self.entries.len();
         self.entries.retain(|_, entry| {
-            let is_gone = entry.record.heartbeat.standing == Standing::Gone;
+            let is_gone = entry.record.heartbeat.standing == UpstreamStatus::Gone;
             let keep_ms = if is_gone { TOMBSTONE_RETENTION_MS } else { RECORD_RETENTION_MS };
             now_ms < entry.last_received_ms + keep_ms
         });
@@ -337,7 +339,7 @@
 
     /// Returns the records that differ from those of a follower of another registry with this
     /// digest, and the buckets in which that follower may know more.
-    pub fn changes_from(&self, known: &Digest) -> (Changes, Buckets) {
+    pub fn changes_for_digest(&self, known: &Digest) -> (Changes, Buckets) {
         let differing = self.digest().differing(known);
         let missing = self.records().filter(|record| differing.contains(&record.heartbeat.id));
         let records: Vec<_> = missing.cloned().collect();
--- a/clayplank-types/src/band.rs
+++ b/clayplank-types/src/band.rs
@@ -17,7 +17,7 @@
 /// Error for bounds that do not increase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the bounds of length bands must rise, from 1 on; bound {position} does not")]
-pub struct UnorderedBands {
+pub struct UnorderedBandsError {
     /// Index of the first invalid bound, counted from 0.
     pub position: usize,
 }
@@ -27,11 +27,11 @@
     ///
     /// # Errors
     /// Returns the index of the first bound that is not above the previous one.
-    pub fn new(bounds_tokens: Vec<u64>) -> Result<Self, UnorderedBands> {
+    pub fn new(bounds_tokens: Vec<u64>) -> Result<Self, UnorderedBandsError> {
         let mut previous = 0;
         for (position, &bound) in bounds_tokens.iter().enumerate() {
             if bound <= previous {
-                return Err(UnorderedBands { position });
+                return Err(UnorderedBandsError { position });
             }
             previous = bound;
         }
@@ -66,7 +66,7 @@
 }
 
 impl TryFrom<Vec<u64>> for LengthBands {
-    type Error = UnorderedBands;
+    type Error = UnorderedBandsError;
 
     fn try_from(bounds_tokens: Vec<u64>) -> Result<Self, Self::Error> {
         Self::new(bounds_tokens)
--- a/clayplank-types/src/fingerprint.rs
+++ b/clayplank-types/src/fingerprint.rs
@@ -59,15 +59,15 @@
 /// Error for text that is not a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a fingerprint has 32 hex digits")]
-pub struct UnknownFingerprintText;
+pub struct ParseFingerprintError;
 
 impl FromStr for RequestFingerprint {
-    type Err = UnknownFingerprintText;
+    type Err = ParseFingerprintError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         if text.len() != HEX_DIGITS {
-            return Err(UnknownFingerprintText);
+            return Err(ParseFingerprintError);
         }
-        u128::from_str_radix(text, 16).map(Self).map_err(|_| UnknownFingerprintText)
+        u128::from_str_radix(text, 16).map(Self).map_err(|_| ParseFingerprintError)
     }
 }
--- a/clayplank-types/src/id.rs
+++ b/clayplank-types/src/id.rs
@@ -80,16 +80,16 @@
 
 /// Error for text that is not an id of the expected kind.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`{text}` is not {wanted}")]
-pub struct UnknownIdText {
+#[error("`{text}` is not {expected}")]
+pub struct ParseIdError {
     /// The text that could not be parsed.
     pub text: String,
     /// Description of the expected kind of id.
-    pub wanted: &'static str,
+    pub expected: &'static str,
 }
 
 impl FromStr for AccountId {
-    type Err = UnknownIdText;
+    type Err = ParseIdError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match text.split_once('/') {
@@ -97,7 +97,7 @@
                 Ok(Self::new(Partner::new(partner), name))
             }
             Some(_) | None => {
-                Err(UnknownIdText { text: text.to_owned(), wanted: "an account (`partner/name`)" })
+                Err(ParseIdError { text: text.to_owned(), expected: "an account (`partner/name`)" })
             }
         }
     }
@@ -134,12 +134,12 @@
 }
 
 impl FromStr for AttemptId {
-    type Err = UnknownIdText;
+    type Err = ParseIdError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let error = || UnknownIdText {
+        let error = || ParseIdError {
             text: text.to_owned(),
-            wanted: "an attempt id (32 hexadecimal digits)",
+            expected: "an attempt id (32 hexadecimal digits)",
         };
         if text.len() != 32 {
             return Err(error());
@@ -155,7 +155,7 @@
 }
 
 impl TryFrom<String> for AttemptId {
-    type Error = UnknownIdText;
+    type Error = ParseIdError;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
         text.parse()
--- a/clayplank-types/src/lib.rs
+++ b/clayplank-types/src/lib.rs
@@ -17,11 +17,11 @@
 mod priority;
 mod ratio;
 
-pub use band::{LengthBands, UnorderedBands};
-pub use fingerprint::{RequestFingerprint, RequestIdentity, UnknownFingerprintText};
+pub use band::{LengthBands, UnorderedBandsError};
+pub use fingerprint::{ParseFingerprintError, RequestFingerprint, RequestIdentity};
 pub use id::{
-    AccountId, AttemptId, DataCentre, HostId, Incarnation, Partner, PoolId, RequestId,
-    UnknownIdText, UpstreamId,
+    AccountId, AttemptId, DataCentre, HostId, Incarnation, ParseIdError, Partner, PoolId,
+    RequestId, UpstreamId,
 };
 pub use observation::{HostTimestamp, ObservedOutcome, QuarantinedRequest, RequestObservation};
 pub use outcome::{Outcome, Refusal, RefusalReason};
--- a/clayplank-wire/tests/broken_bytes.rs
+++ b/clayplank-wire/tests/broken_bytes.rs
@@ -69,7 +69,7 @@
     let command = Command { at_ms: 1_000, body };
     let reply = machine.apply(&command);
     assert_eq!(machine.quarantined().len(), 1);
-    let heartbeat = Heartbeat { service: "pool".to_owned(), ..Heartbeat::default() }.named("u");
+    let heartbeat = Heartbeat { service: "pool".to_owned(), ..Heartbeat::default() }.with_name("u");
     let record = Record { heartbeat: heartbeat.clone(), is_silent: true };
     let changes = Changes { cursor: Cursor { life: 3, change: 4 }, records: vec![record] };
     vec![
--- a/clayplankd/src/doors/control_endpoint.rs
+++ b/clayplankd/src/doors/control_endpoint.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use clayplank_forward::now_ms;
-use clayplank_registry::{Heartbeat, Standing};
+use clayplank_registry::{Heartbeat, UpstreamStatus};
 use clayplank_routes::ServingPlan;
 use clayplank_settings::Faults;
 use clayplank_state::{Body, Delta, PlanDocument, Reply};
@@ -171,7 +171,7 @@
     }
 
     async fn apply_heartbeat(&self, heartbeat: Heartbeat) -> Answer {
-        let accepts_requests = heartbeat.standing == Standing::Ready;
+        let accepts_requests = heartbeat.standing == UpstreamStatus::Ready;
         if let RegistryAccess::Local { fleet, .. } = &self.registry {
             fleet.apply(std::slice::from_ref(&heartbeat));
         }
--- a/clayplankd/src/doors/native.rs
+++ b/clayplankd/src/doors/native.rs
@@ -118,9 +118,9 @@
         Method::PUT => {
             let heartbeat: Heartbeat =
                 serde_json::from_slice(body).map_err(|error| malformed(&error))?;
-            ControlCall::of_heartbeat(heartbeat.named(id))
+            ControlCall::of_heartbeat(heartbeat.with_name(id))
         }
-        Method::DELETE => Ok(ControlCall::Leave(Heartbeat::gone(id))),
+        Method::DELETE => Ok(ControlCall::Leave(Heartbeat::departure(id))),
         _ => Err(ControlFault::NotFound),
     }
 }
--- a/clayplankd/src/fleet/fleet_engines.rs
+++ b/clayplankd/src/fleet/fleet_engines.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashSet};
 
 use clayplank_placement::{EngineSpec, Fleet};
-use clayplank_registry::{Record, Standing};
+use clayplank_registry::{Record, UpstreamStatus};
 use clayplank_routes::PlanIndex;
 use clayplank_types::{DataCentre, UpstreamId};
 
@@ -31,7 +31,7 @@
             data_centre: heartbeat.data_centre.clone(),
             model: model.clone(),
         };
-        fleet.set_engine(heartbeat.id.clone(), spec, heartbeat.standing == Standing::Ready);
+        fleet.set_engine(heartbeat.id.clone(), spec, heartbeat.standing == UpstreamStatus::Ready);
         fleet.set_silent(&heartbeat.id, record.is_silent);
         if let Some(start) = plan.cold_start(&heartbeat.service) {
             let remaining_ms = heartbeat.cold_left_ms as f64;
--- a/clayplankd/src/fleet/fleet_keeper.rs
+++ b/clayplankd/src/fleet/fleet_keeper.rs
@@ -12,7 +12,7 @@
 use clayplank_placement::{Ask, Event, Fleet, Outlook, Placed, PlacementId, RateLimit, Renewed};
 use clayplank_registry::{
     AgedLimit, Buckets, Changes, Cursor, Digest, Heartbeat, LimitChanges, LimitObservation,
-    LimitUpdateResult, Limits, Registry, Standing,
+    LimitUpdateResult, Limits, Registry, UpstreamStatus,
 };
 use clayplank_routes::PlanIndex;
 use clayplank_state::{Delta, PackError, PlanDocument, pack};
@@ -132,7 +132,7 @@
             if registry.apply(now_ms, heartbeat) {
                 // Followers must learn immediately of an upstream that accepts no new work. A new
                 // upstream can wait for the next check of record ages.
-                is_urgent |= heartbeat.standing != Standing::Ready;
+                is_urgent |= heartbeat.standing != UpstreamStatus::Ready;
                 self.has_unsent_updates.store(true, Ordering::SeqCst);
                 log_status(heartbeat);
             }
@@ -153,7 +153,7 @@
 
     /// Restores the upstreams that this keeper knew before its restart.
     pub(crate) fn remember(&self, known: &[Heartbeat]) {
-        lock(&self.registry).remember(now_ms(), known);
+        lock(&self.registry).restore(now_ms(), known);
         self.notify_followers();
     }
 
@@ -166,7 +166,7 @@
             return None;
         }
         let known = registry.records().map(|record| &record.heartbeat);
-        let known = known.filter(|one| one.standing != Standing::Gone);
+        let known = known.filter(|one| one.standing != UpstreamStatus::Gone);
         Some((cursor, known.cloned().collect()))
     }
 
@@ -180,7 +180,7 @@
 
     /// Records that an upstream has departed. Returns the heartbeat to relay to the other keepers.
     pub(crate) fn leave(&self, departed: &Heartbeat) -> Heartbeat {
-        let departed = lock(&self.registry).leave(now_ms(), departed);
+        let departed = lock(&self.registry).apply_departure(now_ms(), departed);
         log_status(&departed);
         self.notify_followers();
         departed
@@ -264,8 +264,8 @@
             let now_ms = now_ms();
             let mut registry = lock(&self.registry);
             let before = registry.cursor();
-            let has_removed = registry.age(now_ms, unresponsive_after_ms);
-            registry.doubt_remembered(now_ms, 2 * self.heartbeat_ms);
+            let has_removed = registry.expire(now_ms, unresponsive_after_ms);
+            registry.drain_unconfirmed(now_ms, 2 * self.heartbeat_ms);
             (registry.cursor() != before, has_removed)
         };
         if has_removed {
@@ -402,7 +402,7 @@
 
     /// Records the load report of an engine, unless a different incarnation of the engine answered.
     pub(crate) fn note_report(&self, id: &UpstreamId, report: &EngineReport) {
-        if !lock(&self.registry).confirm_life(now_ms(), id, report.born_ms) {
+        if !lock(&self.registry).confirm_incarnation(now_ms(), id, report.born_ms) {
             log::info!(target: part::KEEPER,
                 upstream = id.as_str(), answered_born_ms = report.born_ms;
                 "A different incarnation of an upstream answered");
@@ -451,7 +451,7 @@
         let Some(digest) = digest else {
             return News::later(cursor);
         };
-        let (changes, buckets) = registry.changes_from(digest);
+        let (changes, buckets) = registry.changes_for_digest(digest);
         let changes = pack(&changes)?;
         if buckets.is_empty() || !self.may_query_host() {
             return Ok(News { changes, ..News::default() });
