--- a/bench/src/mix.rs
+++ b/bench/src/mix.rs
@@ -1,6 +1,6 @@
 //! Synthetic workloads of the two partners; a seed determines all arrivals.
 
-use clayplank_schedule::{Ask, PolicyBuilder};
+use clayplank_schedule::{PolicyBuilder, ReservationRequest};
 use clayplank_types::{AccountId, Partner, Priority};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -83,8 +83,8 @@
 
 impl Arrival {
     /// Copies the properties that the scheduler may know into its request.
-    pub(crate) fn fill(&self, ask: &mut Ask) {
-        ask.share = ACCOUNT_SHARES[self.account];
+    pub(crate) fn fill(&self, ask: &mut ReservationRequest) {
+        ask.weight = ACCOUNT_SHARES[self.account];
         ask.priority = self.priority;
         // Callers give an upper bound, which most answers stay below.
         ask.max_output_tokens = self.output_tokens * 5 / 4;
@@ -197,5 +197,5 @@
 /// Policy that all runs start from. Its initial rates are off by about half, so that a run includes the
 /// scheduler's learning of the true ones.
 pub(crate) fn base_policy(builder: PolicyBuilder) -> PolicyBuilder {
-    builder.starting_rates(0.1, 50.0)
+    builder.initial_rates(0.1, 50.0)
 }
--- a/bench/src/policy.rs
+++ b/bench/src/policy.rs
@@ -64,7 +64,7 @@
         ("without heavy-limit", Mechanisms { heavy_limit: false, ..all }),
         ("without engine-priority", Mechanisms { engine_priority: false, ..all }),
         ("without prefix-reuse", Mechanisms { prefix_reuse: false, ..all }),
-        ("without prefill-cap", Mechanisms { prefill_cap: false, ..all }),
+        ("without prefill-cap", Mechanisms { limit_queued_prefill: false, ..all }),
         ("without early-refusal", Mechanisms { early_refusal: false, ..all }),
     ]
 }
--- a/bench/src/replay.rs
+++ b/bench/src/replay.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use clayplank_schedule::{
-    Ask, Decision, EngineReport, EngineSpec, Grant, Holder, Policy, RetryBudget, Scheduler, Usage,
+    Decision, EngineReport, EngineSpec, Grant, GrantHolder, Policy, ReservationRequest,
+    RetryBudget, Scheduler, Usage,
 };
 use clayplank_standin::{EngineCore, EngineModel, Job, JobKind, StepEvent};
 use clayplank_types::{AttemptId, HostId, Incarnation, RequestId, UpstreamId};
@@ -189,8 +190,8 @@
     UpstreamId::new(format!("engine-{engine}"))
 }
 
-fn holder() -> Holder {
-    Holder { host: HostId::new("entry-1"), incarnation: Incarnation(1) }
+fn holder() -> GrantHolder {
+    GrantHolder { host: HostId::new("entry-1"), incarnation: Incarnation(1) }
 }
 
 impl Simulation {
@@ -231,10 +232,16 @@
             (RequestId(self.next_id), AttemptId::from_bits(u128::from(self.next_id)));
         let account = self.setup.mix.account_id(arrival.account);
         let deadline_ms = arrival.at_ms + arrival.deadline_ms;
-        let mut ask =
-            Ask::new(request_id, attempt_id, account, "base", arrival.prompt_tokens, deadline_ms);
+        let mut ask = ReservationRequest::new(
+            request_id,
+            attempt_id,
+            account,
+            "base",
+            arrival.prompt_tokens,
+            deadline_ms,
+        );
         arrival.fill(&mut ask);
-        ask.avoid = avoid;
+        ask.avoided_engines = avoid;
         self.by_request.insert(request_id, (request, attempt_id));
         self.outcomes[request].submissions += 1;
         let now_ms = self.now_ms();
@@ -336,7 +343,7 @@
         let now_ms = self.now_ms();
         self.cancel_parts(&attempt, attempt_id);
         let usage = Usage { engine_ended: is_not_started, engine_failed: true, ..Usage::default() };
-        self.scheduler.finish(now_ms, attempt.grant.grant_id, usage);
+        self.scheduler.end_grant(now_ms, attempt.grant.grant_id, usage);
         let arrivals = Arc::clone(&self.setup.arrivals);
         let account = arrivals[attempt.request].account;
         let may_retry = self.outcomes[attempt.request].submissions < 3
@@ -373,7 +380,7 @@
                 };
                 attempt.first_token_ms = Some(now_ms);
                 self.outcomes[attempt.request].first_token_ms = Some(now_ms);
-                self.scheduler.note_first_token(now_ms, attempt.grant.grant_id);
+                self.scheduler.record_first_token(now_ms, attempt.grant.grant_id);
                 self.apply_decisions();
             }
             StepEvent::Token(..) => {}
@@ -394,7 +401,7 @@
             output_tokens: self.setup.arrivals[attempt.request].output_tokens,
             decode_ms: now_ms - attempt.first_token_ms.unwrap_or(now_ms),
         };
-        self.scheduler.finish(now_ms, attempt.grant.grant_id, usage);
+        self.scheduler.end_grant(now_ms, attempt.grant.grant_id, usage);
         self.count_finished();
         self.apply_decisions();
     }
@@ -429,10 +436,10 @@
                 incarnation: Incarnation(self.incarnations[engine]),
                 memory_tokens: core.model().memory_tokens,
                 running: running.collect(),
-                is_leaving: false,
+                is_draining: false,
                 ..EngineReport::default()
             };
-            self.scheduler.report(now_ms, &engine_id(engine), &report);
+            self.scheduler.apply_report(now_ms, &engine_id(engine), &report);
         }
         self.apply_decisions();
     }
@@ -452,7 +459,7 @@
 
     fn report_unresponsive(&mut self, count: usize) {
         for engine in 0..count {
-            self.scheduler.note_silent(&engine_id(engine));
+            self.scheduler.mark_unresponsive(&engine_id(engine));
         }
         self.apply_decisions();
     }
--- a/clayplank-forward/src/call.rs
+++ b/clayplank-forward/src/call.rs
@@ -100,7 +100,7 @@
             // Nothing was written yet, but every failed connection took time.
             return self.tried.len() <= MAX_FAILED_CONNECTS;
         }
-        let is_allowed = !self.may_have_run || self.route.kind.may_repeat();
+        let is_allowed = !self.may_have_run || self.route.kind.is_repeatable();
         is_allowed
             && self.sent_count < self.route.max_attempts
             && Instant::now() < self.deadline
--- a/clayplank-forward/src/opening.rs
+++ b/clayplank-forward/src/opening.rs
@@ -133,7 +133,7 @@
 }
 
 fn first_event_timeout(call: &Call, expected_ms: f64) -> Duration {
-    let is_last = !call.kind().may_repeat() || call.sent_count + 1 >= call.route.max_attempts;
+    let is_last = !call.kind().is_repeatable() || call.sent_count + 1 >= call.route.max_attempts;
     let timeout_ms = expected_ms * FIRST_EVENT_FACTOR + FIRST_EVENT_MARGIN_MS;
     let timeout_ms = timeout_ms.max(call.route.goal_ms as f64 * FIRST_EVENT_GOAL_FACTOR);
     let remaining = call.remaining();
--- a/clayplank-forward/src/unary.rs
+++ b/clayplank-forward/src/unary.rs
@@ -132,7 +132,7 @@
 
 /// Time-out of one upstream while another could be tried.
 fn upstream_timeout(call: &Call) -> Duration {
-    let is_last = !call.kind().may_repeat() || call.sent_count + 1 >= call.route.max_attempts;
+    let is_last = !call.kind().is_repeatable() || call.sent_count + 1 >= call.route.max_attempts;
     let remaining = call.remaining();
     if is_last {
         remaining
--- a/clayplank-routes/src/index.rs
+++ b/clayplank-routes/src/index.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns the request rate limit of a service's upstreams after their start, if set.
-    pub fn cold_start(&self, service: &str) -> Option<ColdStart> {
+    pub fn cold_start_limit(&self, service: &str) -> Option<ColdStart> {
         self.service(service)?.cold_start
     }
 
--- a/clayplank-routes/src/plan.rs
+++ b/clayplank-routes/src/plan.rs
@@ -43,7 +43,7 @@
 
 impl RequestKind {
     /// Whether a request that may have run already may be sent again.
-    pub fn may_repeat(self) -> bool {
+    pub fn is_repeatable(self) -> bool {
         match self {
             Self::Repeatable | Self::ResumableStream => true,
             Self::Unrepeatable | Self::Stream => false,
--- a/clayplank-schedule/benches/decision.rs
+++ b/clayplank-schedule/benches/decision.rs
@@ -2,7 +2,9 @@
 
 #![allow(missing_docs, reason = "criterion's macros write undocumented functions")]
 
-use clayplank_schedule::{Ask, Decision, EngineSpec, Holder, Policy, Scheduler, Usage};
+use clayplank_schedule::{
+    Decision, EngineSpec, GrantHolder, Policy, ReservationRequest, Scheduler, Usage,
+};
 use clayplank_types::{AccountId, AttemptId, Partner, RequestId, UpstreamId};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
@@ -25,20 +27,20 @@
     scheduler
 }
 
-fn new_ask(number: u64, accounts: usize) -> Ask {
+fn new_ask(number: u64, accounts: usize) -> ReservationRequest {
     let account = AccountId::new(Partner::new("dala"), format!("a{}", number as usize % accounts));
     let attempt_id = AttemptId::from_bits(u128::from(number));
-    Ask::new(RequestId(number), attempt_id, account, "base", 1_500, u64::MAX / 2)
+    ReservationRequest::new(RequestId(number), attempt_id, account, "base", 1_500, u64::MAX / 2)
 }
 
 /// Submits one request and completes every grant that results: first token, then end.
 fn decide(scheduler: &mut Scheduler, number: u64, accounts: usize) {
-    scheduler.submit(number, Holder::default(), new_ask(number, accounts));
+    scheduler.submit(number, GrantHolder::default(), new_ask(number, accounts));
     for decision in scheduler.take_decisions() {
         if let Decision::Granted(grant) = decision {
-            scheduler.note_first_token(number, grant.grant_id);
+            scheduler.record_first_token(number, grant.grant_id);
             let usage = Usage { engine_ended: true, ..Usage::default() };
-            scheduler.finish(number, grant.grant_id, usage);
+            scheduler.end_grant(number, grant.grant_id, usage);
         }
     }
 }
@@ -51,14 +53,14 @@
         // Make every account known and give every engine a prompt to prefill.
         for _ in 0..accounts.max(engines) {
             number += 1;
-            scheduler.submit(number, Holder::default(), new_ask(number, accounts));
+            scheduler.submit(number, GrantHolder::default(), new_ask(number, accounts));
         }
         scheduler.take_decisions();
         let mut waiting = 0;
         while waiting < WAITING {
             number += 1;
             waiting += 1;
-            scheduler.submit(number, Holder::default(), new_ask(number, accounts));
+            scheduler.submit(number, GrantHolder::default(), new_ask(number, accounts));
         }
         scheduler.take_decisions();
         let id = BenchmarkId::new(format!("{engines} engines"), format!("{accounts} accounts"));
--- a/clayplank-schedule/src/admission.rs
+++ b/clayplank-schedule/src/admission.rs
@@ -1,7 +1,7 @@
 //! Prediction of whether a request can complete before its deadline.
 
 use crate::policy::{Lane, Policy};
-use crate::reservation::Ask;
+use crate::reservation::ReservationRequest;
 
 /// Weight of a new window in the moving average of a lane's throughput.
 const WINDOW_WEIGHT: f64 = 0.3;
@@ -26,7 +26,7 @@
 
 impl Forecast {
     /// Predicted time from now until the request completes, in ms.
-    pub fn end_in_ms(&self) -> u64 {
+    pub fn completion_ms(&self) -> u64 {
         (self.wait_ms + self.service_ms).ceil() as u64
     }
 }
@@ -35,7 +35,7 @@
 /// policy. `rates` are the prefill and decode times per token, in ms.
 pub(crate) fn estimate_service_ms(
     policy: &Policy,
-    ask: &Ask,
+    ask: &ReservationRequest,
     lane: Lane,
     rates: (f64, f64),
 ) -> f64 {
--- a/clayplank-schedule/src/choose.rs
+++ b/clayplank-schedule/src/choose.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{EngineIndex, Fleet, ModelIndex};
 use crate::policy::{Discipline, Lane, Policy};
 use crate::prefix::PrefixTable;
-use crate::reservation::Ask;
+use crate::reservation::ReservationRequest;
 
 /// Maximum number of engines considered in the order of their wait, or, for medium and long
 /// prompts, of their free memory.
@@ -48,7 +48,7 @@
 
 impl SchedulerView<'_> {
     /// Selects the engine with the earliest predicted first token for a brief or short prompt.
-    pub(crate) fn choose_light(&self, ask: &Ask, lane: Lane) -> Option<Choice> {
+    pub(crate) fn choose_light(&self, ask: &ReservationRequest, lane: Lane) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
         let by_wait = model.by_wait.iter().map(|&(_, _, engine)| engine).take(MAX_CANDIDATES);
         let by_free_tokens = model
@@ -63,8 +63,8 @@
         candidates.extend(uncached);
         self.choose_soonest(ask, lane, candidates, |engine| {
             let wait_ms = engine.wait_ahead_ms(lane);
-            let is_below_cap =
-                !self.policy.mechanisms.prefill_cap || wait_ms <= self.policy.max_prefill_ahead_ms;
+            let is_below_cap = !self.policy.mechanisms.limit_queued_prefill
+                || wait_ms <= self.policy.max_prefill_ahead_ms;
             is_below_cap && self.has_room(engine, lane, ask)
         })
     }
@@ -72,7 +72,12 @@
     /// Selects an engine for a medium or long prompt. Engines with a heavy prompt in prefill
     /// are preferred, so that the others stay free for short prompts; another engine is used
     /// only while fewer than `limit` engines prefill heavy prompts.
-    pub(crate) fn choose_heavy(&self, ask: &Ask, lane: Lane, limit: usize) -> Option<Choice> {
+    pub(crate) fn choose_heavy(
+        &self,
+        ask: &ReservationRequest,
+        lane: Lane,
+        limit: usize,
+    ) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
         let fits =
             |engine: &Engine| engine.prefills_in(lane) == 0 && self.has_room(engine, lane, ask);
@@ -97,7 +102,7 @@
     /// Selects the engine with the fewest tokens to prefill, for the baseline disciplines.
     /// `ShortestFirst` gives an engine one prompt at a time: otherwise the order by length
     /// would not hold at the engine.
-    pub(crate) fn choose_least_loaded(&self, ask: &Ask) -> Option<Choice> {
+    pub(crate) fn choose_least_loaded(&self, ask: &ReservationRequest) -> Option<Choice> {
         let model = self.fleet.model(&ask.model)?;
         let accepts_prompt = |engine: &Engine| match self.policy.discipline {
             Discipline::ShortestFirst => engine.total_prefill_tokens() == 0,
@@ -113,7 +118,7 @@
 
     /// Selects the engines with the most free memory that together can hold the request once
     /// their heavy memory is free. Each member is counted with room for the whole output.
-    pub(crate) fn choose_gang(&self, ask: &Ask) -> Option<Vec<EngineIndex>> {
+    pub(crate) fn choose_gang(&self, ask: &ReservationRequest) -> Option<Vec<EngineIndex>> {
         let model = self.fleet.model(&ask.model)?;
         let mut members = Vec::new();
         let mut capacity_tokens = 0;
@@ -128,7 +133,7 @@
     }
 
     /// Whether all live engines of the model together could hold the request when idle.
-    pub(crate) fn fits_any_gang(&self, ask: &Ask, model: &ModelIndex) -> bool {
+    pub(crate) fn fits_any_gang(&self, ask: &ReservationRequest, model: &ModelIndex) -> bool {
         let heavy_tokens =
             model.total_memory_tokens * (100 - self.policy.short_reserve_percent) / 100;
         heavy_tokens >= ask.prompt_tokens + ask.max_output_tokens * model.count() as u64
@@ -136,7 +141,11 @@
 
     /// Splits the prompt among the members of a gang in proportion to their memory. The last
     /// member gets the remainder and the memory for the output.
-    pub(crate) fn plan_parts(&self, ask: &Ask, members: &[EngineIndex]) -> Vec<PlannedPart> {
+    pub(crate) fn plan_parts(
+        &self,
+        ask: &ReservationRequest,
+        members: &[EngineIndex],
+    ) -> Vec<PlannedPart> {
         let total: u64 = members.iter().map(|&index| self.heavy_memory_tokens(index)).sum();
         let part = |&engine: &EngineIndex| {
             let prompt_tokens = ask.prompt_tokens * self.heavy_memory_tokens(engine) / total.max(1);
@@ -155,13 +164,13 @@
         self.fleet.engine(index).heavy_memory_tokens(self.policy.short_reserve_percent)
     }
 
-    fn has_room(&self, engine: &Engine, lane: Lane, ask: &Ask) -> bool {
+    fn has_room(&self, engine: &Engine, lane: Lane, ask: &ReservationRequest) -> bool {
         engine.has_room(lane, ask.memory_tokens(), self.policy.short_reserve_percent)
     }
 
     /// Live engines of the model that have a prefix of the prompt cached. At least one token
     /// always counts as uncached.
-    fn cached_choices(&self, ask: &Ask) -> Vec<Choice> {
+    fn cached_choices(&self, ask: &ReservationRequest) -> Vec<Choice> {
         if !self.policy.mechanisms.prefix_reuse {
             return Vec::new();
         }
@@ -181,7 +190,7 @@
 
     fn choose_soonest(
         &self,
-        ask: &Ask,
+        ask: &ReservationRequest,
         lane: Lane,
         candidates: impl IntoIterator<Item = Choice>,
         fits: impl Fn(&Engine) -> bool,
@@ -193,11 +202,12 @@
 
     /// Predicted time to the first token in ms, with penalties for engines to avoid and for
     /// loading an adapter.
-    fn first_token_ms(&self, ask: &Ask, lane: Lane, choice: Choice) -> f64 {
+    fn first_token_ms(&self, ask: &ReservationRequest, lane: Lane, choice: Choice) -> f64 {
         let engine = self.fleet.engine(choice.engine);
         let uncached_tokens = ask.prompt_tokens - choice.cached_tokens.min(ask.prompt_tokens);
         let prefill_ms = engine.predicted_prefill_ms(lane, uncached_tokens);
-        let avoid_ms = if ask.avoid.contains(&engine.id) { AVOID_PENALTY_MS } else { 0.0 };
+        let avoid_ms =
+            if ask.avoided_engines.contains(&engine.id) { AVOID_PENALTY_MS } else { 0.0 };
         let load_ms = if engine.has_adapter(ask.adapter.as_ref()) { 0.0 } else { ADAPTER_LOAD_MS };
         engine.predicted_wait_ms(lane) + prefill_ms + avoid_ms + load_ms
     }
--- a/clayplank-schedule/src/engine.rs
+++ b/clayplank-schedule/src/engine.rs
@@ -44,7 +44,7 @@
     /// Names of the adapters that are loaded.
     pub adapters: BTreeSet<String>,
     /// Whether the engine is draining and accepts no new work.
-    pub is_leaving: bool,
+    pub is_draining: bool,
 }
 
 /// Whether an engine may be given new work.
--- a/clayplank-schedule/src/grants.rs
+++ b/clayplank-schedule/src/grants.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::EngineIndex;
 use crate::policy::Lane;
-use crate::reservation::{GrantId, GrantPart, Holder};
+use crate::reservation::{GrantHolder, GrantId, GrantPart};
 
 /// A grant as its holder reports it to the pool's owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct GrantRecord {
     pub(crate) attempt_id: AttemptId,
-    pub(crate) holder: Holder,
+    pub(crate) holder: GrantHolder,
     pub(crate) lane: Lane,
     pub(crate) state: GrantState,
     pub(crate) parts: Vec<ReservedPart>,
@@ -59,7 +59,7 @@
 pub(crate) struct GrantTable {
     records: HashMap<GrantId, GrantRecord>,
     by_attempt: HashMap<AttemptId, GrantId>,
-    by_holder: HashMap<Holder, BTreeSet<GrantId>>,
+    by_holder: HashMap<GrantHolder, BTreeSet<GrantId>>,
     by_expiry: BTreeSet<(u64, GrantId)>,
     revoked: BTreeSet<GrantId>,
     last_id: u64,
@@ -147,9 +147,10 @@
     }
 
     /// Grants held by earlier incarnations of the holder's host.
-    pub(crate) fn of_earlier_incarnations(&self, holder: &Holder) -> Vec<GrantId> {
-        let same_host =
-            |other: &&Holder| other.host == holder.host && other.incarnation < holder.incarnation;
+    pub(crate) fn of_earlier_incarnations(&self, holder: &GrantHolder) -> Vec<GrantId> {
+        let same_host = |other: &&GrantHolder| {
+            other.host == holder.host && other.incarnation < holder.incarnation
+        };
         let earlier: Vec<_> = self.by_holder.keys().filter(same_host).collect();
         earlier.into_iter().flat_map(|other| self.by_holder[other].iter().copied()).collect()
     }
--- a/clayplank-schedule/src/lib.rs
+++ b/clayplank-schedule/src/lib.rs
@@ -6,14 +6,14 @@
 //! [`Scheduler::take_decisions`].
 //!
 //! ```
-//! use clayplank_schedule::{Ask, Decision, EngineSpec, Holder, Policy, Scheduler};
+//! use clayplank_schedule::{Ask, Decision, EngineSpec, GrantHolder, Policy, Scheduler};
 //! use clayplank_types::{AccountId, AttemptId, Partner, RequestId, UpstreamId};
 //!
 //! let mut scheduler = Scheduler::new(Policy::default());
 //! scheduler.add_engine(EngineSpec::new(UpstreamId::new("e1"), 400_000, ["base"]));
 //! let account = AccountId::new(Partner::new("dala"), "times");
 //! let ask = Ask::new(RequestId(1), AttemptId::from_bits(1), account, "base", 1_000, 5_000);
-//! scheduler.submit(0, Holder::default(), ask);
+//! scheduler.submit(0, GrantHolder::default(), ask);
 //! assert!(matches!(scheduler.take_decisions().as_slice(), [Decision::Granted(_)]));
 //! ```
 
@@ -40,5 +40,7 @@
 pub use limits::{RequestRateLimit, RetryBudget};
 pub use policy::{Discipline, Lane, Mechanisms, Policy, PolicyBuilder};
 pub use pools::{PoolLoad, choose_pool};
-pub use reservation::{Ask, Decision, Grant, GrantId, GrantPart, Holder, Usage};
+pub use reservation::{
+    Decision, Grant, GrantHolder, GrantId, GrantPart, ReservationRequest, Usage,
+};
 pub use scheduler::{Scheduler, Totals};
--- a/clayplank-schedule/src/lifecycle.rs
+++ b/clayplank-schedule/src/lifecycle.rs
@@ -8,13 +8,13 @@
 use crate::fleet::EngineIndex;
 use crate::grants::{GrantRecord, GrantState, HeldGrant, ReservedPart};
 use crate::policy::Lane;
-use crate::reservation::{Decision, GrantId, Holder, Usage};
+use crate::reservation::{Decision, GrantHolder, GrantId, Usage};
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
     /// Records that the first output token of a grant's attempt was observed, which ends its
     /// prefill.
-    pub fn note_first_token(&mut self, now_ms: u64, grant_id: GrantId) {
+    pub fn record_first_token(&mut self, now_ms: u64, grant_id: GrantId) {
         let Some(record) = self.grants.get_mut(grant_id) else {
             return;
         };
@@ -40,9 +40,9 @@
     }
 
     /// Ends the grant of an attempt, whichever owner issued it; see [`Scheduler::finish`].
-    pub fn finish_attempt(&mut self, now_ms: u64, attempt_id: AttemptId, usage: Usage) {
+    pub fn end_grant_of_attempt(&mut self, now_ms: u64, attempt_id: AttemptId, usage: Usage) {
         match self.grants.find(attempt_id) {
-            Some(grant_id) => self.finish(now_ms, grant_id, usage),
+            Some(grant_id) => self.end_grant(now_ms, grant_id, usage),
             None if usage.engine_ended => self.ended.insert(now_ms, attempt_id),
             None => {}
         }
@@ -51,7 +51,7 @@
     /// Ends a grant. If the engine has not confirmed the end of the attempt, the grant is
     /// revoked, and its memory is released once the engine's reports no longer list the
     /// attempt.
-    pub fn finish(&mut self, now_ms: u64, grant_id: GrantId, usage: Usage) {
+    pub fn end_grant(&mut self, now_ms: u64, grant_id: GrantId, usage: Usage) {
         let Some(record) = self.grants.get(grant_id) else {
             return;
         };
@@ -73,7 +73,7 @@
 
     /// Renews the listed grants of a holder and adopts those issued by an earlier owner.
     /// Grants of the host's earlier incarnations are revoked.
-    pub fn renew(&mut self, now_ms: u64, holder: &Holder, held: &[HeldGrant]) {
+    pub fn renew(&mut self, now_ms: u64, holder: &GrantHolder, held: &[HeldGrant]) {
         for grant_id in self.grants.of_earlier_incarnations(holder) {
             self.revoke(now_ms, grant_id);
         }
@@ -95,7 +95,7 @@
 
     /// Adopts a grant that is not in the table. One issued by this incarnation of the owner
     /// has already ended and is ignored.
-    fn adopt(&mut self, holder: &Holder, held: &HeldGrant, until_ms: u64) {
+    fn adopt(&mut self, holder: &GrantHolder, held: &HeldGrant, until_ms: u64) {
         if held.owner == self.incarnation || self.ended.contains(held.attempt_id) {
             return;
         }
@@ -203,7 +203,7 @@
 
     /// Applies an engine's load report, and releases the memory of revoked grants that the
     /// engine no longer runs.
-    pub fn report(&mut self, now_ms: u64, engine: &UpstreamId, report: &EngineReport) {
+    pub fn apply_report(&mut self, now_ms: u64, engine: &UpstreamId, report: &EngineReport) {
         let Some(index) = self.find_engine(engine) else {
             return;
         };
@@ -211,7 +211,7 @@
         self.fleet.update(index, |engine| {
             engine.memory_tokens = report.memory_tokens;
             engine.adapters.clone_from(&report.adapters);
-            engine.availability = match (report.is_leaving, engine.availability) {
+            engine.availability = match (report.is_draining, engine.availability) {
                 (true, _) => Availability::Draining,
                 (false, Availability::Draining) if !is_restarted => Availability::Draining,
                 (false, _) => Availability::Live,
@@ -309,12 +309,12 @@
     }
 
     /// Records that an engine's reports stopped: it gets no new work until the next one.
-    pub fn note_silent(&mut self, engine: &UpstreamId) {
+    pub fn mark_unresponsive(&mut self, engine: &UpstreamId) {
         self.change_availability(engine, Availability::Live, Availability::Unresponsive);
     }
 
     /// Records that an engine is about to stop, whatever the source of this information.
-    pub fn note_leaving(&mut self, engine: &UpstreamId) {
+    pub fn mark_draining(&mut self, engine: &UpstreamId) {
         self.change_availability(engine, Availability::Live, Availability::Draining);
         self.change_availability(engine, Availability::Unresponsive, Availability::Draining);
     }
@@ -329,14 +329,14 @@
     }
 
     /// Records that an engine loaded an adapter, ahead of its next report.
-    pub fn note_adapter(&mut self, engine: &UpstreamId, adapter: &str) {
+    pub fn record_adapter_loaded(&mut self, engine: &UpstreamId, adapter: &str) {
         if let Some(index) = self.find_engine(engine) {
             self.fleet.update(index, |engine| engine.adapters.insert(adapter.to_owned()));
         }
     }
 
     /// Records that an engine evicted a prefix from its cache.
-    pub fn note_evicted(&mut self, engine: &UpstreamId, prefix_hash: u64) {
+    pub fn record_prefix_evicted(&mut self, engine: &UpstreamId, prefix_hash: u64) {
         if let Some(index) = self.find_engine(engine) {
             self.prefixes.evict(index, prefix_hash);
         }
@@ -344,7 +344,7 @@
 
     /// Records that cache events of an engine were missed: all that is known of its cache
     /// is discarded.
-    pub fn note_cache_gap(&mut self, engine: &UpstreamId) {
+    pub fn invalidate_cached_prefixes(&mut self, engine: &UpstreamId) {
         if let Some(index) = self.find_engine(engine) {
             self.prefixes.invalidate(index);
         }
--- a/clayplank-schedule/src/policy.rs
+++ b/clayplank-schedule/src/policy.rs
@@ -26,7 +26,7 @@
     /// Prefers engines that have a prefix of the prompt cached.
     pub prefix_reuse: bool,
     /// Limits the prefill work queued at an engine, so that requests wait at the pool's owner.
-    pub prefill_cap: bool,
+    pub limit_queued_prefill: bool,
     /// Refuses requests as soon as they are predicted to miss their deadline.
     pub early_refusal: bool,
 }
@@ -38,7 +38,7 @@
             heavy_limit: true,
             engine_priority: true,
             prefix_reuse: true,
-            prefill_cap: true,
+            limit_queued_prefill: true,
             early_refusal: true,
         }
     }
@@ -166,7 +166,7 @@
     }
 
     /// Sets the maximum prompt lengths of the lanes brief, short and medium, in tokens.
-    pub fn lane_bounds_tokens(mut self, brief: u64, short: u64, medium: u64) -> Self {
+    pub fn max_lane_prompt_tokens(mut self, brief: u64, short: u64, medium: u64) -> Self {
         self.policy.brief_prompt_tokens = brief;
         self.policy.short_prompt_tokens = short;
         self.policy.medium_prompt_tokens = medium;
@@ -194,7 +194,7 @@
 
     /// Sets the prefill and decode times per token, in ms, that are assumed until an engine's
     /// own are measured.
-    pub fn starting_rates(mut self, prefill_ms_per_token: f64, decode_ms_per_token: f64) -> Self {
+    pub fn initial_rates(mut self, prefill_ms_per_token: f64, decode_ms_per_token: f64) -> Self {
         self.policy.prefill_ms_per_token = prefill_ms_per_token;
         self.policy.decode_ms_per_token = decode_ms_per_token;
         self
--- a/clayplank-schedule/src/pools.rs
+++ b/clayplank-schedule/src/pools.rs
@@ -11,7 +11,7 @@
     /// Wait last reported by the pool's owner, in ms.
     pub wait_ms: u64,
     /// Round-trip time to its engines, in ms.
-    pub distance_ms: u64,
+    pub round_trip_ms: u64,
 }
 
 /// Chooses the pool with the lower wait and round-trip time out of two random ones.
@@ -19,7 +19,7 @@
 /// With two random choices, hosts that act on stale load reports do not all choose the
 /// same pool (Mitzenmacher, "The power of two choices in randomized load balancing", 2001).
 pub fn choose_pool<'a>(pools: &'a [PoolLoad], rng: &mut impl Rng) -> Option<&'a PoolLoad> {
-    let cost = |pool: &&PoolLoad| pool.wait_ms + pool.distance_ms;
+    let cost = |pool: &&PoolLoad| pool.wait_ms + pool.round_trip_ms;
     match pools {
         [] => None,
         [only] => Some(only),
--- a/clayplank-schedule/src/reservation.rs
+++ b/clayplank-schedule/src/reservation.rs
@@ -7,7 +7,7 @@
 
 /// A reservation request: asks for capacity on one or more engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ReservationRequest {
     /// The request, unique within the scheduler.
     pub request_id: RequestId,
     /// The attempt that the grant is for.
@@ -15,7 +15,7 @@
     /// The account that is charged for the request.
     pub account: AccountId,
     /// Weight of the account in fair queueing; 0 counts as 1.
-    pub share: u64,
+    pub weight: u64,
     /// Priority class of the request.
     pub priority: Priority,
     /// Name of the model that must run it.
@@ -31,10 +31,10 @@
     /// Hashes of the prompt's block-aligned prefixes, shortest first.
     pub prefix_hashes: Vec<u64>,
     /// Engines on which an earlier attempt failed.
-    pub avoid: Vec<UpstreamId>,
+    pub avoided_engines: Vec<UpstreamId>,
 }
 
-impl Ask {
+impl ReservationRequest {
     /// A request of normal priority and default weight (100), with at most 16 output tokens.
     pub fn new(
         request_id: RequestId,
@@ -48,7 +48,7 @@
             request_id,
             attempt_id,
             account,
-            share: 100,
+            weight: 100,
             priority: Priority::Normal,
             model: model.to_owned(),
             adapter: None,
@@ -56,7 +56,7 @@
             max_output_tokens: 16,
             deadline_ms,
             prefix_hashes: Vec::new(),
-            avoid: Vec::new(),
+            avoided_engines: Vec::new(),
         }
     }
 
@@ -72,7 +72,7 @@
 
 /// The entry host that holds a grant, in one of its incarnations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Holder {
+pub struct GrantHolder {
     /// Identifier of the host.
     pub host: HostId,
     /// Incarnation of the host; a restart raises it.
--- a/clayplank-schedule/src/scheduler.rs
+++ b/clayplank-schedule/src/scheduler.rs
@@ -18,7 +18,7 @@
 use crate::policy::{Discipline, Lane, Policy};
 use crate::prefix::PrefixTable;
 use crate::rates::Rates;
-use crate::reservation::{Ask, Decision, Holder};
+use crate::reservation::{Decision, GrantHolder, ReservationRequest};
 
 /// Lower bound of the retry delay that a refusal names.
 const MIN_RETRY_MS: u64 = 100;
@@ -35,8 +35,8 @@
 /// A request waiting in a queue.
 #[derive(Debug)]
 pub(crate) struct Pending {
-    pub(crate) ask: Ask,
-    pub(crate) holder: Holder,
+    pub(crate) ask: ReservationRequest,
+    pub(crate) holder: GrantHolder,
     pub(crate) lane: Lane,
     pub(crate) latest_start_ms: u64,
 }
@@ -125,7 +125,7 @@
     }
 
     /// Submits a reservation request. Its result is among the decisions, now or later.
-    pub fn submit(&mut self, now_ms: u64, holder: Holder, ask: Ask) {
+    pub fn submit(&mut self, now_ms: u64, holder: GrantHolder, ask: ReservationRequest) {
         match self.admit(now_ms, holder, ask) {
             Ok((model, lane)) => self.dispatch_lane(now_ms, &model, lane),
             Err((request_id, refusal)) => {
@@ -135,7 +135,7 @@
     }
 
     /// Removes a request that is still waiting; no decision on it follows.
-    pub fn withdraw(&mut self, request_id: RequestId) {
+    pub fn cancel(&mut self, request_id: RequestId) {
         self.remove_pending(request_id);
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Predicts the wait and the service time of a request in a lane, as of now.
-    pub fn forecast(&self, ask: &Ask, lane: Lane) -> Forecast {
+    pub fn forecast(&self, ask: &ReservationRequest, lane: Lane) -> Forecast {
         let Some(lanes) = self.models.get(&ask.model) else {
             return Forecast { wait_ms: 0.0, service_ms: 0.0 };
         };
@@ -197,8 +197,8 @@
     fn admit(
         &mut self,
         now_ms: u64,
-        holder: Holder,
-        ask: Ask,
+        holder: GrantHolder,
+        ask: ReservationRequest,
     ) -> Result<(String, Lane), (RequestId, Refusal)> {
         let request_id = ask.request_id;
         let refuse = |reason, retry_ms| Err((request_id, Refusal::new(reason, retry_ms)));
@@ -221,12 +221,12 @@
             let retry_ms = self.jittered_retry_ms(forecast.wait_ms as u64);
             return refuse(RefusalReason::QueueFull, retry_ms);
         }
-        let end_in_ms = match self.policy.mechanisms.early_refusal {
-            true => forecast.end_in_ms(),
+        let completion_ms = match self.policy.mechanisms.early_refusal {
+            true => forecast.completion_ms(),
             false => forecast.service_ms.ceil() as u64,
         };
-        if end_in_ms > remaining_ms {
-            let retry_ms = self.jittered_retry_ms(end_in_ms - remaining_ms);
+        if completion_ms > remaining_ms {
+            let retry_ms = self.jittered_retry_ms(completion_ms - remaining_ms);
             return refuse(RefusalReason::DeadlineOutOfReach, retry_ms);
         }
         let latest_start_ms = ask.deadline_ms - forecast.service_ms.ceil() as u64;
@@ -266,10 +266,14 @@
 
     /// The account and weight under which a request is queued. Without fair sharing, all
     /// requests belong to one account.
-    fn fair_queue_key(&self, account: AccountIndex, ask: &Ask) -> (AccountIndex, u64) {
+    fn fair_queue_key(
+        &self,
+        account: AccountIndex,
+        ask: &ReservationRequest,
+    ) -> (AccountIndex, u64) {
         let is_fair =
             self.policy.mechanisms.fair_share && self.policy.discipline == Discipline::Current;
-        if is_fair { (account, ask.share.max(1)) } else { (0, 1) }
+        if is_fair { (account, ask.weight.max(1)) } else { (0, 1) }
     }
 
     fn remove_pending(&mut self, request_id: RequestId) -> Option<Pending> {
--- a/clayplank-schedule/tests/decisions.rs
+++ b/clayplank-schedule/tests/decisions.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use clayplank_schedule::{
-    Ask, Decision, EngineReport, EngineSpec, Grant, Holder, Policy, RequestRateLimit, RetryBudget,
-    Scheduler, Usage,
+    Decision, EngineReport, EngineSpec, Grant, GrantHolder, Policy, RequestRateLimit,
+    ReservationRequest, RetryBudget, Scheduler, Usage,
 };
 use clayplank_types::{
     AccountId, AttemptId, EnginePriority, Incarnation, Partner, Priority, Refusal, RefusalReason,
@@ -25,9 +25,9 @@
     scheduler
 }
 
-fn ask(number: u64, account: &str, prompt_tokens: u64, deadline_ms: u64) -> Ask {
+fn ask(number: u64, account: &str, prompt_tokens: u64, deadline_ms: u64) -> ReservationRequest {
     let account = AccountId::new(Partner::new("dala"), account);
-    Ask::new(
+    ReservationRequest::new(
         RequestId(number),
         AttemptId::from_bits(u128::from(number)),
         account,
@@ -37,8 +37,8 @@
     )
 }
 
-fn submit(scheduler: &mut Scheduler, now_ms: u64, ask: Ask) -> Vec<Decision> {
-    scheduler.submit(now_ms, Holder::default(), ask);
+fn submit(scheduler: &mut Scheduler, now_ms: u64, ask: ReservationRequest) -> Vec<Decision> {
+    scheduler.submit(now_ms, GrantHolder::default(), ask);
     scheduler.take_decisions()
 }
 
@@ -91,7 +91,7 @@
     let blocking = granted(&first).grant_id;
     assert_eq!(submit(&mut scheduler, 1, ask(2, "b", 1_000_000, 3_600_000)), vec![]);
     assert_eq!(scheduler.totals().grants, 1, "nothing is reserved for the gang");
-    scheduler.finish(2, blocking, Usage { engine_ended: true, ..Usage::default() });
+    scheduler.end_grant(2, blocking, Usage { engine_ended: true, ..Usage::default() });
     let decisions = scheduler.take_decisions();
     let grant = granted(&decisions);
     assert_eq!(grant.parts.len(), 3);
@@ -107,7 +107,7 @@
 #[test]
 fn draining_engine_gets_no_new_work_until_it_restarts() {
     let mut scheduler = scheduler(1);
-    scheduler.note_leaving(&UpstreamId::new("e0"));
+    scheduler.mark_draining(&UpstreamId::new("e0"));
     let decisions = submit(&mut scheduler, 0, ask(1, "a", 1_000, 10_000));
     assert_eq!(refusal(&decisions).reason, RefusalReason::NoEngine);
     let alive = EngineReport {
@@ -115,14 +115,14 @@
         memory_tokens: MEMORY_TOKENS,
         ..EngineReport::default()
     };
-    scheduler.report(10, &UpstreamId::new("e0"), &alive);
+    scheduler.apply_report(10, &UpstreamId::new("e0"), &alive);
     let decisions = submit(&mut scheduler, 11, ask(2, "a", 1_000, 10_000));
     assert_eq!(
         refusal(&decisions).reason,
         RefusalReason::NoEngine,
         "an incarnation that drains stays so, whatever it reports"
     );
-    scheduler.report(
+    scheduler.apply_report(
         20,
         &UpstreamId::new("e0"),
         &EngineReport { incarnation: Incarnation(2), ..alive },
@@ -145,13 +145,13 @@
         incarnation: Incarnation(1),
         memory_tokens: MEMORY_TOKENS,
         running,
-        is_leaving: false,
+        is_draining: false,
         ..EngineReport::default()
     };
-    scheduler.report(9_000, &engine, &report);
+    scheduler.apply_report(9_000, &engine, &report);
     assert_eq!(scheduler.totals().granted_tokens, 1_016, "the engine still runs the attempt");
     report.running.clear();
-    scheduler.report(9_500, &engine, &report);
+    scheduler.apply_report(9_500, &engine, &report);
     assert_eq!(scheduler.totals().granted_tokens, 0);
 }
 
@@ -163,10 +163,10 @@
         incarnation: Incarnation(1),
         memory_tokens: MEMORY_TOKENS,
         running,
-        is_leaving: false,
+        is_draining: false,
         ..EngineReport::default()
     };
-    scheduler.report(0, &UpstreamId::new("e0"), &report);
+    scheduler.apply_report(0, &UpstreamId::new("e0"), &report);
     assert_eq!(scheduler.totals().foreign_tokens, 250_000);
     assert_eq!(
         submit(&mut scheduler, 1, ask(1, "a", 200_000, 3_600_000)),
@@ -179,18 +179,18 @@
 fn account_with_a_long_queue_does_not_delay_another() {
     let mut scheduler = scheduler(1);
     for number in 0..200 {
-        scheduler.submit(0, Holder::default(), ask(number, "large", 4_000, 600_000));
+        scheduler.submit(0, GrantHolder::default(), ask(number, "large", 4_000, 600_000));
     }
     scheduler.take_decisions();
-    scheduler.submit(1, Holder::default(), ask(1_000, "small", 4_000, 600_000));
+    scheduler.submit(1, GrantHolder::default(), ask(1_000, "small", 4_000, 600_000));
     let mut order = Vec::new();
     let mut grants = vec![1];
     for step in 0..20 {
         let now_ms = 300 * (step + 1);
         for grant in grants.drain(..) {
             let grant_id = clayplank_schedule::GrantId(grant);
-            scheduler.note_first_token(now_ms, grant_id);
-            scheduler.finish(now_ms, grant_id, Usage { engine_ended: true, ..Usage::default() });
+            scheduler.record_first_token(now_ms, grant_id);
+            scheduler.end_grant(now_ms, grant_id, Usage { engine_ended: true, ..Usage::default() });
         }
         for decision in scheduler.take_decisions() {
             if let Decision::Granted(grant) = decision {
@@ -216,9 +216,9 @@
         let now_ms = number * 400;
         let mut high = ask(number, "b", 4_000, now_ms + 60_000);
         high.priority = Priority::High;
-        scheduler.submit(now_ms, Holder::default(), high);
+        scheduler.submit(now_ms, GrantHolder::default(), high);
         let grant_id = clayplank_schedule::GrantId(last);
-        scheduler.note_first_token(now_ms + 1, grant_id);
+        scheduler.record_first_token(now_ms + 1, grant_id);
         for decision in scheduler.take_decisions() {
             let Decision::Granted(grant) = decision else { continue };
             last = grant.grant_id.0;
@@ -241,8 +241,8 @@
         let decisions = submit(&mut scheduler, now_ms, ask(number, "a", 4_000, now_ms + 60_000));
         let grant_id = granted(&decisions).grant_id;
         // The engine prefills 40 tokens per ms, four times the configured initial rate.
-        scheduler.note_first_token(now_ms + 100, grant_id);
-        scheduler.finish(
+        scheduler.record_first_token(now_ms + 100, grant_id);
+        scheduler.end_grant(
             now_ms + 200,
             grant_id,
             Usage { engine_ended: true, output_tokens: 11, decode_ms: 100, ..Usage::default() },
--- a/clayplank-schedule/tests/random.rs
+++ b/clayplank-schedule/tests/random.rs
@@ -6,7 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use clayplank_schedule::{
-    Ask, Decision, EngineReport, EngineSpec, GrantId, Holder, Policy, Scheduler, Usage,
+    Decision, EngineReport, EngineSpec, GrantHolder, GrantId, Policy, ReservationRequest,
+    Scheduler, Usage,
 };
 use clayplank_types::{AccountId, AttemptId, HostId, Incarnation, Partner, RequestId, UpstreamId};
 use proptest::prelude::*;
@@ -62,8 +63,8 @@
 }
 
 impl Environment {
-    fn holder(&self, host: u8) -> Holder {
-        Holder {
+    fn holder(&self, host: u8) -> GrantHolder {
+        GrantHolder {
             host: HostId::new(format!("h{host}")),
             incarnation: Incarnation(self.host_incarnations[host as usize]),
         }
@@ -110,7 +111,7 @@
             incarnation: Incarnation(self.incarnations[engine]),
             memory_tokens: MEMORY_TOKENS,
             running: self.running[engine].clone(),
-            is_leaving: false,
+            is_draining: false,
             ..EngineReport::default()
         }
     }
@@ -122,15 +123,21 @@
                 let attempt_id = AttemptId::from_bits(u128::from(number));
                 let account = AccountId::new(Partner::new("dala"), format!("a{account}"));
                 let deadline_ms = self.now_ms + deadline_ms;
-                let ask =
-                    Ask::new(request_id, attempt_id, account, "base", prompt_tokens, deadline_ms);
+                let ask = ReservationRequest::new(
+                    request_id,
+                    attempt_id,
+                    account,
+                    "base",
+                    prompt_tokens,
+                    deadline_ms,
+                );
                 self.requested.insert(request_id, (attempt_id, host));
                 self.deadlines.insert(request_id, deadline_ms);
                 scheduler.submit(self.now_ms, self.holder(host), ask);
             }
             Step::FirstToken(ref chosen) if !self.granted.is_empty() => {
                 let grants: Vec<_> = self.granted.keys().copied().collect();
-                scheduler.note_first_token(self.now_ms, *chosen.get(&grants));
+                scheduler.record_first_token(self.now_ms, *chosen.get(&grants));
             }
             Step::Finish { ref chosen, engine_ended } if !self.granted.is_empty() => {
                 let grants: Vec<_> =
@@ -142,7 +149,11 @@
                         running.remove(&attempt_id);
                     });
                 }
-                scheduler.finish(self.now_ms, grant_id, Usage { engine_ended, ..Usage::default() });
+                scheduler.end_grant(
+                    self.now_ms,
+                    grant_id,
+                    Usage { engine_ended, ..Usage::default() },
+                );
             }
             Step::FirstToken(_) | Step::Finish { .. } => {}
             // The failed host's grants are no longer renewed.
@@ -154,11 +165,11 @@
             Step::EngineRestarts(engine) => {
                 self.running[engine].clear();
                 self.incarnations[engine] += 1;
-                scheduler.report(self.now_ms, &engine_id(engine), &self.report(engine));
+                scheduler.apply_report(self.now_ms, &engine_id(engine), &self.report(engine));
             }
-            Step::EngineUnresponsive(engine) => scheduler.note_silent(&engine_id(engine)),
+            Step::EngineUnresponsive(engine) => scheduler.mark_unresponsive(&engine_id(engine)),
             Step::Report(engine) => {
-                scheduler.report(self.now_ms, &engine_id(engine), &self.report(engine))
+                scheduler.apply_report(self.now_ms, &engine_id(engine), &self.report(engine))
             }
             Step::Wait(elapsed_ms) => {
                 self.now_ms += elapsed_ms;
@@ -195,7 +206,7 @@
             environment.apply_decisions(&mut scheduler);
             for engine in 0..ENGINES {
                 let report = environment.report(engine);
-                scheduler.report(environment.now_ms, &engine_id(engine), &report);
+                scheduler.apply_report(environment.now_ms, &engine_id(engine), &report);
             }
             environment.apply_decisions(&mut scheduler);
         }
--- a/clayplankd/src/doors/dispatch.rs
+++ b/clayplankd/src/doors/dispatch.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use clayplank_clock::Instant;
-use clayplank_schedule::{Ask, Usage};
+use clayplank_schedule::{ReservationRequest, Usage};
 use clayplank_settings::Effective;
 use clayplank_types::{AccountId, AttemptId, PREFIX_BLOCK_TOKENS, UpstreamId, prefix_hashes};
 use clayplank_upstream::{
@@ -173,7 +173,11 @@
     }
 }
 
-fn reservation_request(host: &Host, job: &PromptJob, excluded: &[UpstreamId]) -> Ask {
+fn reservation_request(
+    host: &Host,
+    job: &PromptJob,
+    excluded: &[UpstreamId],
+) -> ReservationRequest {
     let bytes_per_block = job.prompt.len() as u64 * PREFIX_BLOCK_TOKENS / job.prompt_tokens.max(1);
     let block_bytes = host
         .settings
@@ -182,12 +186,12 @@
         .min(bytes_per_block.max(1) as usize);
     let mut request =
         new_ask(AttemptId::random(), job.account.clone(), &job.model, job.prompt_tokens);
-    request.share = job.share;
+    request.weight = job.share;
     request.priority = job.effective.priority;
     request.adapter = job.effective.adapter.clone();
     request.max_output_tokens = job.max_tokens;
     request.prefix_hashes = prefix_hashes(job.prompt.as_bytes(), block_bytes);
-    request.avoid = excluded.to_vec();
+    request.avoided_engines = excluded.to_vec();
     request
 }
 
--- a/clayplankd/src/fleet/fleet_engines.rs
+++ b/clayplankd/src/fleet/fleet_engines.rs
@@ -33,7 +33,7 @@
         };
         fleet.set_engine(heartbeat.id.clone(), spec, heartbeat.standing == UpstreamStatus::Ready);
         fleet.set_heartbeats_missing(&heartbeat.id, record.is_silent);
-        if let Some(start) = plan.cold_start(&heartbeat.service) {
+        if let Some(start) = plan.cold_start_limit(&heartbeat.service) {
             let remaining_ms = heartbeat.cold_left_ms as f64;
             fleet.set_cold(fleet_now_ms(), &heartbeat.id, remaining_ms, start.requests_per_s);
         }
@@ -45,7 +45,7 @@
 /// heartbeat, which would say so, comes later.
 pub(crate) fn set_cordoned(fleet: &mut Fleet, plan: &PlanIndex, cordoned: &BTreeSet<DataCentre>) {
     for id in fleet.set_cordoned(cordoned.clone()) {
-        let start = fleet.pool_of(&id).and_then(|pool| plan.cold_start(pool));
+        let start = fleet.pool_of(&id).and_then(|pool| plan.cold_start_limit(pool));
         if let Some(start) = start {
             fleet.set_cold(fleet_now_ms(), &id, start.lasts_ms as f64, start.requests_per_s);
         }
--- a/clayplankd/src/owners/owner.rs
+++ b/clayplankd/src/owners/owner.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use clayplank_schedule::{
-    Ask, Decision, EngineReport, EngineSpec, Grant, GrantId, HeldGrant, Holder, Policy, Scheduler,
-    Totals, Usage,
+    Decision, EngineReport, EngineSpec, Grant, GrantHolder, GrantId, HeldGrant, Policy,
+    ReservationRequest, Scheduler, Totals, Usage,
 };
 use clayplank_settings::HostSettings;
 use clayplank_types::{AttemptId, HostId, Incarnation, PoolId, Refusal, RequestId, UpstreamId};
@@ -150,7 +150,7 @@
             let models = engine.models.iter().map(String::as_str);
             scheduler.add_engine(EngineSpec::new(engine.id.clone(), engine.memory_tokens, models));
             // The engine gets work only after a report shows what it already runs.
-            scheduler.note_silent(&engine.id);
+            scheduler.mark_unresponsive(&engine.id);
             let poll = EnginePoll {
                 owner: address.clone(),
                 edge: Arc::clone(&self.engines),
@@ -254,7 +254,7 @@
     /// Ends a grant that was never used because nobody received it.
     fn cancel_unused_grant(&mut self, pool: &PoolId, grant_id: GrantId) {
         if let Some(owned) = self.pools.get_mut(pool) {
-            owned.scheduler.finish(
+            owned.scheduler.end_grant(
                 now_ms(),
                 grant_id,
                 Usage { engine_ended: true, ..Usage::default() },
@@ -294,7 +294,7 @@
         for (request_id, waiter) in self.waiters.extract_if(|_, waiter| waiter.reply.is_closed()) {
             log::debug!(target: part::OWNER, "Withdrew attempt {}: its sender stopped waiting.", waiter.attempt_id);
             if let Some(owned) = self.pools.get_mut(&waiter.pool) {
-                owned.scheduler.withdraw(request_id);
+                owned.scheduler.cancel(request_id);
             }
         }
     }
@@ -313,7 +313,7 @@
         let leaving = self.upstreams.leaving();
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             self.with_pool(&pool, |scheduler| {
-                leaving.iter().for_each(|engine| scheduler.note_leaving(engine));
+                leaving.iter().for_each(|engine| scheduler.mark_draining(engine));
                 scheduler.tick(now_ms());
             });
         }
@@ -323,9 +323,9 @@
 /// Message: a request for engines of a pool.
 pub(crate) struct Reserve {
     pub(crate) pool: PoolId,
-    pub(crate) holder: Holder,
+    pub(crate) holder: GrantHolder,
     /// The owner sets its `request_id`. Its deadline is absolute, by the local clock.
-    pub(crate) ask: Ask,
+    pub(crate) ask: ReservationRequest,
 }
 
 impl Handler<Reserve> for Owner {
@@ -363,7 +363,7 @@
     async fn handle(&mut self, first: FirstToken, _: &mut Context<Self>) {
         self.with_pool(&first.pool, |scheduler| {
             if scheduler.incarnation() == first.owner {
-                scheduler.note_first_token(now_ms(), first.grant_id);
+                scheduler.record_first_token(now_ms(), first.grant_id);
             }
         });
     }
@@ -381,14 +381,14 @@
 
     async fn handle(&mut self, finish: Finish, _: &mut Context<Self>) {
         self.with_pool(&finish.pool, |scheduler| {
-            scheduler.finish_attempt(now_ms(), finish.attempt_id, finish.usage)
+            scheduler.end_grant_of_attempt(now_ms(), finish.attempt_id, finish.usage)
         });
     }
 }
 
 /// Message: a host renews its grants, which are listed by pool.
 pub(crate) struct Renew {
-    pub(crate) holder: Holder,
+    pub(crate) holder: GrantHolder,
     pub(crate) held: BTreeMap<PoolId, Vec<HeldGrant>>,
 }
 
@@ -421,11 +421,11 @@
                     memory_tokens: report.memory_tokens,
                     running: report.running,
                     adapters: report.adapters,
-                    is_leaving: report.leaving,
+                    is_draining: report.leaving,
                 };
-                scheduler.report(now_ms(), &reported.engine, &report);
+                scheduler.apply_report(now_ms(), &reported.engine, &report);
             }
-            None => scheduler.note_silent(&reported.engine),
+            None => scheduler.mark_unresponsive(&reported.engine),
         });
     }
 }
@@ -444,10 +444,10 @@
     async fn handle(&mut self, changed: CacheChanged, _: &mut Context<Self>) {
         self.with_pool(&changed.pool, |scheduler| {
             if changed.has_gap {
-                scheduler.note_cache_gap(&changed.engine);
+                scheduler.invalidate_cached_prefixes(&changed.engine);
             }
             for event in changed.events.iter().filter(|event| !event.stored) {
-                scheduler.note_evicted(&changed.engine, event.prefix_hash);
+                scheduler.record_prefix_evicted(&changed.engine, event.prefix_hash);
             }
         });
     }
@@ -468,7 +468,7 @@
     async fn handle(&mut self, loaded: AdapterLoaded, _: &mut Context<Self>) {
         self.with_pool(&loaded.pool, |scheduler| {
             for engine in loaded.plan.engines().filter(|_| loaded.is_loaded) {
-                scheduler.note_adapter(engine, loaded.plan.adapter());
+                scheduler.record_adapter_loaded(engine, loaded.plan.adapter());
             }
         });
         if let Some(grant_id) = loaded.unused_grant {
--- a/clayplankd/src/owners/reserve.rs
+++ b/clayplankd/src/owners/reserve.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use clayplank_clock::Instant;
-use clayplank_schedule::{Ask, GrantId, GrantPart, HeldGrant, PoolLoad, Usage, choose_pool};
+use clayplank_schedule::{
+    GrantId, GrantPart, HeldGrant, PoolLoad, ReservationRequest, Usage, choose_pool,
+};
 use clayplank_types::{
     AttemptId, EnginePriority, HostId, Incarnation, PoolId, Refusal, RefusalReason, RequestId,
     UpstreamId,
@@ -82,7 +84,11 @@
 }
 
 /// Requests engines until a grant or a refusal arrives, or the deadline has passed.
-pub(crate) async fn reserve(host: &Host, ask: &Ask, deadline: Instant) -> Result<Held, Refusal> {
+pub(crate) async fn reserve(
+    host: &Host,
+    ask: &ReservationRequest,
+    deadline: Instant,
+) -> Result<Held, Refusal> {
     let pools = host.pools.of_model(&ask.model);
     let loads: Vec<_> = pools.iter().map(|pool| pool_load(host, pool)).collect();
     let Some(chosen) = choose_pool(&loads, &mut rand::rng()) else {
@@ -122,7 +128,7 @@
     let local_data_centre = host.settings.own_entry().map(|entry| &entry.data_centre);
     let is_local = host.pools.data_centre(pool) == local_data_centre;
     let distance_ms = if is_local { 0 } else { REMOTE_POOL_DISTANCE_MS };
-    PoolLoad { pool: pool.clone(), wait_ms: host.pool_waits.get(pool), distance_ms }
+    PoolLoad { pool: pool.clone(), wait_ms: host.pool_waits.get(pool), round_trip_ms: distance_ms }
 }
 
 /// Result of one reservation request to an owner.
@@ -135,7 +141,7 @@
 async fn reserve_in(
     host: &Host,
     pool: &PoolId,
-    ask: &Ask,
+    ask: &ReservationRequest,
     remaining: Duration,
 ) -> Result<ReserveOutcome, PeerError> {
     let Some(owner) = host.members.owner_of(pool) else {
@@ -150,14 +156,19 @@
     Ok(from_wire(pool, ask, reply))
 }
 
-fn to_wire(host: &Host, pool: &PoolId, ask: &Ask, remaining: Duration) -> ReserveRequest {
+fn to_wire(
+    host: &Host,
+    pool: &PoolId,
+    ask: &ReservationRequest,
+    remaining: Duration,
+) -> ReserveRequest {
     ReserveRequest {
         pool: pool.to_string(),
         from_host: host.settings.host.to_string(),
         from_incarnation: host.incarnation.0,
         attempt_id: ask.attempt_id.to_string(),
         account: ask.account.to_string(),
-        share: ask.share,
+        share: ask.weight,
         priority_rank: ask.priority.rank() as u32,
         model: ask.model.clone(),
         adapter: ask.adapter.clone().unwrap_or_default(),
@@ -165,11 +176,11 @@
         max_output_tokens: ask.max_output_tokens,
         deadline_in_ms: remaining.as_millis() as u64,
         prefix_hashes: ask.prefix_hashes.clone(),
-        avoid_engines: ask.avoid.iter().map(ToString::to_string).collect(),
+        avoid_engines: ask.avoided_engines.iter().map(ToString::to_string).collect(),
     }
 }
 
-fn from_wire(pool: &PoolId, ask: &Ask, reply: ReserveReply) -> ReserveOutcome {
+fn from_wire(pool: &PoolId, ask: &ReservationRequest, reply: ReserveReply) -> ReserveOutcome {
     let granted = match reply.result {
         Some(reserve_reply::Result::Granted(granted)) => granted,
         Some(reserve_reply::Result::Refused(refused)) => {
@@ -310,6 +321,6 @@
     account: clayplank_types::AccountId,
     model: &str,
     prompt_tokens: u64,
-) -> Ask {
-    Ask::new(RequestId(0), attempt_id, account, model, prompt_tokens, 0)
+) -> ReservationRequest {
+    ReservationRequest::new(RequestId(0), attempt_id, account, model, prompt_tokens, 0)
 }
--- a/clayplankd/src/process/inner.rs
+++ b/clayplankd/src/process/inner.rs
@@ -8,7 +8,7 @@
 use clayplank_members::MemberUpdate;
 use clayplank_placement::{Event, PlacementId, PlacementRequest, RunningPlacement};
 use clayplank_registry::{AgedLimit, Heartbeat};
-use clayplank_schedule::{GrantId, HeldGrant, Holder, Usage};
+use clayplank_schedule::{GrantHolder, GrantId, HeldGrant, Usage};
 use clayplank_state::{Body, decode, encode};
 use clayplank_types::{AttemptId, HostId, Incarnation, PoolId, Priority, RequestId, UpstreamId};
 use clayplank_wire::inner_server::Inner;
@@ -353,7 +353,7 @@
     let attempt_id: AttemptId = request.attempt_id.parse().map_err(malformed)?;
     // The deadline is by the owner's clock: only the remaining time is sent.
     let deadline_ms = now_ms() + request.deadline_in_ms;
-    let mut ask = clayplank_schedule::Ask::new(
+    let mut ask = clayplank_schedule::ReservationRequest::new(
         RequestId(0),
         attempt_id,
         account,
@@ -361,13 +361,13 @@
         request.prompt_tokens,
         deadline_ms,
     );
-    ask.share = request.share;
+    ask.weight = request.share;
     ask.priority = Priority::from_rank(request.priority_rank as usize);
     ask.adapter = Some(request.adapter).filter(|adapter| !adapter.is_empty());
     ask.max_output_tokens = request.max_output_tokens;
     ask.prefix_hashes = request.prefix_hashes;
-    ask.avoid = request.avoid_engines.into_iter().map(UpstreamId::new).collect();
-    let holder = Holder {
+    ask.avoided_engines = request.avoid_engines.into_iter().map(UpstreamId::new).collect();
+    let holder = GrantHolder {
         host: HostId::new(request.from_host),
         incarnation: Incarnation(request.from_incarnation),
     };
@@ -404,7 +404,7 @@
         };
         held.entry(PoolId::new(grant.pool)).or_default().push(held_grant);
     }
-    let holder = Holder {
+    let holder = GrantHolder {
         host: HostId::new(request.from_host),
         incarnation: Incarnation(request.from_incarnation),
     };
