--- a/clayplank-forward/src/admit.rs
+++ b/clayplank-forward/src/admit.rs
@@ -19,7 +19,7 @@
 use crate::entry::Entry;
 use crate::quarantine::Admission;
 use crate::refusal::{AnswerBody, Refusal};
-use crate::request_metadata::RequestFacts;
+use crate::request_metadata::RequestMetadata;
 
 /// Retry time sent to callers while the host has no confirmed plan, in ms. It covers an election
 /// and the first heartbeats of upstreams after a restart of all keepers. Callers retry only once or
@@ -45,9 +45,9 @@
         let arrived = Instant::now();
         let guard = self.gate.enter();
         let (head, body) = request.into_parts();
-        let facts = RequestFacts::scan(&head, &self.names);
-        let attempt_id = facts.attempt_id.clone();
-        let call = match self.admit(arrived, head, facts, body).await {
+        let metadata = RequestMetadata::parse(&head, &self.names);
+        let attempt_id = metadata.attempt_id.clone();
+        let call = match self.admit(arrived, head, metadata, body).await {
             Ok(call) => call,
             Err(refusal) => {
                 log::info!(target: "forward",
@@ -74,7 +74,7 @@
         self: &Arc<Self>,
         arrived: Instant,
         head: Parts,
-        facts: RequestFacts,
+        metadata: RequestMetadata,
         body: Incoming,
     ) -> Result<Call, Refusal> {
         if self.gate.is_closed() {
@@ -94,19 +94,19 @@
             return Err(no_plan);
         }
         let path = head.uri.path();
-        let route = plan.find_route(&facts.host, path).ok_or(Refusal::NoRoute)?.clone();
-        let (account, rank) = find_account(&plan, &route, &facts)?;
-        let caller = caller_name(account.as_deref(), &facts);
-        let fingerprint = fingerprint(&head, &facts, &caller, &body);
-        let is_trial = self.check_quarantine(&facts.attempt_id, fingerprint).await?;
+        let route = plan.find_route(&metadata.host, path).ok_or(Refusal::NoRoute)?.clone();
+        let (account, rank) = find_account(&plan, &route, &metadata)?;
+        let caller = caller_name(account.as_deref(), &metadata);
+        let fingerprint = fingerprint(&head, &metadata, &caller, &body);
+        let is_trial = self.check_quarantine(&metadata.attempt_id, fingerprint).await?;
         let draw = rand::random::<f64>();
         let service = plan.choose_target(&route, draw).ok_or(Refusal::NoRoute)?.to_owned();
-        let limit_ms = facts.deadline_ms.unwrap_or(u64::MAX).min(route.time_limit_ms);
+        let limit_ms = metadata.deadline_ms.unwrap_or(u64::MAX).min(route.time_limit_ms);
         let is_engine = plan.engine_model(&service).is_some();
         self.lock_budget().record_first_attempt(now_ms(), &service);
         Ok(Call {
             entry: Arc::clone(self),
-            facts,
+            metadata,
             caller,
             fingerprint,
             head,
@@ -174,8 +174,8 @@
 
 /// Returns the account's name. Callers without an account are told apart by a digest of their key,
 /// if they send one: the key itself must not appear in logs.
-fn caller_name(account: Option<&str>, facts: &RequestFacts) -> String {
-    match (account, facts.key.as_deref()) {
+fn caller_name(account: Option<&str>, metadata: &RequestMetadata) -> String {
+    match (account, metadata.key.as_deref()) {
         (Some(account), _) => account.to_owned(),
         (None, Some(key)) => {
             let key = RequestIdentity { caller: key, host: "", path: "", body: &[] };
@@ -187,24 +187,24 @@
 
 fn fingerprint(
     head: &Parts,
-    facts: &RequestFacts,
+    metadata: &RequestMetadata,
     caller: &str,
     body: &[u8],
 ) -> RequestFingerprint {
     let path = head.uri.path_and_query().map_or("/", PathAndQuery::as_str);
-    RequestFingerprint::of(&RequestIdentity { caller, host: &facts.host, path, body })
+    RequestFingerprint::of(&RequestIdentity { caller, host: &metadata.host, path, body })
 }
 
 fn find_account(
     plan: &PlanIndex,
     route: &Route,
-    facts: &RequestFacts,
+    metadata: &RequestMetadata,
 ) -> Result<(Option<String>, u8), Refusal> {
     if route.allows_anonymous || !plan.has_accounts() {
-        let account = facts.key.as_deref().and_then(|key| plan.find_account(key));
+        let account = metadata.key.as_deref().and_then(|key| plan.find_account(key));
         return Ok((account.map(|account| account.name.clone()), route.rank));
     }
-    let key = facts.key.as_deref().ok_or(Refusal::NoAccount)?;
+    let key = metadata.key.as_deref().ok_or(Refusal::NoAccount)?;
     let account = plan.find_account(key).ok_or(Refusal::NoAccount)?;
     Ok((Some(account.name.clone()), account.rank.unwrap_or(route.rank)))
 }
--- a/clayplank-forward/src/attempt.rs
+++ b/clayplank-forward/src/attempt.rs
@@ -108,7 +108,7 @@
         if let Some((running, waiting)) = parse_load(&head.headers, names) {
             self.entry.directory.note_load(upstream, running, waiting);
         }
-        let verdict = classify_head(&head, names, &self.facts.attempt_id);
+        let verdict = classify_head(&head, names, &self.metadata.attempt_id);
         // Any other response may come from a different upstream.
         if matches!(verdict, Verdict::Valid | Verdict::NotRun) {
             self.record_limit(upstream, parse_limit(&head.headers, names), sent_ms);
@@ -155,7 +155,7 @@
         if noted == LimitUpdateResult::Changed {
             log::info!(target: "forward",
                 upstream = upstream.as_str(), limit_per_s = requests_per_s,
-                request = self.facts.attempt_id;
+                request = self.metadata.attempt_id;
                 "An upstream's limit changed");
         }
         // A limit is reported with every response that states it: other hosts may since have
@@ -178,7 +178,7 @@
         };
         self.entry.metrics.count_limited();
         log::info!(target: "forward",
-            request = self.facts.attempt_id, upstream = upstream.as_str(), limit_per_s = limit_per_s,
+            request = self.metadata.attempt_id, upstream = upstream.as_str(), limit_per_s = limit_per_s,
             sent = self.sent_count, has_begun = self.last_event_at.is_some();
             "Sends to an upstream with a limit");
     }
@@ -190,7 +190,7 @@
         match id.filter(|id| load.note_helper_failed(id)) {
             Some(helper) => {
                 log::info!(target: "forward",
-                    request = self.facts.attempt_id, upstream = helper.as_str();
+                    request = self.metadata.attempt_id, upstream = helper.as_str();
                     "A helper was at fault");
                 // The engine that responded can still run the prompt with other helpers.
                 self.tried.pop();
@@ -245,7 +245,7 @@
     fn log_attempt(&self, upstream: &UpstreamId, outcome: &'static str, cause: &str) {
         self.entry.metrics.count_attempt(outcome);
         log::info!(target: "forward",
-            request = self.facts.attempt_id, route = self.route.name, upstream = upstream.as_str(),
+            request = self.metadata.attempt_id, route = self.route.name, upstream = upstream.as_str(),
             outcome = outcome, cause = cause, waited_ms = self.waited_ms(),
             fingerprint:% = self.fingerprint;
             "An attempt ended without an answer");
--- a/clayplank-forward/src/call.rs
+++ b/clayplank-forward/src/call.rs
@@ -14,7 +14,7 @@
 use crate::clock::{millis, now_ms};
 use crate::entry::Entry;
 use crate::refusal::{AnswerBody, Refusal};
-use crate::request_metadata::RequestFacts;
+use crate::request_metadata::RequestMetadata;
 
 /// Failed connections, beyond the first, before a request is abandoned.
 const MAX_FAILED_CONNECTS: usize = 3;
@@ -35,7 +35,7 @@
 /// A request that has been received completely and is being forwarded to upstreams.
 pub(crate) struct Call {
     pub(crate) entry: Arc<Entry>,
-    pub(crate) facts: RequestFacts,
+    pub(crate) metadata: RequestMetadata,
     /// Account name or digest of the caller's key; empty if the caller sent neither.
     pub(crate) caller: String,
     /// Identical whenever the same caller repeats the request, at any host.
@@ -74,9 +74,9 @@
             return;
         }
         log::info!(target: "forward",
-            request = self.facts.attempt_id, route = self.route.name,
+            request = self.metadata.attempt_id, route = self.route.name,
             upstream = self.tried.last().map_or("", UpstreamId::as_str),
-            sent = self.sent_count, prompt_tokens = self.facts.prompt_tokens,
+            sent = self.sent_count, prompt_tokens = self.metadata.prompt_tokens,
             waited_ms = self.waited_ms(), left_ms = self.remaining().as_millis() as u64;
             "The caller left before an answer");
         self.entry.metrics.count(&self.route.name, "caller_left_early");
@@ -148,10 +148,10 @@
             refusal
         };
         log::info!(target: "forward",
-            request = self.facts.attempt_id, route = self.route.name, outcome = reported.as_str(),
+            request = self.metadata.attempt_id, route = self.route.name, outcome = reported.as_str(),
             tried = self.tried.len(), sent = self.sent_count, waited_ms = self.waited_ms(),
             retry_after_ms = reported.retry_after_ms().unwrap_or_default(),
-            prompt_tokens = self.facts.prompt_tokens, plan = self.entry.gate.plan_version(),
+            prompt_tokens = self.metadata.prompt_tokens, plan = self.entry.gate.plan_version(),
             fingerprint:% = self.fingerprint,
             left_ms = self.remaining().as_millis() as u64;
             "Gave a request up");
--- a/clayplank-forward/src/choice.rs
+++ b/clayplank-forward/src/choice.rs
@@ -96,8 +96,8 @@
     fn log_deferred(&self, deferred_ms: u64, placed: &PlacementOutcome) {
         let is_placed = matches!(placed, PlacementOutcome::At(_));
         log::info!(target: "forward",
-            request = self.facts.attempt_id, held_ms = deferred_ms, placed = is_placed,
-            prompt_tokens = self.facts.prompt_tokens;
+            request = self.metadata.attempt_id, held_ms = deferred_ms, placed = is_placed,
+            prompt_tokens = self.metadata.prompt_tokens;
             "Decided the placement of a deferred request");
     }
 
@@ -110,11 +110,11 @@
         let mut request = PlacementRequest::new(
             self.entry.placer.next_id(),
             &self.service,
-            self.facts.prompt_tokens,
+            self.metadata.prompt_tokens,
             (goal_ms - waited_ms).max(MIN_GOAL_MS),
         );
         request.waited_ms = waited_ms;
-        request.output_tokens = self.facts.output_tokens;
+        request.output_tokens = self.metadata.output_tokens;
         request.limit_ms = self.caller_timeout().as_secs_f64() * 1e3;
         request.pause_goal_ms = pause_goal_ms;
         request.has_begun = has_begun;
@@ -123,7 +123,8 @@
         request.is_returning = !request.avoid.is_empty();
         request.route = self.route.name.clone();
         request.route_limit_ms = self.route.time_limit_ms as f64;
-        request.sent_limit_ms = self.facts.deadline_ms.unwrap_or(self.route.time_limit_ms) as f64;
+        request.sent_limit_ms =
+            self.metadata.deadline_ms.unwrap_or(self.route.time_limit_ms) as f64;
         request
     }
 
--- a/clayplank-forward/src/entry.rs
+++ b/clayplank-forward/src/entry.rs
@@ -12,7 +12,7 @@
 use crate::names::HeaderNames;
 use crate::placer::Placer;
 use crate::quarantine::{NoAuthority, QuarantineAuthority, RequestQuarantine};
-use crate::reserve::OrderFormat;
+use crate::reserve::CommandFormat;
 use crate::termination::PendingBreaks;
 
 /// Default maximum number of open connections of callers; each takes a file descriptor and some
@@ -33,7 +33,7 @@
     pub(crate) directory: Arc<Directory>,
     pub(crate) placer: Arc<dyn Placer>,
     /// Format of commands by which engines reserve memory; `None` if no engine supports them.
-    pub(crate) commands: Option<Arc<dyn OrderFormat>>,
+    pub(crate) commands: Option<Arc<dyn CommandFormat>>,
     pub(crate) budget: Mutex<RetryBudget>,
     pub(crate) metrics: Metrics,
     pub(crate) data_centre: DataCentre,
@@ -54,11 +54,11 @@
 pub struct EntryBuilder {
     names: HeaderNames,
     budget: Option<RetryBudget>,
-    orders: Option<Arc<dyn OrderFormat>>,
+    command_format: Option<Arc<dyn CommandFormat>>,
     data_centre: DataCentre,
     quarantine_authority: Option<Arc<dyn QuarantineAuthority>>,
     max_connections: Option<usize>,
-    max_held_bytes: Option<usize>,
+    max_buffered_bytes: Option<usize>,
 }
 
 impl std::fmt::Debug for EntryBuilder {
@@ -81,8 +81,8 @@
     }
 
     /// Sets the format of commands by which engines reserve memory.
-    pub fn orders(mut self, orders: Arc<dyn OrderFormat>) -> Self {
-        self.orders = Some(orders);
+    pub fn command_format(mut self, orders: Arc<dyn CommandFormat>) -> Self {
+        self.command_format = Some(orders);
         self
     }
 
@@ -106,8 +106,8 @@
 
     /// Sets the maximum number of buffered bytes of requests and answers, over all callers and
     /// upstreams.
-    pub fn max_held_bytes(mut self, max_held_bytes: usize) -> Self {
-        self.max_held_bytes = Some(max_held_bytes);
+    pub fn max_buffered_bytes(mut self, max_buffered_bytes: usize) -> Self {
+        self.max_buffered_bytes = Some(max_buffered_bytes);
         self
     }
 
@@ -122,13 +122,13 @@
         Entry {
             max_connections: self.max_connections.unwrap_or(DEFAULT_MAX_CONNECTIONS),
             buffer_quota: BufferQuota::new(
-                self.max_held_bytes.unwrap_or(DEFAULT_MAX_BUFFERED_BYTES),
+                self.max_buffered_bytes.unwrap_or(DEFAULT_MAX_BUFFERED_BYTES),
             ),
             names: self.names,
             gate,
             directory,
             placer,
-            commands: self.orders,
+            commands: self.command_format,
             budget: Mutex::new(budget),
             metrics: Metrics::default(),
             data_centre: self.data_centre,
@@ -161,7 +161,7 @@
     }
 
     /// All metrics in the Prometheus text format.
-    pub fn to_text(&self) -> String {
+    pub fn metrics_text(&self) -> String {
         let quarantined = self.quarantine.count();
         let buffered_bytes = self.buffer_quota.count();
         let limited = self.directory.count_limited();
--- a/clayplank-forward/src/events.rs
+++ b/clayplank-forward/src/events.rs
@@ -43,7 +43,7 @@
     }
 
     /// Number of buffered bytes of an incomplete event.
-    pub fn held_bytes(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
--- a/clayplank-forward/src/exchange.rs
+++ b/clayplank-forward/src/exchange.rs
@@ -130,7 +130,7 @@
 ///
 /// # Errors
 /// No complete response came in time.
-pub async fn call_whole(
+pub async fn request_complete(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     timeout: Duration,
--- a/clayplank-forward/src/gate.rs
+++ b/clayplank-forward/src/gate.rs
@@ -96,7 +96,7 @@
     /// Whether the load balancer should send new connections to this host.
     pub fn is_ready(&self) -> bool {
         let has_plan = self.is_confirmed() && self.plan.load().is_some();
-        has_plan && !self.is_leaving() && !self.is_full.load(Ordering::SeqCst)
+        has_plan && !self.is_shutting_down() && !self.is_full.load(Ordering::SeqCst)
     }
 
     /// Sets whether no further connection can be accepted. A full host that still reported itself
@@ -107,12 +107,12 @@
     }
 
     /// Marks the host as not ready, permanently.
-    pub fn leave(&self) {
+    pub fn start_shutdown(&self) {
         self.is_shutting_down.store(true, Ordering::SeqCst);
     }
 
     /// Whether the host is shutting down.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.is_shutting_down.load(Ordering::SeqCst)
     }
 
--- a/clayplank-forward/src/listener.rs
+++ b/clayplank-forward/src/listener.rs
@@ -126,7 +126,7 @@
 }
 
 /// Serves small requests: each is answered by `answer` with a complete body.
-pub async fn serve_simple<F, R>(listener: TcpListener, answer: F)
+pub async fn serve_small_requests<F, R>(listener: TcpListener, answer: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Response<Full<Bytes>>> + Send + 'static,
--- a/clayplank-forward/src/opening.rs
+++ b/clayplank-forward/src/opening.rs
@@ -64,7 +64,7 @@
                 break;
             }
         };
-        match open_at(call, chosen, call.facts.last_event_id).await {
+        match open_at(call, chosen, call.metadata.last_event_id).await {
             OpenResult::Started(started) => return Ok(Opened::Started(started)),
             OpenResult::Other(response, is_final) => {
                 if is_final {
@@ -167,7 +167,7 @@
     call.note_break(&UpstreamId::new(upstream));
     call.entry.metrics.count_attempt("broken");
     log::info!(target: "forward",
-        request = call.facts.attempt_id, route = call.route.name, upstream = upstream,
+        request = call.metadata.attempt_id, route = call.route.name, upstream = upstream,
         cause = cause, last_event = last_event_id.unwrap_or_default(),
         waited_ms = call.waited_ms(), fingerprint:% = call.fingerprint;
         "A stream broke off at its upstream");
--- a/clayplank-forward/src/pump.rs
+++ b/clayplank-forward/src/pump.rs
@@ -56,7 +56,7 @@
     /// Creates the pump of a stream that an upstream has started.
     pub(crate) fn new(call: Call, queue: CallerQueue, source: EventSource, timing: Timing) -> Self {
         Self {
-            last_event_id: call.facts.last_event_id,
+            last_event_id: call.metadata.last_event_id,
             call,
             queue,
             source,
@@ -88,9 +88,9 @@
     fn log_end(&self, end: StreamEnd) {
         let (call, timing) = (&self.call, &self.timing);
         log::info!(target: "forward",
-            request = call.facts.attempt_id, route = call.route.name,
+            request = call.metadata.attempt_id, route = call.route.name,
             upstream = self.source.upstream, outcome = end.as_str(), sent = call.sent_count,
-            prompt_tokens = call.facts.prompt_tokens, helpers = timing.helpers,
+            prompt_tokens = call.metadata.prompt_tokens, helpers = timing.helpers,
             goal_ms = call.route.goal_ms, pause_goal_ms = call.pause_goal_ms(),
             expected_ms = timing.expected_ms, first_event_ms = timing.first_event_ms,
             longest_pause_ms = self.longest_pause.as_millis() as u64,
--- a/clayplank-forward/src/request_metadata.rs
+++ b/clayplank-forward/src/request_metadata.rs
@@ -7,7 +7,7 @@
 
 /// Properties of a request that a host needs to forward it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// The caller's id of this attempt; empty if not given.
     pub attempt_id: String,
     /// Host name that the request is addressed to.
@@ -24,9 +24,9 @@
     pub key: Option<String>,
 }
 
-impl RequestFacts {
+impl RequestMetadata {
     /// Parses a head; missing or unreadable values are left empty.
-    pub fn scan(head: &Parts, names: &HeaderNames) -> Self {
+    pub fn parse(head: &Parts, names: &HeaderNames) -> Self {
         let headers = &head.headers;
         let (prompt_tokens, output_tokens) = parse_token_counts(headers, &names.token_counts);
         let host = header_text(headers, &http::header::HOST).or(head.uri.host());
--- a/clayplank-forward/src/reserve.rs
+++ b/clayplank-forward/src/reserve.rs
@@ -16,7 +16,7 @@
 use http_body_util::Full;
 use tokio::sync::oneshot;
 
-use crate::exchange::{CallError, ExchangeError, call_whole};
+use crate::exchange::{CallError, ExchangeError, request_complete};
 
 /// Time for which a reservation is valid without a renewal, in ms. Memory reserved by a failed host
 /// becomes free before it counts as lost.
@@ -38,7 +38,7 @@
 const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(2_500);
 
 /// Format of commands to engines, implemented outside this crate.
-pub trait OrderFormat: Send + Sync + 'static {
+pub trait CommandFormat: Send + Sync + 'static {
     /// Reserves memory, or renews the reservation with this ticket.
     fn reserve(&self, ticket: &str, tokens: u64, lease_ms: u64) -> Request<Full<Bytes>>;
 
@@ -67,7 +67,7 @@
 impl Reservation {
     /// Reserves memory at all engines in parallel; `None` if one of them has no room. In that case
     /// memory that was reserved is released.
-    pub async fn make(commands: Arc<dyn OrderFormat>, tickets: Vec<Ticket>) -> Option<Self> {
+    pub async fn make(commands: Arc<dyn CommandFormat>, tickets: Vec<Ticket>) -> Option<Self> {
         let (keep_alive, released) = oneshot::channel();
         let (result_sender, result) = oneshot::channel();
         // From here on, dropping it releases what may have been reserved.
@@ -98,7 +98,7 @@
 /// Reserves memory, reports whether all engines had room, renews the reservation while `released`
 /// is open, and then releases it.
 async fn maintain(
-    commands: Arc<dyn OrderFormat>,
+    commands: Arc<dyn CommandFormat>,
     tickets: Vec<Ticket>,
     result: oneshot::Sender<bool>,
     mut released: oneshot::Receiver<()>,
@@ -125,7 +125,7 @@
     futures_util::future::join_all(releases).await;
 }
 
-async fn reserve_all(commands: &dyn OrderFormat, states: &mut [TicketState]) -> bool {
+async fn reserve_all(commands: &dyn CommandFormat, states: &mut [TicketState]) -> bool {
     let calls = states.iter_mut().map(|state| async {
         let sent_at = Instant::now();
         let command = commands.reserve(&state.ticket.name, state.ticket.tokens, LEASE_MS);
@@ -139,7 +139,7 @@
 }
 
 /// Releases a ticket, repeatedly while an earlier reservation of it may still be executed.
-async fn release(commands: &dyn OrderFormat, state: &TicketState) {
+async fn release(commands: &dyn CommandFormat, state: &TicketState) {
     let ticket = &state.ticket;
     let first = send_command(ticket, commands.release(&ticket.name)).await;
     let Some(last_unanswered_at) = state.last_unanswered_at else {
@@ -156,7 +156,7 @@
 
 /// Sends a command to an engine.
 async fn send_command(ticket: &Ticket, command: Request<Full<Bytes>>) -> CommandResult {
-    match call_whole(ticket.address, command, COMMAND_TIMEOUT).await {
+    match request_complete(ticket.address, command, COMMAND_TIMEOUT).await {
         Ok((StatusCode::OK, _)) => CommandResult::Taken,
         Ok(_) => CommandResult::Refused,
         Err(error) => {
--- a/clayplank-forward/src/source.rs
+++ b/clayplank-forward/src/source.rs
@@ -70,7 +70,7 @@
             Ok(Some(Ok(frame))) => {
                 if let Some(bytes) = frame.data_ref() {
                     splitter.push(bytes);
-                    if splitter.held_bytes() > MAX_EVENT_BYTES {
+                    if splitter.buffered_bytes() > MAX_EVENT_BYTES {
                         return Next::Broken("an event is too large");
                     }
                 }
--- a/clayplank-forward/src/unary.rs
+++ b/clayplank-forward/src/unary.rs
@@ -98,7 +98,7 @@
     let upstream = chosen.record.heartbeat.id.clone();
     let timeout = upstream_timeout(call);
     let (response, connection, mut load) =
-        match call.attempt(chosen, call.facts.last_event_id, timeout).await {
+        match call.attempt(chosen, call.metadata.last_event_id, timeout).await {
             Attempt::Answered(response, connection, load) => (response, connection, load),
             Attempt::NotRun => return AttemptResult::NotRun,
             Attempt::MayHaveRun => return AttemptResult::MayHaveRun,
@@ -175,7 +175,7 @@
     let CompleteAnswer { upstream, mut head, bytes, buffer_permit } = answer;
     strip_hop_by_hop(&mut head.headers);
     log::info!(target: "forward",
-        request = call.facts.attempt_id, route = call.route.name, upstream = upstream.as_str(),
+        request = call.metadata.attempt_id, route = call.route.name, upstream = upstream.as_str(),
         status = head.status.as_u16(), goal_ms = call.route.goal_ms, sent = call.sent_count,
         waited_ms = call.waited_ms(), fingerprint:% = call.fingerprint;
         "Answered");
--- a/clayplank-forward/tests/entry/broken_stream.rs
+++ b/clayplank-forward/tests/entry/broken_stream.rs
@@ -112,7 +112,7 @@
         let placer =
             Arc::new(SinglePlacement { requests: AtomicU64::new(0), steps: Arc::clone(&steps) });
         let builder = EntryBuilder::default()
-            .orders(Arc::new(PathCommands))
+            .command_format(Arc::new(PathCommands))
             .data_centre(DataCentre::new("a"));
         let route = Route { pause_goal_ms: Some(250), ..route(RequestKind::ResumableStream) };
         let service = ServiceGroup { engine: Some(EngineModel::default()), ..plain_service() };
--- a/clayplank-forward/tests/entry/harness.rs
+++ b/clayplank-forward/tests/entry/harness.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use clayplank_forward::{
-    BoxFuture, Directory, Entry, EntryBuilder, Gate, OrderFormat, PermitReply, Placer, now_ms,
+    BoxFuture, CommandFormat, Directory, Entry, EntryBuilder, Gate, PermitReply, Placer, now_ms,
     serve_callers,
 };
 use clayplank_placement::{Event, PlacementId, PlacementOutcome, PlacementRequest};
@@ -51,7 +51,7 @@
 /// Encodes commands to engines by their path alone, without a body.
 pub struct PathCommands;
 
-impl OrderFormat for PathCommands {
+impl CommandFormat for PathCommands {
     fn reserve(&self, _: &str, _: u64, _: u64) -> Request<Full<Bytes>> {
         command("/reserve")
     }
--- a/clayplank-forward/tests/entry/slow_readers.rs
+++ b/clayplank-forward/tests/entry/slow_readers.rs
@@ -95,7 +95,7 @@
         accounts: Vec::new(),
         limits,
     };
-    let builder = EntryBuilder::default().max_held_bytes(MAX_HELD_BYTES);
+    let builder = EntryBuilder::default().max_buffered_bytes(MAX_HELD_BYTES);
     Host::start_with_plan(builder, plan, directory, Arc::new(NoPlacer)).await
 }
 
@@ -120,8 +120,8 @@
     tokio::time::timeout(WAIT_TIMEOUT, read_head(stream)).await.unwrap()
 }
 
-fn held_bytes(host: &Host) -> usize {
-    let metrics = host.entry.to_text();
+fn buffered_bytes(host: &Host) -> usize {
+    let metrics = host.entry.metrics_text();
     let line = metrics.lines().find(|line| line.starts_with("clayplank_entry_held_bytes"));
     line.unwrap().rsplit(' ').next().unwrap().parse().unwrap()
 }
@@ -143,14 +143,15 @@
     for number in 0..4 {
         callers.push(send(&host, &path, &format!("large-{number}")).await);
     }
-    wait_until("the buffering of half the limit", || held_bytes(&host) >= MAX_HELD_BYTES / 2).await;
+    wait_until("the buffering of half the limit", || buffered_bytes(&host) >= MAX_HELD_BYTES / 2)
+        .await;
     for number in 0..20 {
         let mut small = send(&host, "/800", &format!("small-{number}")).await;
         let head = answer_head(&mut small).await;
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
-        assert!(held_bytes(&host) <= MAX_HELD_BYTES);
+        assert!(buffered_bytes(&host) <= MAX_HELD_BYTES);
     }
-    wait_until("the release of all buffered bytes", || held_bytes(&host) == 0).await;
+    wait_until("the release of all buffered bytes", || buffered_bytes(&host) == 0).await;
     for caller in &mut callers {
         let mut rest = Vec::new();
         let read = tokio::time::timeout(WAIT_TIMEOUT, caller.read_to_end(&mut rest)).await.unwrap();
@@ -165,7 +166,8 @@
     let mut caller = host.connect().await;
     caller.write_all(request("/mute", "mute", LARGE_BYTES).as_bytes()).await.unwrap();
     caller.write_all(&vec![b'a'; LARGE_BYTES]).await.unwrap();
-    wait_until("the receipt of most of the request", || held_bytes(&host) > LARGE_BYTES / 2).await;
+    wait_until("the receipt of most of the request", || buffered_bytes(&host) > LARGE_BYTES / 2)
+        .await;
 
     let mut second = host.connect().await;
     second.write_all(request("/2", "second", LARGE_BYTES).as_bytes()).await.unwrap();
@@ -183,5 +185,5 @@
         head.starts_with("HTTP/1.1 504"),
         "it may have run, and its time limit has passed: {head}"
     );
-    wait_until("the release of all buffered bytes", || held_bytes(&host) == 0).await;
+    wait_until("the release of all buffered bytes", || buffered_bytes(&host) == 0).await;
 }
--- a/clayplank-forward/tests/reservations.rs
+++ b/clayplank-forward/tests/reservations.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use clayplank_forward::{OrderFormat, Reservation, Ticket};
+use clayplank_forward::{CommandFormat, Reservation, Ticket};
 use http::Request;
 use http_body_util::Full;
 use rand::rngs::SmallRng;
@@ -129,7 +129,7 @@
 
 struct PathCommands;
 
-impl OrderFormat for PathCommands {
+impl CommandFormat for PathCommands {
     fn reserve(&self, ticket: &str, _: u64, hold_ms: u64) -> Request<Full<Bytes>> {
         command(&format!("/reserve/{ticket}/{hold_ms}"))
     }
--- a/clayplankd/src/doors/contract.rs
+++ b/clayplankd/src/doors/contract.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use clayplank_forward::{HeaderNames, OrderFormat};
+use clayplank_forward::{CommandFormat, HeaderNames};
 use clayplank_registry::Heartbeat;
 use clayplank_routes::ServingPlan;
 use clayplank_settings::Faults;
@@ -84,7 +84,7 @@
 
 /// Header names, formats and calls of a platform. An implementation only translates them, and takes
 /// no decisions.
-pub trait Contract: OrderFormat {
+pub trait Contract: CommandFormat {
     /// Names of the headers in requests and responses.
     fn header_names(&self) -> HeaderNames;
 
--- a/clayplankd/src/doors/native.rs
+++ b/clayplankd/src/doors/native.rs
@@ -1,7 +1,7 @@
 //! The native contract of seeded hosts: its calls, headers and documents.
 
 use bytes::Bytes;
-use clayplank_forward::{HeaderNames, OrderFormat};
+use clayplank_forward::{CommandFormat, HeaderNames};
 use clayplank_registry::Heartbeat;
 use clayplank_routes::ServingPlan;
 use clayplank_settings::Faults;
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NativeContract;
 
-impl OrderFormat for NativeContract {
+impl CommandFormat for NativeContract {
     fn reserve(&self, ticket: &str, tokens: u64, hold_ms: u64) -> Request<Full<Bytes>> {
         let body = json!({ "ticket": ticket, "tokens": tokens, "hold_ms": hold_ms });
         reservation_request(Method::PUT, &body)
--- a/clayplankd/src/fleet/engine_watch.rs
+++ b/clayplankd/src/fleet/engine_watch.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use clayplank_forward::{CallError, ExchangeError, call_whole};
+use clayplank_forward::{CallError, ExchangeError, request_complete};
 use clayplank_types::UpstreamId;
 
 use crate::doors::contract::EngineReport;
@@ -71,6 +71,6 @@
     address: SocketAddr,
 ) -> Result<EngineReport, ReportError> {
     let contract = fleet.contract();
-    let (_, body) = call_whole(address, contract.report_request(), REPORT_TIMEOUT).await?;
+    let (_, body) = request_complete(address, contract.report_request(), REPORT_TIMEOUT).await?;
     Ok(contract.scan_report(&body)?)
 }
--- a/clayplankd/src/process/seeded.rs
+++ b/clayplankd/src/process/seeded.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use clayplank_clock::Instant;
-use clayplank_forward::{Gate, serve_simple};
+use clayplank_forward::{Gate, serve_small_requests};
 use clayplank_settings::{Role, SeededSettings};
 use clayplank_types::HostId;
 use http::{Response, StatusCode};
@@ -107,7 +107,7 @@
         serve_metrics(metrics, move || {
             let entry_text = entry_metrics
                 .as_ref()
-                .map(|(entry, following)| entry.to_text() + &following.to_text())
+                .map(|(entry, following)| entry.metrics_text() + &following.to_text())
                 .unwrap_or_default();
             let keeper_text = fleet.as_deref().map(FleetKeeper::to_text).unwrap_or_default();
             entry_text + &keeper_text + &suspension_metrics()
@@ -188,7 +188,7 @@
         let end =
             Instant::now() + Duration::from_secs_f64(self.settings.bounds.grace_s) - GRACE_MARGIN;
         log::info!(target: part::DAEMON, in_progress = gate.in_progress(); "Shutting down; draining requests");
-        gate.leave();
+        gate.start_shutdown();
         clayplank_clock::sleep(BALANCER_DELAY).await;
         gate.close();
         self.closing.send_replace(true);
@@ -218,7 +218,7 @@
 where
     F: Fn() -> String + Clone + Send + Sync + 'static,
 {
-    tokio::spawn(serve_simple(listener, move |_| {
+    tokio::spawn(serve_small_requests(listener, move |_| {
         let text = to_text();
         async move { plain_text(StatusCode::OK, text) }
     }));
--- a/clayplankd/src/process/seeded_entry.rs
+++ b/clayplankd/src/process/seeded_entry.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use clayplank_forward::{
-    BudgetLimits, Directory, Entry, EntryBuilder, Gate, OrderFormat, RetryBudget, serve_callers,
-    serve_simple,
+    BudgetLimits, CommandFormat, Directory, Entry, EntryBuilder, Gate, RetryBudget, serve_callers,
+    serve_small_requests,
 };
 use clayplank_settings::Bounds;
 use http::{Request, StatusCode};
@@ -87,7 +87,7 @@
         let entry = EntryBuilder::default()
             .names(self.contract.header_names())
             .budget(RetryBudget::new(budget_limits(bounds)))
-            .orders(Arc::clone(&self.contract) as Arc<dyn OrderFormat>)
+            .command_format(Arc::clone(&self.contract) as Arc<dyn CommandFormat>)
             .quarantine_authority(Arc::new(sighting_link))
             .data_centre(self.settings.data_centre.clone())
             .build(Arc::clone(&gate), Arc::clone(&directory), link.clone());
@@ -128,7 +128,7 @@
 
 /// Serves the balancer's readiness check, which asks whether to send new connections to this host.
 fn serve_readiness(listener: TcpListener, contract: SharedContract, gate: Arc<Gate>) {
-    tokio::spawn(serve_simple(listener, move |request| {
+    tokio::spawn(serve_small_requests(listener, move |request| {
         let status = readiness_status(&contract, &gate, &request);
         async move { plain_text(status, String::new()) }
     }));
--- a/clayplankd/src/process/seeded_keeper.rs
+++ b/clayplankd/src/process/seeded_keeper.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use clayplank_agreement::{Options, Store, StoreError, StoredState};
-use clayplank_forward::serve_simple;
+use clayplank_forward::serve_small_requests;
 use clayplank_members::FollowTimeouts;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -107,7 +107,9 @@
             spread,
             data_centres: self.settings.data_centres.clone().into(),
         };
-        tokio::spawn(serve_simple(control, move |request| endpoint.clone().answer(request)));
+        tokio::spawn(serve_small_requests(control, move |request| {
+            endpoint.clone().answer(request)
+        }));
     }
 
     /// Opens the data folder on a blocking thread, as a disk may stall. Waits while the disk is
