--- a/bench/src/log.rs
+++ b/bench/src/log.rs
@@ -7,7 +7,9 @@
 use clayplank_agreement::{
     Configuration, Options, Payload, Replica, ReplicaId, Store, StoredState,
 };
-use clayplank_state::{Body, Claim, ClaimHolder, ClaimKey, Command, Machine, decode, encode};
+use clayplank_state::{
+    Claim, ClaimHolder, ClaimKey, Command, CommandBody, Machine, decode, encode,
+};
 use clayplank_types::{AccountId, AttemptId, HostId, Incarnation, Partner};
 use hdrhistogram::Histogram;
 
@@ -44,8 +46,8 @@
     machine: Machine,
 }
 
-fn claim(number: u64) -> Body {
-    Body::Claim(Claim {
+fn claim(number: u64) -> CommandBody {
+    CommandBody::Claim(Claim {
         key: ClaimKey {
             account: AccountId::new(Partner::new("dala"), "times"),
             key: format!("finish-{number:024}"),
@@ -60,12 +62,12 @@
 
 fn start(dir: &Path, count: usize) -> Result<Vec<Node>, LogError> {
     let ids: Vec<_> = (0..count).map(|number| ReplicaId::new(format!("k{number}"), 1)).collect();
-    let members = Configuration::of_voters(ids.clone());
+    let members = Configuration::from_voters(ids.clone());
     let genesis = StoredState::genesis(members.clone(), Vec::new());
     let mut nodes = Vec::new();
     for id in ids {
         let (mut store, _) = Store::open(&dir.join(&id.host), &id.host, 1)?;
-        store.begin(&genesis, members.clone())?;
+        store.initialize(&genesis, members.clone())?;
         let replica = Replica::new(id, genesis.clone(), Options::default(), 0);
         nodes.push(Node { replica, store, machine: Machine::default() });
     }
@@ -99,7 +101,7 @@
             tasks.into_iter().try_for_each(|task| task.join().unwrap_or(Ok(())))
         })?;
         for (node, ready) in writes {
-            node.replica.note_persisted(ready.last_written());
+            node.replica.note_persisted(ready.written());
             for entry in &ready.committed {
                 if let Payload::Command(bytes) = &entry.payload {
                     node.machine.apply(&decode::<Command>(bytes)?);
@@ -168,7 +170,7 @@
         times.saturating_record(micros(started.elapsed()));
     }
     let rate = number as f64 / run_started.elapsed().as_secs_f64();
-    assert_eq!(nodes[leader].machine.counts().claims as u64, number, "every claim was applied");
+    assert_eq!(nodes[leader].machine.stats().claims as u64, number, "every claim was applied");
     Ok((times, rate))
 }
 
@@ -189,7 +191,7 @@
             machine.apply(&decode::<Command>(bytes)?);
         }
     }
-    assert_eq!(machine.counts().claims as u64, entries, "every claim is back");
+    assert_eq!(machine.stats().claims as u64, entries, "every claim is back");
     Ok(started.elapsed())
 }
 
--- a/bench/src/settings.rs
+++ b/bench/src/settings.rs
@@ -4,7 +4,7 @@
 
 use clayplank_settings::{ClientAccount, KeyDigest, Template, parse};
 use clayplank_state::{
-    Body, Command, Machine, SettingChange, SettingKey, SettingValue, SettingsView,
+    Command, CommandBody, Machine, SettingChange, SettingKey, SettingValue, SettingsView,
 };
 use clayplank_types::Partner;
 
@@ -36,7 +36,7 @@
         expected_version: 0,
         value: Some(value),
     };
-    machine.apply(&Command { at_ms: number, body: Body::Change(change) });
+    machine.apply(&Command { at_ms: number, body: CommandBody::Change(change) });
 }
 
 /// Measures a host's view of the settings while accounts are added, then a copy of it, lookups and
--- a/clayplank-agreement/src/bootstrap.rs
+++ b/clayplank-agreement/src/bootstrap.rs
@@ -42,9 +42,9 @@
 pub enum Join {
     /// Starts with this initial configuration: either creates the log, or takes its place as one of
     /// the initial members that a peer reported.
-    Begin(Configuration),
+    Bootstrap(Configuration),
     /// Joins the existing log as a learner.
-    Learn,
+    AsLearner,
     /// Waits: a peer has not replied, or another keeper has to create the log.
     Wait,
 }
@@ -66,8 +66,8 @@
     for reply in replies.values() {
         if let Introduction::Member { genesis, .. } = reply {
             return match genesis.voters.contains(&local.id) {
-                true => Join::Begin(genesis.clone()),
-                false => Join::Learn,
+                true => Join::Bootstrap(genesis.clone()),
+                false => Join::AsLearner,
             };
         }
     }
@@ -83,9 +83,9 @@
     let is_majority = may_begin.len() > blank.len() / 2;
     let is_first = may_begin.into_iter().min() == Some(&local.id);
     match is_majority && is_first {
-        true => {
-            Join::Begin(Configuration::of_voters(blank.into_iter().map(|keeper| keeper.id.clone())))
-        }
+        true => Join::Bootstrap(Configuration::from_voters(
+            blank.into_iter().map(|keeper| keeper.id.clone()),
+        )),
         false => Join::Wait,
     }
 }
--- a/clayplank-agreement/src/configuration.rs
+++ b/clayplank-agreement/src/configuration.rs
@@ -60,7 +60,7 @@
 
 impl Configuration {
     /// A configuration without learners.
-    pub fn of_voters(voters: impl IntoIterator<Item = ReplicaId>) -> Self {
+    pub fn from_voters(voters: impl IntoIterator<Item = ReplicaId>) -> Self {
         Self { voters: voters.into_iter().collect(), learners: BTreeSet::new() }
     }
 
--- a/clayplank-agreement/src/election.rs
+++ b/clayplank-agreement/src/election.rs
@@ -58,7 +58,7 @@
         term: u64,
         last: EntryId,
     ) {
-        let has_no_leader = !self.is_leader() && !self.hears_leader(now_ms);
+        let has_no_leader = !self.is_leader() && !self.has_leader_contact(now_ms);
         let granted = term > self.hard_state.term && has_no_leader && self.is_up_to_date(last);
         if has_no_leader && !self.is_up_to_date(last) {
             self.start_election_soon(now_ms);
--- a/clayplank-agreement/src/leader.rs
+++ b/clayplank-agreement/src/leader.rs
@@ -106,7 +106,7 @@
             return;
         };
         if now_ms >= leadership.next_heartbeat_ms {
-            leadership.next_heartbeat_ms = now_ms + self.options.heartbeat_ms;
+            leadership.next_heartbeat_ms = now_ms + self.options.heartbeat_interval_ms;
             self.broadcast(now_ms, true);
         }
     }
@@ -116,7 +116,7 @@
         let Role::Leader(leadership) = &self.role else {
             return false;
         };
-        let timeout_ms = 2 * self.options.election_ms;
+        let timeout_ms = 2 * self.options.election_timeout_ms;
         if now_ms < leadership.started_ms + timeout_ms {
             return true;
         }
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// This replica is not the leader.
-    pub fn read(&mut self) -> Result<ReadId, NotLeader> {
+    pub fn request_read(&mut self) -> Result<ReadId, NotLeader> {
         let hint = self.leader.clone();
         let Role::Leader(leadership) = &mut self.role else {
             return Err(NotLeader { hint });
@@ -231,7 +231,8 @@
         let previous_index = progress.next_index - 1;
         let Some(previous_term) = self.log.term_at(previous_index) else {
             if now_ms >= progress.snapshot_in_transit_until_ms {
-                progress.snapshot_in_transit_until_ms = now_ms + 2 * self.options.election_ms;
+                progress.snapshot_in_transit_until_ms =
+                    now_ms + 2 * self.options.election_timeout_ms;
                 let snapshot = std::sync::Arc::clone(self.log.snapshot());
                 self.send(to, Message::Install { term, snapshot, read_round });
             }
@@ -295,7 +296,7 @@
 
     /// Number of voters known to have synced the entry at an index, including the leader. Zero if
     /// this replica is not the leader.
-    pub fn copies(&self, index: u64) -> usize {
+    pub fn synced_voters(&self, index: u64) -> usize {
         let Role::Leader(leadership) = &self.role else {
             return 0;
         };
@@ -332,10 +333,10 @@
         }
     }
 
-    /// Whether a member has not replied for `replace_silent_ms`. For a new leader, that time starts
+    /// Whether a member has not replied for `replace_unresponsive_ms`. For a new leader, that time starts
     /// with its term.
     fn is_unresponsive(&self, leadership: &Leadership, now_ms: u64, id: &ReplicaId) -> bool {
-        let Some(timeout_ms) = self.options.replace_silent_ms else {
+        let Some(timeout_ms) = self.options.replace_unresponsive_ms else {
             return false;
         };
         let last_reply_ms =
@@ -344,10 +345,10 @@
     }
 
     /// Records that a host has announced its departure. The record expires after
-    /// `replace_silent_ms`, when a stopped host counts as unresponsive anyway: the host may come
+    /// `replace_unresponsive_ms`, when a stopped host counts as unresponsive anyway: the host may come
     /// back under the same name.
-    pub fn note_leaving(&mut self, now_ms: u64, host: &str) {
-        let timeout_ms = self.options.replace_silent_ms.unwrap_or_default();
+    pub fn note_departure(&mut self, now_ms: u64, host: &str) {
+        let timeout_ms = self.options.replace_unresponsive_ms.unwrap_or_default();
         if let Role::Leader(leadership) = &mut self.role {
             leadership.departing.insert(host.to_owned(), now_ms + timeout_ms);
         }
@@ -366,7 +367,7 @@
         let Role::Leader(leadership) = &self.role else {
             return false;
         };
-        let timeout_ms = 2 * self.options.election_ms;
+        let timeout_ms = 2 * self.options.election_timeout_ms;
         leadership
             .progress
             .get(id)
@@ -380,7 +381,7 @@
             return false;
         };
         leadership.progress.get(id).is_some_and(|progress| {
-            let is_responsive = now_ms < progress.last_reply_ms + self.options.election_ms;
+            let is_responsive = now_ms < progress.last_reply_ms + self.options.election_timeout_ms;
             is_responsive
                 && progress.matched_index >= self.commit_index
                 && progress.matched_index > 0
--- a/clayplank-agreement/src/lib.rs
+++ b/clayplank-agreement/src/lib.rs
@@ -14,15 +14,15 @@
 //! use clayplank_agreement::{Configuration, Options, Replica, ReplicaId, StoredState};
 //!
 //! let id = ReplicaId::new("a", 1);
-//! let genesis = StoredState::genesis(Configuration::of_voters([id.clone()]), Vec::new());
+//! let genesis = StoredState::genesis(Configuration::from_voters([id.clone()]), Vec::new());
 //! let mut replica = Replica::new(id, genesis, Options::default(), 0);
 //! replica.tick(10_000);
 //! let ready = replica.take_ready(10_000);
-//! replica.note_persisted(ready.last_written());
+//! replica.note_persisted(ready.written());
 //! assert!(replica.is_leader());
 //! replica.propose(b"hello".to_vec()).unwrap();
 //! let ready = replica.take_ready(10_001);
-//! replica.note_persisted(ready.last_written());
+//! replica.note_persisted(ready.written());
 //! assert_eq!(replica.take_ready(10_002).committed.len(), 1);
 //! ```
 
@@ -47,7 +47,7 @@
 pub use message::{AppendResult, Envelope, Message};
 pub use options::Options;
 pub use ready::{ReadId, Ready, Written};
-pub use record::UnfitRecord;
+pub use record::UnencodableRecord;
 pub use replica::{NotLeader, ProposeError, Replica};
-pub use store::{Identity, Notes, Store, StoreError};
+pub use store::{Identity, SideFiles, Store, StoreError};
 pub use stored::{HardState, StoredState};
--- a/clayplank-agreement/src/membership.rs
+++ b/clayplank-agreement/src/membership.rs
@@ -13,7 +13,7 @@
 pub(crate) struct Health {
     /// Whether it has all committed entries and has replied recently.
     pub(crate) is_caught_up: bool,
-    /// Whether it has not replied for `replace_silent_ms`.
+    /// Whether it has not replied for `replace_unresponsive_ms`.
     pub(crate) is_unresponsive: bool,
     /// Whether it has announced its departure.
     pub(crate) is_departing: bool,
@@ -71,7 +71,7 @@
 
     /// Proposes the next promotion of a learner or removal of a surplus voter. To be called
     /// periodically. Returns the proposed change; only a leader proposes one.
-    pub fn keep_members(&mut self, now_ms: u64) -> Option<Change> {
+    pub fn maintain_membership(&mut self, now_ms: u64) -> Option<Change> {
         if !self.may_propose_change() {
             return None;
         }
--- a/clayplank-agreement/src/options.rs
+++ b/clayplank-agreement/src/options.rs
@@ -5,17 +5,17 @@
 pub struct Options {
     /// Minimum election time-out, in ms. A follower without contact to a leader starts an
     /// election after a random time between this and twice this.
-    pub election_ms: u64,
+    pub election_timeout_ms: u64,
     /// Interval between two heartbeats of a leader, in ms.
-    pub heartbeat_ms: u64,
+    pub heartbeat_interval_ms: u64,
     /// Maximum number of entries in one append message.
     pub max_batch_entries: usize,
     /// Number of entries before the snapshot that compaction keeps in memory, so that slow
     /// followers do not need the snapshot.
-    pub keep_entries: u64,
+    pub retained_entries: u64,
     /// Time without a reply, in ms, after which the leader removes a voter if there are more voters
     /// than the target. `None` disables this, for members that are fixed by the settings.
-    pub replace_silent_ms: Option<u64>,
+    pub replace_unresponsive_ms: Option<u64>,
     /// Number of replicas that may fail at the same time without stopping the log.
     pub tolerated_losses: usize,
 }
@@ -23,11 +23,11 @@
 impl Default for Options {
     fn default() -> Self {
         Self {
-            election_ms: 600,
-            heartbeat_ms: 100,
+            election_timeout_ms: 600,
+            heartbeat_interval_ms: 100,
             max_batch_entries: 256,
-            keep_entries: 1_000,
-            replace_silent_ms: None,
+            retained_entries: 1_000,
+            replace_unresponsive_ms: None,
             tolerated_losses: 1,
         }
     }
--- a/clayplank-agreement/src/ready.rs
+++ b/clayplank-agreement/src/ready.rs
@@ -47,7 +47,7 @@
 
     /// Argument for [`Replica::note_persisted`](crate::Replica::note_persisted), to be called
     /// once the write is synced.
-    pub fn last_written(&self) -> Written {
+    pub fn written(&self) -> Written {
         let entry =
             self.entries.last().map(|entry| EntryId { term: entry.term, index: entry.index });
         Written { last: entry.or(self.installed.as_ref().map(|snapshot| snapshot.last)) }
--- a/clayplank-agreement/src/record.rs
+++ b/clayplank-agreement/src/record.rs
@@ -13,7 +13,7 @@
 /// A value could not be encoded as a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a record is larger than four gigabytes or cannot be encoded")]
-pub struct UnfitRecord;
+pub struct UnencodableRecord;
 
 /// Result of decoding the record at an offset.
 #[derive(Debug, PartialEq, Eq)]
@@ -30,9 +30,9 @@
 pub(crate) fn encode_record<T: Serialize>(
     buffer: &mut Vec<u8>,
     value: &T,
-) -> Result<(), UnfitRecord> {
-    let payload = postcard::to_stdvec(value).map_err(|_| UnfitRecord)?;
-    let length = u32::try_from(payload.len()).map_err(|_| UnfitRecord)?;
+) -> Result<(), UnencodableRecord> {
+    let payload = postcard::to_stdvec(value).map_err(|_| UnencodableRecord)?;
+    let length = u32::try_from(payload.len()).map_err(|_| UnencodableRecord)?;
     buffer.extend_from_slice(&MAGIC);
     buffer.extend_from_slice(&length.to_le_bytes());
     buffer.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
--- a/clayplank-agreement/src/replica.rs
+++ b/clayplank-agreement/src/replica.rs
@@ -33,7 +33,7 @@
     ChangeInProgress,
     /// The change does not apply to the current configuration.
     #[error("the change does not fit the configuration")]
-    Unfit,
+    InvalidChange,
 }
 
 /// Role of a replica, with the state that belongs to it. Learners are followers.
@@ -251,7 +251,7 @@
         match message {
             Message::PreVote { .. } => false,
             Message::PreVoteReply { granted, .. } => !granted,
-            Message::Vote { .. } => !self.hears_leader(now_ms),
+            Message::Vote { .. } => !self.has_leader_contact(now_ms),
             Message::VoteReply { .. }
             | Message::Append { .. }
             | Message::AppendReply { .. }
@@ -260,8 +260,8 @@
     }
 
     /// Whether the leader is known and was in contact within the minimum election time-out.
-    pub fn hears_leader(&self, now_ms: u64) -> bool {
-        self.leader.is_some() && now_ms < self.leader_contact_ms + self.options.election_ms
+    pub fn has_leader_contact(&self, now_ms: u64) -> bool {
+        self.leader.is_some() && now_ms < self.leader_contact_ms + self.options.election_timeout_ms
     }
 
     /// The leader, if it is this replica or one that was in contact after `since_ms`.
@@ -291,20 +291,20 @@
     /// Schedules the first election after a start, earlier than usual: after a power failure there
     /// is no leader. If there is one, its heartbeat arrives first, or the pre-vote is refused.
     fn schedule_first_election(&mut self, now_ms: u64) {
-        let min_delay_ms = 2 * self.options.heartbeat_ms;
-        let delay_range_ms = min_delay_ms..=self.options.election_ms.max(min_delay_ms);
+        let min_delay_ms = 2 * self.options.heartbeat_interval_ms;
+        let delay_range_ms = min_delay_ms..=self.options.election_timeout_ms.max(min_delay_ms);
         self.election_deadline_ms = now_ms + self.rng.random_range(delay_range_ms);
     }
 
     /// Schedules an election within a heartbeat interval. Called when a replica with an outdated
     /// log requests a pre-vote: only this replica, or one with a more up-to-date log, can win.
     pub(crate) fn start_election_soon(&mut self, now_ms: u64) {
-        let deadline_ms = now_ms + self.rng.random_range(0..=self.options.heartbeat_ms);
+        let deadline_ms = now_ms + self.rng.random_range(0..=self.options.heartbeat_interval_ms);
         self.election_deadline_ms = self.election_deadline_ms.min(deadline_ms);
     }
 
     pub(crate) fn reset_election_timer(&mut self, now_ms: u64) {
-        let election_ms = self.options.election_ms;
+        let election_ms = self.options.election_timeout_ms;
         self.election_deadline_ms = now_ms + self.rng.random_range(election_ms..=2 * election_ms);
     }
 
@@ -352,7 +352,7 @@
         if !self.may_propose_change() {
             return Err(ProposeError::ChangeInProgress);
         }
-        let next = self.configuration.after(change).ok_or(ProposeError::Unfit)?;
+        let next = self.configuration.after(change).ok_or(ProposeError::InvalidChange)?;
         Ok(self.append_as_leader(Payload::Configuration(next))?)
     }
 
@@ -425,7 +425,7 @@
         let term = self.log.term_at(index)?;
         let configuration = self.log.configuration_at(index).clone();
         let snapshot = Snapshot { last: EntryId { term, index }, configuration, data };
-        self.log.compact(snapshot.clone(), self.options.keep_entries);
+        self.log.compact(snapshot.clone(), self.options.retained_entries);
         let entries = self.log.entries_from(index + 1, usize::MAX).to_vec();
         Some(StoredState { hard_state: self.hard_state.clone(), snapshot, entries })
     }
--- a/clayplank-agreement/src/store.rs
+++ b/clayplank-agreement/src/store.rs
@@ -12,7 +12,7 @@
 use crate::configuration::{Configuration, ReplicaId};
 use crate::log::{Entry, Snapshot};
 use crate::ready::Ready;
-use crate::record::{Decoded, UnfitRecord, decode_record, encode_record, has_record_after};
+use crate::record::{Decoded, UnencodableRecord, decode_record, encode_record, has_record_after};
 use crate::stored::{HardState, StoredState};
 
 const IDENTITY_FILE: &str = "identity";
@@ -70,7 +70,7 @@
     },
     /// A value could not be encoded as a record.
     #[error(transparent)]
-    Unfit(#[from] UnfitRecord),
+    Unencodable(#[from] UnencodableRecord),
 }
 
 impl StoreError {
@@ -83,7 +83,7 @@
             | Self::OtherHost { .. }
             | Self::Corrupt { .. }
             | Self::Missing { .. }
-            | Self::Unfit(_) => false,
+            | Self::Unencodable(_) => false,
         }
     }
 }
@@ -165,8 +165,12 @@
     ///
     /// # Errors
     /// The folder is not marked as having a log. On a full disk the call may be retried.
-    pub fn begin(&mut self, state: &StoredState, genesis: Configuration) -> Result<(), StoreError> {
-        self.rewrite(state)?;
+    pub fn initialize(
+        &mut self,
+        state: &StoredState,
+        genesis: Configuration,
+    ) -> Result<(), StoreError> {
+        self.replace_state(state)?;
         let identity =
             Identity { id: self.identity.id.clone(), genesis: Some(genesis), has_log: true };
         replace_record(&self.dir, IDENTITY_FILE, &identity)?;
@@ -188,7 +192,7 @@
                 snapshot: (**snapshot).clone(),
                 entries,
             };
-            return self.rewrite(&state);
+            return self.replace_state(&state);
         }
         if !ready.must_sync() {
             return Ok(());
@@ -218,15 +222,15 @@
     }
 
     /// Access to the small files that a keeper stores beside its log.
-    pub fn notes(&self) -> Notes {
-        Notes { dir: self.dir.clone() }
+    pub fn side_files(&self) -> SideFiles {
+        SideFiles { dir: self.dir.clone() }
     }
 
     /// Replaces the snapshot and the log, after a compaction or the installation of a snapshot.
     ///
     /// # Errors
     /// Each of the two files has either its former or its new content.
-    pub fn rewrite(&mut self, state: &StoredState) -> Result<(), StoreError> {
+    pub fn replace_state(&mut self, state: &StoredState) -> Result<(), StoreError> {
         replace_record(&self.dir, SNAPSHOT_FILE, &state.snapshot)?;
         let mut buffer = Vec::new();
         encode_record(&mut buffer, &Record::HardState(state.hard_state.clone()))?;
@@ -243,11 +247,11 @@
 /// Small files beside the log, each with one value. They are synced, but the guarantees of the log
 /// do not depend on them.
 #[derive(Clone, Debug)]
-pub struct Notes {
+pub struct SideFiles {
     dir: PathBuf,
 }
 
-impl Notes {
+impl SideFiles {
     /// Replaces the value in a file.
     ///
     /// # Errors
--- a/clayplank-agreement/tests/cluster/mod.rs
+++ b/clayplank-agreement/tests/cluster/mod.rs
@@ -59,10 +59,10 @@
 
 fn options() -> Options {
     Options {
-        election_ms: 100,
-        heartbeat_ms: 20,
+        election_timeout_ms: 100,
+        heartbeat_interval_ms: 20,
         max_batch_entries: 8,
-        keep_entries: 16,
+        retained_entries: 16,
         ..Options::default()
     }
 }
@@ -70,7 +70,7 @@
 impl Cluster {
     pub fn new(names: &[&str], seed: u64, faults: Faults) -> Self {
         let ids: Vec<_> = names.iter().map(|name| ReplicaId::new(*name, 1)).collect();
-        let genesis = StoredState::genesis(Configuration::of_voters(ids.clone()), Vec::new());
+        let genesis = StoredState::genesis(Configuration::from_voters(ids.clone()), Vec::new());
         let node = |id: &ReplicaId| Node {
             replica: Replica::new(id.clone(), genesis.clone(), options(), 0),
             synced: genesis.clone(),
@@ -201,13 +201,13 @@
         let ids: Vec<_> = self.nodes.values().map(|node| node.replica.id().clone()).collect();
         let committed = self.agreed.keys().last().copied().unwrap_or(0);
         let node = self.nodes.get_mut(&name).unwrap();
-        node.replica.keep_members(self.now_ms);
+        node.replica.maintain_membership(self.now_ms);
         if !self.is_idle && self.rng.random_range(0..4) == 0 {
             self.next_command += 1;
             node.replica.propose(self.next_command.to_le_bytes().to_vec()).ok();
         }
         if self.rng.random_range(0..20) == 0 {
-            let read = node.replica.read().unwrap();
+            let read = node.replica.request_read().unwrap();
             self.reads.insert((name.clone(), node.replica.term(), read.0), committed);
         }
         if self.rng.random_range(0..20) == 0 {
@@ -245,7 +245,7 @@
             return;
         }
         write(&mut node.synced, &ready, node.replica.hard_state());
-        node.replica.note_persisted(ready.last_written());
+        node.replica.note_persisted(ready.written());
         if ready.installed.is_some() {
             node.applied.clear();
         }
--- a/clayplank-agreement/tests/join.rs
+++ b/clayplank-agreement/tests/join.rs
@@ -37,8 +37,8 @@
         ("b", Introduction::Blank(blank_keeper("b"))),
         ("c", Introduction::Blank(blank_keeper("c"))),
     ]);
-    let all = Configuration::of_voters([id("a"), id("b"), id("c")]);
-    assert_eq!(plan_join(&blank_keeper("a"), &peers(), &replies), Join::Begin(all));
+    let all = Configuration::from_voters([id("a"), id("b"), id("c")]);
+    assert_eq!(plan_join(&blank_keeper("a"), &peers(), &replies), Join::Bootstrap(all));
 }
 
 #[test]
@@ -61,24 +61,24 @@
 
 #[test]
 fn initial_member_starts_with_the_reported_configuration() {
-    let genesis = Configuration::of_voters([id("a"), id("b")]);
+    let genesis = Configuration::from_voters([id("a"), id("b")]);
     let replies = replies_from(&[("b", member(genesis.clone()))]);
-    assert_eq!(plan_join(&blank_keeper("a"), &peers(), &replies), Join::Begin(genesis));
+    assert_eq!(plan_join(&blank_keeper("a"), &peers(), &replies), Join::Bootstrap(genesis));
 }
 
 #[test]
 fn keeper_with_a_lost_disk_joins_as_a_learner() {
-    let genesis = Configuration::of_voters([id("a"), id("b"), id("c")]);
+    let genesis = Configuration::from_voters([id("a"), id("b"), id("c")]);
     let replies = replies_from(&[("b", member(genesis))]);
     let with_lost_disk = BlankKeeper { id: ReplicaId::new("a", 2), may_begin: false };
-    assert_eq!(plan_join(&with_lost_disk, &peers(), &replies), Join::Learn);
+    assert_eq!(plan_join(&with_lost_disk, &peers(), &replies), Join::AsLearner);
 }
 
 #[test]
 fn restarted_initial_member_starts_with_the_reported_configuration() {
-    let genesis = Configuration::of_voters([id("a"), id("b"), id("c")]);
+    let genesis = Configuration::from_voters([id("a"), id("b"), id("c")]);
     let replies = replies_from(&[("b", member(genesis.clone()))]);
-    assert_eq!(plan_join(&restarted_keeper("a"), &peers(), &replies), Join::Begin(genesis));
+    assert_eq!(plan_join(&restarted_keeper("a"), &peers(), &replies), Join::Bootstrap(genesis));
 }
 
 #[test]
@@ -87,10 +87,10 @@
         ("a", Introduction::Blank(restarted_keeper("a"))),
         ("c", Introduction::Blank(blank_keeper("c"))),
     ]);
-    let all = Configuration::of_voters([id("a"), id("b"), id("c")]);
+    let all = Configuration::from_voters([id("a"), id("b"), id("c")]);
     assert_eq!(
         plan_join(&blank_keeper("b"), &["a".to_owned(), "c".to_owned()], &replies),
-        Join::Begin(all)
+        Join::Bootstrap(all)
     );
 }
 
--- a/clayplank-agreement/tests/keepers/faults.rs
+++ b/clayplank-agreement/tests/keepers/faults.rs
@@ -146,8 +146,8 @@
         else {
             return false;
         };
-        leader.note_leaving(now_ms, host);
-        leader.keep_members(now_ms);
+        leader.note_departure(now_ms, host);
+        leader.maintain_membership(now_ms);
         leader.may_stop(now_ms, host)
     }
 
--- a/clayplank-agreement/tests/keepers/mod.rs
+++ b/clayplank-agreement/tests/keepers/mod.rs
@@ -98,10 +98,10 @@
 
 fn options(losses: usize) -> Options {
     Options {
-        election_ms: 350,
-        heartbeat_ms: 80,
-        keep_entries: 32,
-        replace_silent_ms: Some(1_500),
+        election_timeout_ms: 350,
+        heartbeat_interval_ms: 80,
+        retained_entries: 32,
+        replace_unresponsive_ms: Some(1_500),
         tolerated_losses: losses,
         ..Options::default()
     }
@@ -230,7 +230,7 @@
         let now_ms = self.now_ms;
         let keeper = &self.all[host];
         let is_active_voter = keeper.replica.as_ref().is_some_and(|replica| {
-            let has_leader_contact = replica.is_leader() || replica.hears_leader(now_ms);
+            let has_leader_contact = replica.is_leader() || replica.has_leader_contact(now_ms);
             has_leader_contact && replica.configuration().voters.contains(&keeper.id)
         });
         if is_active_voter || now_ms < keeper.next_introduction_ms {
@@ -275,8 +275,10 @@
         let local =
             BlankKeeper { may_begin: keeper.may_begin && is_bootstrap_host, ..keeper.as_blank() };
         let (state, genesis) = match plan_join(&local, &peers, replies) {
-            Join::Begin(genesis) => (StoredState::genesis(genesis.clone(), Vec::new()), genesis),
-            Join::Learn => (StoredState::blank(), Configuration::default()),
+            Join::Bootstrap(genesis) => {
+                (StoredState::genesis(genesis.clone(), Vec::new()), genesis)
+            }
+            Join::AsLearner => (StoredState::blank(), Configuration::default()),
             Join::Wait => return,
         };
         keeper.genesis = Some(genesis);
@@ -294,7 +296,7 @@
             return;
         };
         replica.tick(now_ms);
-        replica.keep_members(now_ms);
+        replica.maintain_membership(now_ms);
         keeper.led_since_ms = match (replica.is_leader(), keeper.led_since_ms) {
             (true, since_ms) => Some(since_ms.unwrap_or(now_ms)),
             (false, _) => None,
@@ -309,7 +311,7 @@
         }
         let ready = replica.take_ready(now_ms);
         write(keeper.disk.as_mut().unwrap(), &ready, replica.hard_state());
-        replica.note_persisted(ready.last_written());
+        replica.note_persisted(ready.written());
         for entry in &ready.committed {
             let proposal = (entry.index, entry.term, host.to_owned());
             if let (Payload::Command(command), true) =
--- a/clayplank-agreement/tests/overload.rs
+++ b/clayplank-agreement/tests/overload.rs
@@ -204,11 +204,12 @@
         cpu_share: f64,
         seed: u64,
     ) -> Self {
-        let options = Options { election_ms: 350, heartbeat_ms: 80, ..Options::default() };
+        let options =
+            Options { election_timeout_ms: 350, heartbeat_interval_ms: 80, ..Options::default() };
         let ids: Vec<_> = (0..keepers)
             .map(|keeper| ReplicaId::new(keeper_name(keeper), seed * 100 + keeper as u64))
             .collect();
-        let configuration = Configuration::of_voters(ids.clone());
+        let configuration = Configuration::from_voters(ids.clone());
         let start = |id: ReplicaId| Keeper {
             replica: Replica::new(
                 id,
@@ -345,7 +346,7 @@
             if ready.is_empty() {
                 return;
             }
-            replica.note_persisted(ready.last_written());
+            replica.note_persisted(ready.written());
             for envelope in ready.messages {
                 self.send(keeper_index(&envelope.to), Task::Step(envelope));
             }
--- a/clayplank-agreement/tests/rules.rs
+++ b/clayplank-agreement/tests/rules.rs
@@ -13,7 +13,7 @@
 
 /// Replica a of three, with one entry of term 2 that it does not know to be committed.
 fn replica_with_uncommitted_entry() -> Replica {
-    let configuration = Configuration::of_voters([id("a"), id("b"), id("c")]);
+    let configuration = Configuration::from_voters([id("a"), id("b"), id("c")]);
     let last = EntryId { term: 1, index: 1 };
     let stored = StoredState {
         hard_state: HardState { term: 2, vote: None },
@@ -26,7 +26,7 @@
 fn deliver_from_b(replica: &mut Replica, now_ms: u64, message: Message) {
     replica.receive(now_ms, Envelope { from: id("b"), to: id("a"), message });
     let ready = replica.take_ready(now_ms);
-    replica.note_persisted(ready.last_written());
+    replica.note_persisted(ready.written());
 }
 
 fn elect(replica: &mut Replica, now_ms: u64) {
@@ -59,7 +59,7 @@
 fn read_waits_for_the_first_commit_of_the_term_and_for_a_quorum() {
     let mut replica = replica_with_uncommitted_entry();
     elect(&mut replica, 10_000);
-    let read = replica.read().unwrap();
+    let read = replica.request_read().unwrap();
     assert_eq!(replica.take_ready(10_002).reads, vec![]);
     replica.receive(10_003, Envelope { from: id("b"), to: id("a"), message: matched(3) });
     assert_eq!(
@@ -108,18 +108,18 @@
 fn deliver_from(replica: &mut Replica, now_ms: u64, from: &str, message: Message) {
     replica.receive(now_ms, Envelope { from: id(from), to: id("a"), message });
     let ready = replica.take_ready(now_ms);
-    replica.note_persisted(ready.last_written());
+    replica.note_persisted(ready.written());
     replica.take_ready(now_ms);
 }
 
 /// A leader of three voters, elected at 10,000 ms, one of which, c, never replies.
 fn leader_with_unresponsive_voter() -> Replica {
-    let configuration = Configuration::of_voters([id("a"), id("b"), id("c")]);
+    let configuration = Configuration::from_voters([id("a"), id("b"), id("c")]);
     let stored = StoredState {
         hard_state: HardState { term: 2, vote: None },
         ..StoredState::genesis(configuration, Vec::new())
     };
-    let options = Options { replace_silent_ms: Some(1_500), ..Options::default() };
+    let options = Options { replace_unresponsive_ms: Some(1_500), ..Options::default() };
     let mut replica = Replica::new(id("a"), stored, options, 0);
     elect(&mut replica, 10_000);
     deliver_from(&mut replica, 10_002, "b", matched(2));
@@ -132,17 +132,17 @@
     let mut replica = leader_with_unresponsive_voter();
     let add_learner = Some(Change::AddLearner(id("d")));
     assert_eq!(replica.admit(&id("d")), add_learner);
-    assert_eq!(replica.keep_members(10_004), None, "the learner has no entries yet");
+    assert_eq!(replica.maintain_membership(10_004), None, "the learner has no entries yet");
     deliver_from(&mut replica, 10_005, "b", matched(3));
     deliver_from(&mut replica, 10_006, "d", matched(3));
-    assert_eq!(replica.keep_members(10_007), Some(Change::Promote(id("d"))));
-    assert_eq!(replica.keep_members(10_008), None, "one change at a time");
+    assert_eq!(replica.maintain_membership(10_007), Some(Change::Promote(id("d"))));
+    assert_eq!(replica.maintain_membership(10_008), None, "one change at a time");
     deliver_from(&mut replica, 10_009, "b", matched(4));
     deliver_from(&mut replica, 10_010, "d", matched(4));
-    assert_eq!(replica.keep_members(11_000), None, "c may only have paused");
+    assert_eq!(replica.maintain_membership(11_000), None, "c may only have paused");
     deliver_from(&mut replica, 11_600, "b", matched(4));
     deliver_from(&mut replica, 11_600, "d", matched(4));
-    assert_eq!(replica.keep_members(11_601), Some(Change::Remove(id("c"))));
+    assert_eq!(replica.maintain_membership(11_601), Some(Change::Remove(id("c"))));
     assert_eq!(replica.configuration().voters, [id("a"), id("b"), id("d")].into());
 }
 
@@ -152,7 +152,7 @@
 fn unresponsive_voter_stays_without_a_replacement() {
     let mut replica = leader_with_unresponsive_voter();
     deliver_from(&mut replica, 11_600, "b", matched(2));
-    assert_eq!(replica.keep_members(11_601), None);
+    assert_eq!(replica.maintain_membership(11_601), None);
     assert!(replica.may_stop(11_602, "b"), "without a replacement, b stays a voter and may stop");
 }
 
@@ -161,14 +161,14 @@
     let mut replica = leader_with_unresponsive_voter();
     replica.admit(&id("d"));
     deliver_from(&mut replica, 10_005, "b", matched(3));
-    replica.note_leaving(10_006, "b");
+    replica.note_departure(10_006, "b");
     assert!(!replica.may_stop(10_006, "b"), "a learner may replace b");
     deliver_from(&mut replica, 10_006, "d", matched(3));
-    assert_eq!(replica.keep_members(10_007), Some(Change::Promote(id("d"))));
+    assert_eq!(replica.maintain_membership(10_007), Some(Change::Promote(id("d"))));
     deliver_from(&mut replica, 10_009, "b", matched(4));
     deliver_from(&mut replica, 10_010, "d", matched(4));
     assert!(!replica.may_stop(10_011, "b"), "b is one of four voters");
-    assert_eq!(replica.keep_members(10_011), Some(Change::Remove(id("b"))));
+    assert_eq!(replica.maintain_membership(10_011), Some(Change::Remove(id("b"))));
     assert!(!replica.may_stop(10_012, "b"), "the removal is not committed yet");
     deliver_from(&mut replica, 10_013, "d", matched(5));
     assert!(replica.may_stop(10_014, "b"));
--- a/clayplank-agreement/tests/store.rs
+++ b/clayplank-agreement/tests/store.rs
@@ -10,7 +10,7 @@
 };
 
 fn configuration() -> Configuration {
-    Configuration::of_voters([ReplicaId::new("a", 7)])
+    Configuration::from_voters([ReplicaId::new("a", 7)])
 }
 
 fn entry(index: u64, text: &str) -> Entry {
@@ -25,7 +25,7 @@
 fn folder_with_log(dir: &Path) {
     let (mut store, state) = Store::open(dir, "a", 7).unwrap();
     assert_eq!(state, None);
-    store.begin(&StoredState::genesis(configuration(), Vec::new()), configuration()).unwrap();
+    store.initialize(&StoredState::genesis(configuration(), Vec::new()), configuration()).unwrap();
     let hard_state = HardState { term: 2, vote: Some(ReplicaId::new("a", 7)) };
     let first =
         Ready { hard_state: Some(hard_state.clone()), ..ready(vec![entry(2, "x"), entry(3, "y")]) };
@@ -126,7 +126,7 @@
     state.snapshot.last.index = 3;
     state.snapshot.data = b"state".to_vec();
     state.entries.retain(|entry| entry.index > 3);
-    store.rewrite(&state).unwrap();
+    store.replace_state(&state).unwrap();
     drop(store);
     assert_eq!(reopen(dir.path()).unwrap(), state);
 }
--- a/clayplank-clock/src/lib.rs
+++ b/clayplank-clock/src/lib.rs
@@ -23,6 +23,6 @@
 
 pub use instant::{Instant, now_ms};
 #[cfg(feature = "test-util")]
-pub use suspension::suspend;
+pub use suspension::simulate_suspension;
 pub use suspension::{Suspensions, subscribe};
 pub use wait::{Elapsed, sleep, sleep_until, timeout, timeout_at};
--- a/clayplank-clock/src/suspension.rs
+++ b/clayplank-clock/src/suspension.rs
@@ -16,7 +16,7 @@
     /// Number of detected suspensions.
     pub count: u64,
     /// Total duration of the detected suspensions.
-    pub span: Duration,
+    pub total: Duration,
 }
 
 /// Offset between the clock that counts suspensions and the one that does not, at the first
@@ -34,7 +34,7 @@
 /// Total time for which the machine was suspended since the first reading of the clock.
 pub(crate) fn total_suspended() -> Duration {
     let offset = read_offset().saturating_sub(*INITIAL_OFFSET);
-    let known = DETECTED.borrow().span;
+    let known = DETECTED.borrow().total;
     let detected = if offset < known + MIN_SUSPENSION { known } else { record(offset) };
     detected + simulated_span()
 }
@@ -44,12 +44,12 @@
 fn record(offset: Duration) -> Duration {
     let mut longest = offset;
     DETECTED.send_if_modified(|suspensions| {
-        let is_longer = offset >= suspensions.span + MIN_SUSPENSION;
+        let is_longer = offset >= suspensions.total + MIN_SUSPENSION;
         if is_longer {
             suspensions.count += 1;
-            suspensions.span = offset;
+            suspensions.total = offset;
         }
-        longest = suspensions.span;
+        longest = suspensions.total;
         is_longer
     });
     longest
@@ -76,9 +76,9 @@
 }
 
 #[cfg(feature = "test-util")]
-use simulation::simulated_span;
+pub use simulation::simulate_suspension;
 #[cfg(feature = "test-util")]
-pub use simulation::suspend;
+use simulation::simulated_span;
 
 /// Suspensions that a test simulates for its own thread.
 #[cfg(feature = "test-util")]
@@ -93,7 +93,7 @@
     }
 
     /// Simulates for this thread that the machine was suspended for `span`.
-    pub fn suspend(span: Duration) {
+    pub fn simulate_suspension(span: Duration) {
         SIMULATED_SPAN.set(SIMULATED_SPAN.get() + span);
         // Wakes all waits, which read the clock again; for other threads it has not changed.
         DETECTED.send_modify(|suspensions| suspensions.count += 1);
--- a/clayplank-clock/tests/suspended.rs
+++ b/clayplank-clock/tests/suspended.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use clayplank_clock::{Elapsed, Instant, now_ms, sleep, suspend, timeout_at};
+use clayplank_clock::{Elapsed, Instant, now_ms, simulate_suspension, sleep, timeout_at};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -10,7 +10,7 @@
 async fn elapsed_time_includes_suspensions_and_running_time() {
     let (start, start_ms) = (Instant::now(), now_ms());
     tokio::time::advance(2 * SECOND).await;
-    suspend(30 * SECOND);
+    simulate_suspension(30 * SECOND);
     tokio::time::advance(SECOND).await;
     assert_eq!(start.elapsed(), 33 * SECOND);
     assert_eq!(now_ms() - start_ms, 33_000);
@@ -21,7 +21,7 @@
     let runtime_start = tokio::time::Instant::now();
     let task = tokio::spawn(sleep(10 * SECOND));
     tokio::time::sleep(SECOND).await;
-    suspend(30 * SECOND);
+    simulate_suspension(30 * SECOND);
     task.await.ok();
     assert_eq!(runtime_start.elapsed(), SECOND, "by the runtime's clock, which stopped");
 }
@@ -31,7 +31,7 @@
     let runtime_start = tokio::time::Instant::now();
     let task = tokio::spawn(sleep(10 * SECOND));
     tokio::time::sleep(SECOND).await;
-    suspend(5 * SECOND);
+    simulate_suspension(5 * SECOND);
     task.await.ok();
     assert_eq!(runtime_start.elapsed(), 5 * SECOND);
 }
@@ -42,7 +42,7 @@
     assert_eq!(timeout_at(deadline, std::future::ready(7)).await, Ok(7));
     let task = tokio::spawn(timeout_at(deadline, std::future::pending::<()>()));
     tokio::time::sleep(SECOND).await;
-    suspend(9 * SECOND);
+    simulate_suspension(9 * SECOND);
     assert!(matches!(task.await, Ok(Err(Elapsed))));
 }
 
--- a/clayplank-forward/tests/entry/suspended.rs
+++ b/clayplank-forward/tests/entry/suspended.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use clayplank_clock::suspend;
+use clayplank_clock::simulate_suspension;
 use clayplank_forward::{BudgetLimits, Directory, EntryBuilder, Gate, RetryBudget, now_ms};
 use clayplank_routes::{RequestKind, Route};
 use proptest::prelude::*;
@@ -29,7 +29,7 @@
     let gate = Gate::new(LEASE_MS);
     gate.confirm(now_ms());
     assert!(gate.is_confirmed());
-    suspend(Duration::from_secs(seconds));
+    simulate_suspension(Duration::from_secs(seconds));
     assert_eq!(gate.is_confirmed(), is_confirmed);
 }
 
@@ -41,7 +41,7 @@
     assert!(budget.take_retry(now_ms(), "app"));
     assert!(budget.take_retry(now_ms(), "app"));
     assert!(!budget.take_retry(now_ms(), "app"));
-    suspend(Duration::from_secs(11));
+    simulate_suspension(Duration::from_secs(11));
     assert!(budget.take_retry(now_ms(), "app"));
 }
 
@@ -77,7 +77,7 @@
 async fn the_deadline_sent_to_an_upstream_includes_a_suspension() {
     let mut request = start_request("bo").await;
     tokio::time::sleep(Duration::from_millis(50)).await;
-    suspend(Duration::from_secs(2));
+    simulate_suspension(Duration::from_secs(2));
     request.caller.write_all(b"dy").await.unwrap();
     let (mut stream, _) = request.upstream.accept().await.unwrap();
     let head = read_some(&mut stream).await;
@@ -92,7 +92,7 @@
     let (mut stream, _) = request.upstream.accept().await.unwrap();
     read_some(&mut stream).await;
     let resumed_at = tokio::time::Instant::now();
-    suspend(Duration::from_secs(30));
+    simulate_suspension(Duration::from_secs(30));
     let mut answer = String::new();
     request.caller.read_to_string(&mut answer).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
@@ -146,7 +146,7 @@
                         true_ms += span_ms;
                     }
                     Step::Suspended { span_ms } => {
-                        suspend(Duration::from_millis(span_ms));
+                        simulate_suspension(Duration::from_millis(span_ms));
                         true_ms += span_ms;
                     }
                     Step::RequestsConfirmation => requested = Some((true_ms, now_ms())),
--- a/clayplank-state/src/claims.rs
+++ b/clayplank-state/src/claims.rs
@@ -29,7 +29,7 @@
 
 /// The stored answer of a request that ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct StoredAnswer {
     /// HTTP status code.
     pub status: u16,
     /// Value of the `content-type` header, if any.
@@ -44,7 +44,7 @@
     /// The holder may have dispatched the request.
     InProgress,
     /// The request ran and was answered.
-    Settled(Answer),
+    Settled(StoredAnswer),
     /// The request may have run; its answer is unknown.
     Unknown,
 }
@@ -97,7 +97,7 @@
         &mut self,
         key: &ClaimKey,
         attempt_id: AttemptId,
-        answer: Option<Answer>,
+        answer: Option<StoredAnswer>,
     ) -> Reply {
         let matching = self.records.get_mut(key).filter(|record| record.attempt_id == attempt_id);
         if let Some(record) = matching.filter(|record| record.state == ClaimState::InProgress) {
@@ -147,7 +147,7 @@
     }
 }
 
-fn drop_large_body(mut answer: Answer) -> Answer {
+fn drop_large_body(mut answer: StoredAnswer) -> StoredAnswer {
     answer.body = answer.body.filter(|body| body.len() <= MAX_KEPT_ANSWER_BYTES);
     answer
 }
--- a/clayplank-state/src/command.rs
+++ b/clayplank-state/src/command.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::claims::{Answer, ClaimKey};
+use crate::claims::{ClaimKey, StoredAnswer};
 use crate::quarantine::{QuarantineChanges, TrialReply};
 use crate::settings::{SettingKey, SettingValue, Versioned};
 
@@ -40,12 +40,12 @@
     /// Wall time at which a keeper proposed the command, in ms since the Unix epoch.
     pub at_ms: u64,
     /// The operation to apply.
-    pub body: Body,
+    pub body: CommandBody,
 }
 
 /// The operation of a [`Command`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum CommandBody {
     /// An operator creates, replaces or removes a setting.
     Change(SettingChange),
     /// A host is about to dispatch a request that must run at most once.
@@ -57,7 +57,7 @@
         /// Dispatch that took the claim; a claim of another dispatch is left as it is.
         attempt_id: AttemptId,
         /// Answer of the request; `None` if the outcome is unknown (the request may have run).
-        answer: Option<Answer>,
+        answer: Option<StoredAnswer>,
     },
     /// The claimed request was not sent to any upstream, so its key is free again.
     Release {
@@ -167,7 +167,7 @@
     /// The claim is granted: the claiming host may dispatch the request once.
     Claimed,
     /// The request has already run; this is its answer.
-    Repeated(Answer),
+    Repeated(StoredAnswer),
     /// The request has been claimed by another dispatch and may still be running.
     InProgress {
         /// Remaining time until the deadline of the claim, in ms.
--- a/clayplank-state/src/lib.rs
+++ b/clayplank-state/src/lib.rs
@@ -40,12 +40,12 @@
 mod settings;
 mod view;
 
-pub use claims::{Answer, ClaimKey, ClaimState, MAX_KEPT_ANSWER_BYTES};
+pub use claims::{ClaimKey, ClaimState, MAX_KEPT_ANSWER_BYTES, StoredAnswer};
 pub use command::{
-    Body, Claim, ClaimHolder, CodecError, Command, PlanDocument, Reply, SettingChange, decode,
-    encode,
+    Claim, ClaimHolder, CodecError, Command, CommandBody, PlanDocument, Reply, SettingChange,
+    decode, encode,
 };
-pub use machine::{Counts, Machine};
+pub use machine::{Machine, MachineStats};
 pub use packing::{PackError, pack, unpack};
 pub use plan_edit::{EditError, PlanEdit};
 pub use quarantine::{QuarantineChanges, TrialReply};
--- a/clayplank-state/src/machine.rs
+++ b/clayplank-state/src/machine.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::claims::Claims;
-use crate::command::{Body, CodecError, Command, PlanDocument, Reply, decode, encode};
+use crate::command::{CodecError, Command, CommandBody, PlanDocument, Reply, decode, encode};
 use crate::cordons::Cordons;
 use crate::plan::Plan;
 use crate::quarantine::{Suspects, TrialReply};
@@ -16,7 +16,7 @@
 
 /// Latest revision and sizes of a machine's state, for status reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct MachineStats {
     /// Latest revision.
     pub revision: u64,
     /// Number of settings, including removed ones.
@@ -57,19 +57,21 @@
     pub fn apply(&mut self, command: &Command) -> Reply {
         self.now_ms = self.now_ms.max(command.at_ms);
         match &command.body {
-            Body::Change(change) => self.settings.apply(change),
-            Body::Claim(claim) => self.claims.claim(self.now_ms, claim),
-            Body::Settle { key, attempt_id, answer } => {
+            CommandBody::Change(change) => self.settings.apply(change),
+            CommandBody::Claim(claim) => self.claims.claim(self.now_ms, claim),
+            CommandBody::Settle { key, attempt_id, answer } => {
                 self.claims.settle(key, *attempt_id, answer.clone())
             }
-            Body::Release { key, attempt_id } => self.claims.release(key, *attempt_id),
-            Body::Publish(document) => self.publish(document),
-            Body::Fence { upstream, host, lease_ms } => self.fence(upstream, host, *lease_ms),
-            Body::NoteSightings(sightings) => self.apply_sightings(sightings),
-            Body::ClaimTrial(fingerprint) => self.claim_trial(*fingerprint),
-            Body::Lift(fingerprint) => self.lift(*fingerprint),
-            Body::Cordon(data_centre) => self.set_cordon(data_centre, true),
-            Body::Uncordon(data_centre) => self.set_cordon(data_centre, false),
+            CommandBody::Release { key, attempt_id } => self.claims.release(key, *attempt_id),
+            CommandBody::Publish(document) => self.publish(document),
+            CommandBody::Fence { upstream, host, lease_ms } => {
+                self.fence(upstream, host, *lease_ms)
+            }
+            CommandBody::NoteSightings(sightings) => self.apply_sightings(sightings),
+            CommandBody::ClaimTrial(fingerprint) => self.claim_trial(*fingerprint),
+            CommandBody::Lift(fingerprint) => self.lift(*fingerprint),
+            CommandBody::Cordon(data_centre) => self.set_cordon(data_centre, true),
+            CommandBody::Uncordon(data_centre) => self.set_cordon(data_centre, false),
         }
     }
 
@@ -155,7 +157,7 @@
     }
 
     /// All cordoned data centres: no requests are sent to their upstreams.
-    pub fn cordoned(&self) -> &BTreeSet<DataCentre> {
+    pub fn cordoned_data_centres(&self) -> &BTreeSet<DataCentre> {
         self.cordons.data_centres()
     }
 
@@ -165,8 +167,8 @@
     }
 
     /// Latest revision, and the numbers of settings and claims.
-    pub fn counts(&self) -> Counts {
-        Counts {
+    pub fn stats(&self) -> MachineStats {
+        MachineStats {
             revision: self.revision(),
             settings: self.settings.len(),
             claims: self.claims.len(),
--- a/clayplank-state/src/plan_edit.rs
+++ b/clayplank-state/src/plan_edit.rs
@@ -54,7 +54,7 @@
 
 impl PlanEdit {
     /// An edit that contains all of `next` and applies to any plan.
-    pub fn whole(next: &PlanDocument) -> Self {
+    pub fn full(next: &PlanDocument) -> Self {
         Self::between(&PlanDocument::default(), next)
     }
 
--- a/clayplank-state/src/view.rs
+++ b/clayplank-state/src/view.rs
@@ -105,7 +105,7 @@
 
     /// Effective settings of a request: those of the account, combined with the template that the
     /// request names or else the default template of the account. `None` if either does not exist.
-    pub fn effective(&self, id: &AccountId, template: Option<&str>) -> Option<Effective> {
+    pub fn effective_settings(&self, id: &AccountId, template: Option<&str>) -> Option<Effective> {
         let account = self.account(id)?;
         let template = self.template(&id.partner, template.unwrap_or(&account.template))?;
         Some(Effective::of(account, template))
--- a/clayplank-state/tests/claims_and_settings.rs
+++ b/clayplank-state/tests/claims_and_settings.rs
@@ -7,8 +7,8 @@
 
 use clayplank_settings::{Template, parse};
 use clayplank_state::{
-    Answer, Body, Claim, ClaimHolder, ClaimKey, Command, Machine, Reply, SettingChange, SettingKey,
-    SettingValue, SettingsView,
+    Claim, ClaimHolder, ClaimKey, Command, CommandBody, Machine, Reply, SettingChange, SettingKey,
+    SettingValue, SettingsView, StoredAnswer,
 };
 use clayplank_types::{AccountId, AttemptId, HostId, Incarnation, Partner};
 use proptest::prelude::*;
@@ -69,7 +69,7 @@
                         expected_version,
                         value: Some(template(deadline_ms)),
                     };
-                    let command = Command { at_ms: number as u64, body: Body::Change(change) };
+                    let command = Command { at_ms: number as u64, body: CommandBody::Change(change) };
                     let reply = machine.apply(&command);
                     match (&reply, sender == owner, is_stale) {
                         (Reply::Forbidden, false, _) | (Reply::Conflict { .. }, true, true) => {}
@@ -151,21 +151,21 @@
         deadline_in_ms: 1_000,
         keep_ms: 10_000,
     };
-    Command { at_ms: 5, body: Body::Claim(claim) }
+    Command { at_ms: 5, body: CommandBody::Claim(claim) }
 }
 
 fn release(attempt: u128) -> Command {
     Command {
         at_ms: 5,
-        body: Body::Release { key: key(), attempt_id: AttemptId::from_bits(attempt) },
+        body: CommandBody::Release { key: key(), attempt_id: AttemptId::from_bits(attempt) },
     }
 }
 
 fn settle(attempt: u128) -> Command {
-    let answer = Answer { status: 200, content_type: None, body: Some(b"ok".to_vec()) };
+    let answer = StoredAnswer { status: 200, content_type: None, body: Some(b"ok".to_vec()) };
     Command {
         at_ms: 5,
-        body: Body::Settle {
+        body: CommandBody::Settle {
             key: key(),
             attempt_id: AttemptId::from_bits(attempt),
             answer: Some(answer),
@@ -184,7 +184,10 @@
 
 fn fence(host: &str, at_ms: u64) -> Command {
     let upstream = clayplank_types::UpstreamId::new("e1");
-    Command { at_ms, body: Body::Fence { upstream, host: HostId::new(host), lease_ms: 1_000 } }
+    Command {
+        at_ms,
+        body: CommandBody::Fence { upstream, host: HostId::new(host), lease_ms: 1_000 },
+    }
 }
 
 #[test]
--- a/clayplank-state/tests/cordons.rs
+++ b/clayplank-state/tests/cordons.rs
@@ -4,13 +4,17 @@
 
 use std::collections::BTreeSet;
 
-use clayplank_state::{Body, Command, Machine, Reply};
+use clayplank_state::{Command, CommandBody, Machine, Reply};
 use clayplank_types::DataCentre;
 use proptest::prelude::*;
 
 fn set_cordon(machine: &mut Machine, name: &str, is_cordoned: bool) -> Reply {
     let data_centre = DataCentre::new(name);
-    let body = if is_cordoned { Body::Cordon(data_centre) } else { Body::Uncordon(data_centre) };
+    let body = if is_cordoned {
+        CommandBody::Cordon(data_centre)
+    } else {
+        CommandBody::Uncordon(data_centre)
+    };
     machine.apply(&Command { at_ms: 1, body })
 }
 
@@ -27,7 +31,7 @@
     assert_eq!(set_cordon(&mut machine, "a", true), changed);
     assert_eq!(set_cordon(&mut machine, "a", true), unchanged);
     assert_eq!(set_cordon(&mut machine, "b", true), changed);
-    assert_eq!(machine.cordoned(), &data_centres(&["a", "b"]));
+    assert_eq!(machine.cordoned_data_centres(), &data_centres(&["a", "b"]));
     assert_eq!(set_cordon(&mut machine, "a", false), changed);
     assert_eq!(set_cordon(&mut machine, "a", false), unchanged);
     assert_eq!(set_cordon(&mut machine, "a", true), changed);
@@ -72,7 +76,7 @@
                 prop_assert_eq!(&received, &expected);
             }
             machine = Machine::from_snapshot(&machine.to_snapshot().unwrap()).unwrap();
-            prop_assert_eq!(machine.cordoned(), &expected);
+            prop_assert_eq!(machine.cordoned_data_centres(), &expected);
         }
     }
 }
--- a/clayplank-state/tests/plan_edit.rs
+++ b/clayplank-state/tests/plan_edit.rs
@@ -43,7 +43,7 @@
 #[test]
 fn a_complete_plan_replaces_any_plan() {
     let next = plan(3, 5, None);
-    let edit = PlanEdit::whole(&next);
+    let edit = PlanEdit::full(&next);
     for current in [PlanDocument::default(), plan(2, 4, None)] {
         assert_eq!(edit.apply(&current).unwrap(), next);
     }
@@ -60,7 +60,7 @@
 
 #[test]
 fn damaged_edits_are_rejected() {
-    let packed = PlanEdit::whole(&plan(1, 20, None)).pack().unwrap();
+    let packed = PlanEdit::full(&plan(1, 20, None)).pack().unwrap();
     assert!(PlanEdit::unpack(&packed[..packed.len() / 2]).is_err());
     assert!(PlanEdit::unpack(b"no edit").is_err());
 }
--- a/clayplank-state/tests/quarantine.rs
+++ b/clayplank-state/tests/quarantine.rs
@@ -3,7 +3,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use clayplank_state::{Body, Command, Machine, QuarantineChanges, Reply, TrialReply};
+use clayplank_state::{Command, CommandBody, Machine, QuarantineChanges, Reply, TrialReply};
 use clayplank_types::{
     HostTimestamp, ObservedOutcome, RequestFingerprint, RequestObservation, UpstreamId,
 };
@@ -42,7 +42,7 @@
     RequestObservation { outcome: ObservedOutcome::Survived, ..terminated(request, "clubs", "") }
 }
 
-fn apply(machine: &mut Machine, at_ms: u64, body: Body) -> Reply {
+fn apply(machine: &mut Machine, at_ms: u64, body: CommandBody) -> Reply {
     machine.apply(&Command { at_ms, body })
 }
 
@@ -51,14 +51,14 @@
     at_ms: u64,
     sightings: &[RequestObservation],
 ) -> QuarantineChanges {
-    match apply(machine, at_ms, Body::NoteSightings(sightings.to_vec())) {
+    match apply(machine, at_ms, CommandBody::NoteSightings(sightings.to_vec())) {
         Reply::Noted(verdicts) => verdicts,
         reply => panic!("{reply:?}"),
     }
 }
 
 fn claim_trial(machine: &mut Machine, at_ms: u64, request: u128) -> TrialReply {
-    match apply(machine, at_ms, Body::ClaimTrial(RequestFingerprint::new(request))) {
+    match apply(machine, at_ms, CommandBody::ClaimTrial(RequestFingerprint::new(request))) {
         Reply::Trial(trial) => trial,
         reply => panic!("{reply:?}"),
     }
@@ -182,7 +182,7 @@
 #[test]
 fn a_request_lifted_by_an_operator_can_be_quarantined_again() {
     let mut machine = with_one_quarantined();
-    let lift = Body::Lift(RequestFingerprint::new(CRASHING));
+    let lift = CommandBody::Lift(RequestFingerprint::new(CRASHING));
     assert_eq!(apply(&mut machine, 4_000, lift.clone()), Reply::Lifted { was_held_back: true });
     assert_eq!(apply(&mut machine, 4_100, lift), Reply::Lifted { was_held_back: false });
     assert_eq!(quarantined(&machine), []);
--- a/clayplank-wire/tests/broken_bytes.rs
+++ b/clayplank-wire/tests/broken_bytes.rs
@@ -11,7 +11,8 @@
 };
 use clayplank_registry::{Buckets, Changes, Cursor, Digest, Heartbeat, Record};
 use clayplank_state::{
-    Body, Command, Delta, Machine, PlanDocument, PlanEdit, Reply, decode, encode, pack, unpack,
+    Command, CommandBody, Delta, Machine, PlanDocument, PlanEdit, Reply, decode, encode, pack,
+    unpack,
 };
 use clayplank_types::{
     ObservedOutcome, QuarantinedRequest, RequestFingerprint, RequestObservation, UpstreamId,
@@ -39,7 +40,7 @@
     read::<Digest>(bytes);
     read::<Buckets>(bytes);
     read::<Changes>(bytes);
-    read::<Body>(bytes);
+    read::<CommandBody>(bytes);
     read::<Command>(bytes);
     read::<Reply>(bytes);
     read::<Delta>(bytes);
@@ -62,12 +63,12 @@
 fn samples() -> Vec<Vec<u8>> {
     let mut machine = Machine::default();
     let document = PlanDocument { version: 7, text: "{\"version\":7}".into() };
-    machine.apply(&Command { at_ms: 9, body: Body::Publish(document) });
+    machine.apply(&Command { at_ms: 9, body: CommandBody::Publish(document) });
     let repeated = (0..3).map(|number| RequestObservation {
         fingerprint: RequestFingerprint::new(1),
         ..sighting(number)
     });
-    let body = Body::NoteSightings(repeated.collect());
+    let body = CommandBody::NoteSightings(repeated.collect());
     let command = Command { at_ms: 1_000, body };
     let reply = machine.apply(&command);
     assert_eq!(machine.quarantined().len(), 1);
@@ -88,7 +89,7 @@
 /// No proper prefix of an encoded value may be decoded as a value.
 #[test]
 fn a_truncated_value_is_rejected() {
-    let body = Body::NoteSightings((0..3).map(sighting).collect());
+    let body = CommandBody::NoteSightings((0..3).map(sighting).collect());
     let bytes = encode(&Command { at_ms: 1_000, body }).unwrap();
     for length in 0..bytes.len() {
         assert!(decode::<Command>(&bytes[..length]).is_err(), "{length} of {} bytes", bytes.len());
--- a/clayplankd/src/doors/callers.rs
+++ b/clayplankd/src/doors/callers.rs
@@ -129,7 +129,7 @@
     /// The effective settings of the request, and its deadline.
     fn settings_and_deadline(&self, headers: &HeaderMap) -> Result<(Effective, Instant), Problem> {
         let template = header(headers, TEMPLATE_HEADER)?;
-        let effective = self.view.effective(&self.account, template);
+        let effective = self.view.effective_settings(&self.account, template);
         let effective = effective.ok_or_else(|| {
             Problem::Malformed(format!(
                 "{TEMPLATE_HEADER}: there is no template `{}`",
--- a/clayplankd/src/doors/claims.rs
+++ b/clayplankd/src/doors/claims.rs
@@ -2,7 +2,7 @@
 //! once.
 
 use clayplank_clock::Instant;
-use clayplank_state::{Answer, Body, Claim, ClaimHolder, ClaimKey, Reply};
+use clayplank_state::{Claim, ClaimHolder, ClaimKey, CommandBody, Reply, StoredAnswer};
 use clayplank_types::{AccountId, AttemptId, Refusal, RefusalReason};
 
 use crate::doors::replies::Problem;
@@ -23,7 +23,7 @@
     /// The claim is granted: the request may be dispatched once.
     Run(HeldClaim),
     /// The request ran before, with this answer.
-    Repeated(Answer),
+    Repeated(StoredAnswer),
 }
 
 /// A granted claim that this host has to settle or release.
@@ -45,7 +45,7 @@
     let attempt_id = AttemptId::random();
     let key = ClaimKey { account: account.clone(), key: key.to_owned() };
     let held_claim = HeldClaim { key: key.clone(), attempt_id };
-    let body = Body::Claim(Claim {
+    let body = CommandBody::Claim(Claim {
         key,
         fingerprint,
         holder: ClaimHolder { host: host.settings.host.clone(), incarnation: host.incarnation },
@@ -74,8 +74,9 @@
 
 /// Settles a claim. A repeat of the request gets the stored answer from then on, or an error that
 /// the answer is not known.
-pub(crate) async fn settle(host: &Host, held_claim: HeldClaim, answer: Option<Answer>) {
-    let body = Body::Settle { key: held_claim.key, attempt_id: held_claim.attempt_id, answer };
+pub(crate) async fn settle(host: &Host, held_claim: HeldClaim, answer: Option<StoredAnswer>) {
+    let body =
+        CommandBody::Settle { key: held_claim.key, attempt_id: held_claim.attempt_id, answer };
     let timeout = KeeperClient::usual_patience(host.settings.timing.election_ms);
     if host.keepers.execute(&body, timeout).await.is_err() {
         // The caller still gets its answer; repeats wait until the claim is settled.
@@ -87,11 +88,11 @@
 pub(crate) fn release(host: &Host, held_claim: HeldClaim) {
     execute_in_background(
         host,
-        Body::Release { key: held_claim.key, attempt_id: held_claim.attempt_id },
+        CommandBody::Release { key: held_claim.key, attempt_id: held_claim.attempt_id },
     );
 }
 
-fn execute_in_background(host: &Host, body: Body) {
+fn execute_in_background(host: &Host, body: CommandBody) {
     let keepers = host.keepers.clone();
     tokio::spawn(async move {
         if let Err(error) = keepers.execute(&body, millis(SETTLE_TIMEOUT_MS)).await {
--- a/clayplankd/src/doors/completions.rs
+++ b/clayplankd/src/doors/completions.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use clayplank_state::Answer;
+use clayplank_state::StoredAnswer;
 use clayplank_types::Outcome;
 use clayplank_upstream::{Chunk, Finish, ServiceRequest};
 use http::header::{CONTENT_TYPE, HeaderValue};
@@ -189,7 +189,11 @@
             settle(
                 host,
                 held_claim,
-                Some(Answer { status: 200, content_type, body: body.map(String::into_bytes) }),
+                Some(StoredAnswer {
+                    status: 200,
+                    content_type,
+                    body: body.map(String::into_bytes),
+                }),
             )
             .await;
         }
--- a/clayplankd/src/doors/control_endpoint.rs
+++ b/clayplankd/src/doors/control_endpoint.rs
@@ -11,7 +11,7 @@
 use clayplank_registry::{Heartbeat, UpstreamStatus};
 use clayplank_routes::ServingPlan;
 use clayplank_settings::Faults;
-use clayplank_state::{Body, Delta, PlanDocument, Reply};
+use clayplank_state::{CommandBody, Delta, PlanDocument, Reply};
 use clayplank_types::{DataCentre, HostId, QuarantinedRequest, RequestFingerprint};
 use http::{HeaderValue, Request, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full, Limited};
@@ -104,7 +104,7 @@
             return fault(StatusCode::BAD_REQUEST, "the body is not UTF-8");
         };
         let document = PlanDocument { version: plan.version, text: text.into() };
-        let reply = self.keepers.execute(&Body::Publish(document), QUORUM_TIMEOUT).await;
+        let reply = self.keepers.execute(&CommandBody::Publish(document), QUORUM_TIMEOUT).await;
         let (answer, outcome) = match &reply {
             Ok(Reply::Published { .. }) => (empty(StatusCode::OK), "published"),
             Ok(Reply::OtherPlan) => {
@@ -155,7 +155,7 @@
     }
 
     async fn lift_quarantine(&self, fingerprint: RequestFingerprint) -> Answer {
-        let reply = self.keepers.execute(&Body::Lift(fingerprint), QUORUM_TIMEOUT).await;
+        let reply = self.keepers.execute(&CommandBody::Lift(fingerprint), QUORUM_TIMEOUT).await;
         let (answer, outcome) = match &reply {
             Ok(Reply::Lifted { was_held_back: true }) => (empty(StatusCode::OK), "lifted"),
             Ok(Reply::Lifted { was_held_back: false }) => {
--- a/clayplankd/src/doors/cordons.rs
+++ b/clayplankd/src/doors/cordons.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use clayplank_forward::now_ms;
-use clayplank_state::{Body, Reply};
+use clayplank_state::{CommandBody, Reply};
 use clayplank_types::DataCentre;
 use http::StatusCode;
 
@@ -28,19 +28,21 @@
         if !self.is_known(&data_centre) {
             return fault(StatusCode::NOT_FOUND, "there is no such data centre");
         }
-        self.execute_cordon(&data_centre, &Body::Cordon(data_centre.clone()), "cordoned").await
+        self.execute_cordon(&data_centre, &CommandBody::Cordon(data_centre.clone()), "cordoned")
+            .await
     }
 
     /// Lifts a cordon. The name is not checked: an unknown data centre has no cordon, unless the
     /// settings have changed since it was set.
     pub(super) async fn uncordon(&self, data_centre: DataCentre) -> Answer {
-        self.execute_cordon(&data_centre, &Body::Uncordon(data_centre.clone()), "uncordoned").await
+        self.execute_cordon(&data_centre, &CommandBody::Uncordon(data_centre.clone()), "uncordoned")
+            .await
     }
 
     async fn execute_cordon(
         &self,
         data_centre: &DataCentre,
-        command: &Body,
+        command: &CommandBody,
         done: &'static str,
     ) -> Answer {
         let started_ms = now_ms();
--- a/clayplankd/src/doors/operators.rs
+++ b/clayplankd/src/doors/operators.rs
@@ -4,9 +4,7 @@
 use std::time::Duration;
 
 use clayplank_settings::{ClientAccount, Faults, KeyDigest, Operator, Template, parse_value};
-use clayplank_state::{
-    Body as CommandBody, Reply, SettingChange, SettingKey, SettingValue, Versioned,
-};
+use clayplank_state::{CommandBody, Reply, SettingChange, SettingKey, SettingValue, Versioned};
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
 use serde::Deserialize;
--- a/clayplankd/src/doors/services.rs
+++ b/clayplankd/src/doors/services.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use clayplank_clock::Instant;
 use clayplank_settings::ServiceSettings;
-use clayplank_state::Answer;
+use clayplank_state::StoredAnswer;
 use clayplank_types::{AccountId, AttemptId, Outcome, Refusal, RefusalReason, UpstreamId};
 use clayplank_upstream::{EdgeError, ServiceAnswer, ServiceRequest, forward};
 use http::header::{CONTENT_TYPE, HeaderValue};
@@ -199,10 +199,10 @@
     hasher.finish128().as_u128()
 }
 
-fn to_stored(answer: &ServiceAnswer) -> Answer {
+fn to_stored(answer: &ServiceAnswer) -> StoredAnswer {
     let content_type =
         answer.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).map(str::to_owned);
-    Answer { status: answer.status, content_type, body: Some(answer.body.to_vec()) }
+    StoredAnswer { status: answer.status, content_type, body: Some(answer.body.to_vec()) }
 }
 
 fn to_response(answer: &ServiceAnswer) -> Response<Body> {
@@ -217,7 +217,7 @@
 const REPEATED_HEADER: &str = "x-clayplank-repeated";
 
 /// The stored answer of the first run; without its body if that was too large to store.
-pub(crate) fn repeat_response(answer: Answer) -> Response<Body> {
+pub(crate) fn repeat_response(answer: StoredAnswer) -> Response<Body> {
     let mut response = Response::new(full(Bytes::from(answer.body.unwrap_or_default())));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     if let Some(value) = answer.content_type.and_then(|text| HeaderValue::from_str(&text).ok()) {
--- a/clayplankd/src/fleet/sightings.rs
+++ b/clayplankd/src/fleet/sightings.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use clayplank_forward::{BoxFuture, Observation, QuarantineAuthority, now_ms};
-use clayplank_state::{Body, QuarantineChanges, Reply, TrialReply};
+use clayplank_state::{CommandBody, QuarantineChanges, Reply, TrialReply};
 use clayplank_types::{HostTimestamp, QuarantinedRequest, RequestFingerprint, RequestObservation};
 use tokio::sync::mpsc;
 
@@ -57,7 +57,7 @@
 
     fn claim_trial(&self, fingerprint: RequestFingerprint) -> BoxFuture<'_, bool> {
         Box::pin(async move {
-            match self.keepers.execute(&Body::ClaimTrial(fingerprint), TRIAL_TIMEOUT).await {
+            match self.keepers.execute(&CommandBody::ClaimTrial(fingerprint), TRIAL_TIMEOUT).await {
                 Ok(Reply::Trial(TrialReply::Granted | TrialReply::NotNeeded)) => true,
                 Ok(_) => false,
                 Err(error) => {
@@ -96,7 +96,7 @@
         }
         // Repeating is safe: for each request, the keepers count a terminated upstream only once.
         let sightings = batch.iter().map(|one| to_sighting(incarnation, one)).collect();
-        match keepers.execute(&Body::NoteSightings(sightings), COMMAND_TIMEOUT).await {
+        match keepers.execute(&CommandBody::NoteSightings(sightings), COMMAND_TIMEOUT).await {
             Ok(Reply::Noted(verdicts)) => {
                 log_verdicts(&verdicts);
                 return;
--- a/clayplankd/src/fleet/upstream_memory.rs
+++ b/clayplankd/src/fleet/upstream_memory.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use clayplank_agreement::{Notes, StoreError};
+use clayplank_agreement::{SideFiles, StoreError};
 use clayplank_registry::{Cursor, Heartbeat};
 
 use crate::fleet::fleet_keeper::FleetKeeper;
@@ -24,7 +24,7 @@
 const SAVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Restores the upstreams that an earlier process saved.
-pub(crate) fn recall_upstreams(fleet: &FleetKeeper, notes: &Notes) {
+pub(crate) fn recall_upstreams(fleet: &FleetKeeper, notes: &SideFiles) {
     match notes.load::<Vec<Heartbeat>>(NOTE_NAME) {
         Ok(Some(known)) => {
             log::info!(target: part::KEEPER, upstreams = known.len(); "Restored the saved upstreams");
@@ -39,7 +39,7 @@
 }
 
 /// Saves the registered upstreams whenever one has changed.
-pub(crate) async fn run_upstream_memory(fleet: Arc<FleetKeeper>, notes: Notes) {
+pub(crate) async fn run_upstream_memory(fleet: Arc<FleetKeeper>, notes: SideFiles) {
     let mut saved = Cursor::default();
     loop {
         clayplank_clock::sleep(SAVE_INTERVAL).await;
@@ -64,6 +64,6 @@
 }
 
 /// Writes on a blocking thread, so that the disk does not stall the async runtime.
-async fn save(notes: Notes, known: Vec<Heartbeat>) -> Result<(), SaveError> {
+async fn save(notes: SideFiles, known: Vec<Heartbeat>) -> Result<(), SaveError> {
     Ok(tokio::task::spawn_blocking(move || notes.save(NOTE_NAME, &known)).await??)
 }
--- a/clayplankd/src/follow/following.rs
+++ b/clayplankd/src/follow/following.rs
@@ -141,8 +141,8 @@
         for keeper in due {
             let keepers = self.keepers.clone();
             probes.spawn(async move {
-                let hears_leader = keepers.query_leader(&keeper).await.is_some();
-                (keeper, hears_leader)
+                let has_leader_contact = keepers.query_leader(&keeper).await.is_some();
+                (keeper, has_leader_contact)
             });
         }
     }
--- a/clayplankd/src/follow/plan_edits.rs
+++ b/clayplankd/src/follow/plan_edits.rs
@@ -42,7 +42,7 @@
         }
         let edit = match base {
             Some(base) => PlanEdit::between(base, newest),
-            None => PlanEdit::whole(newest),
+            None => PlanEdit::full(newest),
         };
         let bytes = edit.pack().ok()?;
         self.packed_edits.insert(from, bytes.clone());
--- a/clayplankd/src/keepers/first_start.rs
+++ b/clayplankd/src/keepers/first_start.rs
@@ -5,7 +5,7 @@
 //! would be taken for a keeper that lost its disk, and unless a majority of the keepers still know it,
 //! none may create the log. The note is deliberately lost together with the disk.
 
-use clayplank_agreement::{Notes, StoreError};
+use clayplank_agreement::{SideFiles, StoreError};
 
 /// File name of the note.
 const FILE: &str = "first_start";
@@ -14,7 +14,10 @@
 ///
 /// # Errors
 /// The disk is full, or the saved note is corrupt.
-pub(crate) fn recall_first_start(notes: &Notes, is_first_start: bool) -> Result<bool, StoreError> {
+pub(crate) fn recall_first_start(
+    notes: &SideFiles,
+    is_first_start: bool,
+) -> Result<bool, StoreError> {
     if is_first_start {
         notes.save(FILE, &true)?;
         return Ok(true);
--- a/clayplankd/src/keepers/keeper.rs
+++ b/clayplankd/src/keepers/keeper.rs
@@ -201,7 +201,7 @@
     fn publish_applied(&mut self) {
         let leader = self.leader_host();
         let revision = self.machine.revision();
-        let (plan, cordoned) = (self.machine.plan(), self.machine.cordoned());
+        let (plan, cordoned) = (self.machine.plan(), self.machine.cordoned_data_centres());
         self.applied.send_if_modified(|current| {
             let is_new = current.revision != revision || current.leader != leader;
             if is_new {
@@ -259,7 +259,7 @@
     }
 
     async fn process_ready(&mut self, ready: Ready) -> bool {
-        let written = ready.last_written();
+        let written = ready.written();
         let Some(ready) = self.write(ready).await else {
             return false;
         };
@@ -362,7 +362,7 @@
         };
         let required = self.sizing.required_copies.min(replica.configuration().voters.len());
         while let Some(oldest) = self.under_replicated.front()
-            && replica.copies(oldest.index) >= required
+            && replica.synced_voters(oldest.index) >= required
             && let Some(UnderReplicated { reply, to, .. }) = self.under_replicated.pop_front()
         {
             to.send(Executed::Reply(reply)).ok();
@@ -417,7 +417,7 @@
         if due.is_empty() {
             return;
         }
-        if let Ok(read) = replica.read() {
+        if let Ok(read) = replica.request_read() {
             self.reads.insert(read, due);
         }
     }
@@ -468,7 +468,7 @@
             return;
         };
         let task = tokio::task::spawn_blocking(move || {
-            let result = store.rewrite(&state);
+            let result = store.replace_state(&state);
             (store, result)
         });
         let Ok((store, result)) = task.await else {
--- a/clayplankd/src/keepers/keeper_client.rs
+++ b/clayplankd/src/keepers/keeper_client.rs
@@ -6,7 +6,7 @@
 use clayplank_clock::Instant;
 use clayplank_members::KnownKeepers;
 use clayplank_settings::HostSettings;
-use clayplank_state::{Body, Delta, Reply, decode, encode};
+use clayplank_state::{CommandBody, Delta, Reply, decode, encode};
 use clayplank_types::HostId;
 use clayplank_wire::{
     ExecuteRequest, InspectRequest, StoppingRequest, WatchRequest, execute_reply, inspect_reply,
@@ -218,7 +218,7 @@
     /// Has a command applied. It may be sent more than once, so it must be idempotent.
     pub(crate) async fn execute(
         &self,
-        body: &Body,
+        body: &CommandBody,
         timeout: Duration,
     ) -> Result<Reply, KeeperError> {
         let command = encode(body)?;
--- a/clayplankd/src/keepers/keeper_join.rs
+++ b/clayplankd/src/keepers/keeper_join.rs
@@ -221,8 +221,8 @@
     let bootstrap_names: Vec<_> =
         bootstrap_hosts.filter(|host| !introductions.non_keepers.contains(host)).collect();
     let start = match plan_join(local, &bootstrap_names, &introductions.answers) {
-        Join::Begin(configuration) => StartLog(Some(configuration)),
-        Join::Learn => StartLog(None),
+        Join::Bootstrap(configuration) => StartLog(Some(configuration)),
+        Join::AsLearner => StartLog(None),
         Join::Wait => {
             log::debug!(target: part::KEEPER,
                 "Does not create the log yet: waits for answers of the other keepers");
--- a/clayplankd/src/keepers/keeper_messages.rs
+++ b/clayplankd/src/keepers/keeper_messages.rs
@@ -5,7 +5,7 @@
 use clayplank_agreement::{
     BlankKeeper, Change, Configuration, Envelope, Introduction, Replica, ReplicaId, StoredState,
 };
-use clayplank_state::{Body, Command, Counts, Delta, Reply, encode};
+use clayplank_state::{Command, CommandBody, Delta, MachineStats, Reply, encode};
 use clayplank_types::HostId;
 use serde::Serialize;
 use tokio::sync::oneshot;
@@ -50,7 +50,7 @@
     /// Whether the newest membership is committed. While it is not, or while there are learners, the
     /// loss of one more disk may leave the keepers without a quorum.
     pub(crate) members_committed: bool,
-    pub(crate) counts: Counts,
+    pub(crate) counts: MachineStats,
     /// Revision in force on each host that watches the leader.
     pub(crate) in_force: BTreeMap<HostId, u64>,
 }
@@ -64,7 +64,7 @@
     async fn handle(&mut self, _: Tick, context: &mut Context<Self>) {
         if let Some(replica) = &mut self.replica {
             replica.tick(now_ms());
-            if let Some(change) = replica.keep_members(now_ms()) {
+            if let Some(change) = replica.maintain_membership(now_ms()) {
                 log_member_change(&change, "membership maintenance");
             }
         }
@@ -92,14 +92,14 @@
 }
 
 /// A command for the state machine. The reply comes once it is applied and acknowledged.
-pub(crate) struct Execute(pub(crate) Body);
+pub(crate) struct Execute(pub(crate) CommandBody);
 
 impl Handler<Execute> for Keeper {
     type Return = oneshot::Receiver<Executed>;
 
     async fn handle(&mut self, execute: Execute, context: &mut Context<Self>) -> Self::Return {
         let (reply, receiver) = oneshot::channel();
-        let is_plan = matches!(execute.0, Body::Publish(_));
+        let is_plan = matches!(execute.0, CommandBody::Publish(_));
         if is_plan && self.replica.as_ref().is_some_and(Replica::is_leader) && self.lacks_voters() {
             reply.send(Executed::Unknown).ok();
             return receiver;
@@ -207,8 +207,8 @@
         let Some(replica) = &mut self.replica else {
             return MayStop::NotLeader(None);
         };
-        replica.note_leaving(now_ms(), host);
-        if let Some(change) = replica.keep_members(now_ms()) {
+        replica.note_departure(now_ms(), host);
+        if let Some(change) = replica.maintain_membership(now_ms()) {
             log_member_change(&change, "a keeper is stopping");
             self.flush(context).await;
         }
@@ -238,7 +238,7 @@
         let Some(store) = &mut self.store else {
             return;
         };
-        match store.begin(&state, genesis) {
+        match store.initialize(&state, genesis) {
             Ok(()) => {
                 let id = store.identity().id.clone();
                 log::info!(target: part::KEEPER, "Started the local replica as {id}.");
@@ -284,8 +284,8 @@
         let id = self.store.as_ref()?.identity().id.clone();
         let replica = self.replica.as_ref();
         let is_active_voter = replica.is_some_and(|replica| {
-            let hears_leader = replica.is_leader() || replica.hears_leader(now_ms());
-            hears_leader && replica.configuration().voters.contains(&id)
+            let has_leader_contact = replica.is_leader() || replica.has_leader_contact(now_ms());
+            has_leader_contact && replica.configuration().voters.contains(&id)
         });
         let members = replica.map_or_else(Vec::new, |replica| {
             replica.configuration().members().map(|id| HostId::new(id.host.clone())).collect()
@@ -371,7 +371,7 @@
             voters: configuration.voters.iter().map(ToString::to_string).collect(),
             learners: configuration.learners.iter().map(ToString::to_string).collect(),
             members_committed: replica.is_configuration_committed(),
-            counts: self.machine.counts(),
+            counts: self.machine.stats(),
             in_force: self.in_force.clone(),
         })
     }
--- a/clayplankd/src/owners/commands.rs
+++ b/clayplankd/src/owners/commands.rs
@@ -5,7 +5,7 @@
 
 use clayplank_schedule::Grant;
 use clayplank_settings::{FenceCheck, HostSettings};
-use clayplank_state::{Body, Reply};
+use clayplank_state::{CommandBody, Reply};
 use clayplank_types::{HostId, Refusal, RefusalReason, UpstreamId};
 use clayplank_upstream::{EngineEdge, Order};
 
@@ -91,7 +91,7 @@
 /// Acquires a fencing token. Where the engine does not check tokens, waits until the lease of
 /// another host has expired.
 async fn acquire_token(plan: &AdapterLoadPlan, target: &CommandTarget) -> Result<u64, Refusal> {
-    let body = Body::Fence {
+    let body = CommandBody::Fence {
         upstream: target.engine.clone(),
         host: plan.host.clone(),
         lease_ms: COMMAND_LEASE_MS,
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -245,8 +245,8 @@
     let (store, state) =
         Store::open(dir, settings.host.as_str(), incarnation.0).map_err(StartError::Store)?;
     let options = Options {
-        election_ms: settings.timing.election_ms,
-        heartbeat_ms: settings.timing.heartbeat_ms,
+        election_timeout_ms: settings.timing.election_ms,
+        heartbeat_interval_ms: settings.timing.heartbeat_ms,
         ..Options::default()
     };
     let (outbox, outbox_receiver) = mpsc::unbounded_channel();
--- a/clayplankd/src/process/inner.rs
+++ b/clayplankd/src/process/inner.rs
@@ -9,7 +9,7 @@
 use clayplank_placement::{Event, PlacementId, PlacementRequest, RunningPlacement};
 use clayplank_registry::{AgedLimit, Heartbeat};
 use clayplank_schedule::{GrantHolder, GrantId, HeldGrant, Usage};
-use clayplank_state::{Body, decode, encode};
+use clayplank_state::{CommandBody, decode, encode};
 use clayplank_types::{AttemptId, HostId, Incarnation, PoolId, Priority, RequestId, UpstreamId};
 use clayplank_wire::inner_server::Inner;
 use clayplank_wire::{
@@ -165,7 +165,7 @@
     }
 
     async fn execute(&self, request: Request<ExecuteRequest>) -> RpcResult<ExecuteReply> {
-        let body: Body = decode(&request.into_inner().command).map_err(malformed)?;
+        let body: CommandBody = decode(&request.into_inner().command).map_err(malformed)?;
         let executed = self
             .keeper()?
             .send(Execute(body))
--- a/clayplankd/src/process/seeded_keeper.rs
+++ b/clayplankd/src/process/seeded_keeper.rs
@@ -124,7 +124,8 @@
             let open = move || {
                 let (store, state) = Store::open(&dir, local_host.as_str(), rand::random())?;
                 let is_candidate = state.is_none() && is_bootstrap_host;
-                let may_begin = is_candidate && recall_first_start(&store.notes(), is_first_start)?;
+                let may_begin =
+                    is_candidate && recall_first_start(&store.side_files(), is_first_start)?;
                 Ok(OpenedStore { store, state, may_begin })
             };
             let opened: Result<_, StoreError> =
@@ -151,7 +152,7 @@
         let control = bind(listen.control.ok_or(StartError::NoListen("control"))?).await?;
         let inner = bind(listen.inner).await?;
         let sizing = Sizing::of_plans(self.settings.tolerated_losses);
-        let notes = store.notes();
+        let notes = store.side_files();
         recall_upstreams(&fleet, &notes);
         tokio::spawn(run_upstream_memory(Arc::clone(&fleet), notes));
         let (outbox, outbox_receiver) = mpsc::unbounded_channel();
@@ -208,10 +209,10 @@
 
 fn agreement_options(tolerated_losses: usize) -> Options {
     Options {
-        election_ms: ELECTION_TIMEOUT_MS,
-        heartbeat_ms: LEADER_HEARTBEAT_INTERVAL_MS,
-        keep_entries: MAX_RETAINED_ENTRIES,
-        replace_silent_ms: Some(REPLACE_UNRESPONSIVE_MS),
+        election_timeout_ms: ELECTION_TIMEOUT_MS,
+        heartbeat_interval_ms: LEADER_HEARTBEAT_INTERVAL_MS,
+        retained_entries: MAX_RETAINED_ENTRIES,
+        replace_unresponsive_ms: Some(REPLACE_UNRESPONSIVE_MS),
         tolerated_losses,
         ..Options::default()
     }
--- a/clayplankd/src/process/suspension.rs
+++ b/clayplankd/src/process/suspension.rs
@@ -21,7 +21,7 @@
         let now = *suspensions.borrow_and_update();
         if now.count > reported.count {
             log::warn!(target: part::DAEMON,
-                span_ms = now.span.saturating_sub(reported.span).as_millis() as u64,
+                span_ms = now.total.saturating_sub(reported.total).as_millis() as u64,
                 times = now.count - reported.count;
                 "The machine was suspended");
         }
@@ -31,7 +31,7 @@
 
 /// Number and total length of suspensions, in the Prometheus text format.
 pub(crate) fn suspension_metrics() -> String {
-    let Suspensions { count, span } = *subscribe().borrow();
-    let span_ms = span.as_millis();
+    let Suspensions { count, total } = *subscribe().borrow();
+    let span_ms = total.as_millis();
     format!("clayplank_suspensions_total {count}\nclayplank_suspended_ms_total {span_ms}\n")
 }
