--- a/clayplankd/src/doors/claims.rs
+++ b/clayplankd/src/doors/claims.rs
@@ -53,7 +53,7 @@
         deadline_in_ms: remaining.as_millis() as u64,
         keep_ms: host.settings.timing.claim_keep_ms,
     });
-    let timeout = remaining.min(KeeperClient::usual_patience(host.settings.timing.election_ms));
+    let timeout = remaining.min(KeeperClient::default_timeout(host.settings.timing.election_ms));
     match host.keepers.execute(&body, timeout).await {
         Ok(Reply::Claimed) if Instant::now() < deadline => Ok(Claimed::Run(held_claim)),
         Ok(Reply::Repeated(answer)) => Ok(Claimed::Repeated(answer)),
@@ -77,7 +77,7 @@
 pub(crate) async fn settle(host: &Host, held_claim: HeldClaim, answer: Option<StoredAnswer>) {
     let body =
         CommandBody::Settle { key: held_claim.key, attempt_id: held_claim.attempt_id, answer };
-    let timeout = KeeperClient::usual_patience(host.settings.timing.election_ms);
+    let timeout = KeeperClient::default_timeout(host.settings.timing.election_ms);
     if host.keepers.execute(&body, timeout).await.is_err() {
         // The caller still gets its answer; repeats wait until the claim is settled.
         execute_in_background(host, body);
--- a/clayplankd/src/doors/control_endpoint.rs
+++ b/clayplankd/src/doors/control_endpoint.rs
@@ -24,7 +24,7 @@
 use crate::fleet::spread::Spread;
 use crate::keepers::keeper::Keeper;
 use crate::keepers::keeper_client::KeeperClient;
-use crate::keepers::keeper_messages::WhoLeads;
+use crate::keepers::keeper_messages::GetLeader;
 use crate::process::logging::part;
 
 /// Size limit of a body, such as a plan, in bytes; the platform's plans stay below four megabytes.
@@ -189,9 +189,9 @@
     /// The leading keeper, as far as this host knows.
     async fn leader(&self) -> Option<HostId> {
         let RegistryAccess::Local { keeper, .. } = &self.registry else {
-            return self.keepers.leader_heard_within(MAX_LEADER_CONTACT_AGE_MS);
+            return self.keepers.recent_leader(MAX_LEADER_CONTACT_AGE_MS);
         };
-        match clayplank_clock::timeout(LOCAL_KEEPER_TIMEOUT, keeper.send(WhoLeads)).await {
+        match clayplank_clock::timeout(LOCAL_KEEPER_TIMEOUT, keeper.send(GetLeader)).await {
             Ok(leader) => leader.ok().flatten(),
             Err(_) => self.keepers.leader().filter(|leader| *leader != self.local_host),
         }
--- a/clayplankd/src/doors/operators.rs
+++ b/clayplankd/src/doors/operators.rs
@@ -151,7 +151,7 @@
 
     async fn execute(&self, change: SettingChange) -> Result<Response<Body>, Problem> {
         let (operator, key) = (change.operator.clone(), change.key.clone());
-        let timeout = KeeperClient::usual_patience(self.host.settings.timing.election_ms);
+        let timeout = KeeperClient::default_timeout(self.host.settings.timing.election_ms);
         let reply = self.host.keepers.execute(&CommandBody::Change(change), timeout).await;
         match reply {
             Ok(Reply::Changed { version }) => {
@@ -213,7 +213,7 @@
     }
 
     async fn keepers(&self) -> Result<Response<Body>, Problem> {
-        let timeout = KeeperClient::usual_patience(self.host.settings.timing.election_ms);
+        let timeout = KeeperClient::default_timeout(self.host.settings.timing.election_ms);
         let json = self.host.keepers.inspect(timeout).await;
         let value: Value = json
             .ok()
@@ -223,7 +223,7 @@
     }
 
     async fn status(&self) -> Result<Response<Body>, Problem> {
-        let timeout = KeeperClient::usual_patience(self.host.settings.timing.election_ms);
+        let timeout = KeeperClient::default_timeout(self.host.settings.timing.election_ms);
         let keepers = self.host.keepers.inspect(timeout).await.ok();
         let keepers: Option<Value> = keepers.and_then(|json| serde_json::from_str(&json).ok());
         let status = json!({
--- a/clayplankd/src/fleet/fleet_keeper.rs
+++ b/clayplankd/src/fleet/fleet_keeper.rs
@@ -26,10 +26,10 @@
 use crate::fleet::fleet_engines::{set_cordoned, set_engines, update_engines};
 use crate::fleet::host_counts::HostCounts;
 use crate::fleet::mirror::{PlacementMirror, PlacementUpdates};
-use crate::follow::news_pages::NewsPages;
+use crate::follow::leader_confirmation::RenewalsByIncarnation;
+use crate::follow::packed_changes::PackedChanges;
 use crate::follow::plan_edits::PlanEdits;
-use crate::follow::relay::Renewals;
-use crate::keepers::keeper::Applied;
+use crate::keepers::keeper::AppliedState;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::{fleet_now_ms, millis, now_ms};
 use crate::process::lock::lock;
@@ -84,7 +84,7 @@
     registry: Mutex<Registry>,
     /// Whether the registry has changes that followers were not notified of.
     has_unsent_updates: AtomicBool,
-    update_pages: Mutex<NewsPages>,
+    update_pages: Mutex<PackedChanges>,
     limits: Mutex<Limits>,
     /// Send permits for rate-limited upstreams of plain services, which the fleet does not place
     /// on.
@@ -238,7 +238,7 @@
         if current == Some(document.version) {
             return;
         }
-        lock(&self.edits).note(document);
+        lock(&self.edits).record_plan(document);
         match self.contract.parse_plan(&document.text) {
             Ok(plan) => {
                 self.plan.store(Some(Arc::new(PlanIndex::new(plan))));
@@ -453,7 +453,7 @@
         let newest = registry.cursor();
         if cursor.life == 0 || cursor.life == newest.life {
             let read = || registry.changes_after(cursor);
-            let changes = lock(&self.update_pages).packed(newest, cursor, read)?;
+            let changes = lock(&self.update_pages).get_or_pack(newest, cursor, read)?;
             return Ok(News { changes, ..News::default() });
         }
         let Some(digest) = digest else {
@@ -477,7 +477,7 @@
     }
 
     /// Replaces the placements of each entry host incarnation in `renewals` by those it still runs.
-    pub(crate) fn renew_all(&self, renewals: &Renewals) {
+    pub(crate) fn renew_all(&self, renewals: &RenewalsByIncarnation) {
         let mut fleet = lock(&self.fleet);
         for (incarnation, renewed) in renewals {
             fleet.sync_host(fleet_now_ms(), *incarnation, renewed);
@@ -506,8 +506,8 @@
             return Vec::new();
         };
         let mut edits = lock(&self.edits);
-        edits.note(document);
-        let edit = edits.edit(plan_version, document);
+        edits.record_plan(document);
+        let edit = edits.packed_edit(plan_version, document);
         if edit.is_some() {
             delta.plan = None;
         }
@@ -582,7 +582,7 @@
 }
 
 /// Expires records at a fixed interval, and applies the plan and cordons in force.
-pub(crate) async fn run_fleet(fleet: Arc<FleetKeeper>, mut applied: watch::Receiver<Applied>) {
+pub(crate) async fn run_fleet(fleet: Arc<FleetKeeper>, mut applied: watch::Receiver<AppliedState>) {
     let unresponsive_after_ms = MAX_MISSED_HEARTBEATS * fleet.heartbeat_ms + MAX_HEARTBEAT_DELAY_MS;
     loop {
         let now = applied.borrow_and_update().clone();
--- a/clayplankd/src/fleet/fleet_link.rs
+++ b/clayplankd/src/fleet/fleet_link.rs
@@ -93,7 +93,7 @@
         {
             return Some(placed);
         }
-        self.keepers.doubt_leader();
+        self.keepers.suspect_leader();
         let deputy = self.keepers.deputy()?;
         self.place_at(&deputy, &self.deputy_unresponsive_until_ms, ask).await
     }
@@ -311,7 +311,7 @@
 
 /// Ends the backoff of both keepers as soon as another leader is found.
 pub(crate) async fn run_return_to_leader(link: Arc<FleetLink>) {
-    let mut leader_changes = link.keepers.subscribe();
+    let mut leader_changes = link.keepers.subscribe_leader();
     while leader_changes.changed().await.is_ok() {
         link.leader_unresponsive_until_ms.store(0, Ordering::SeqCst);
         link.deputy_unresponsive_until_ms.store(0, Ordering::SeqCst);
--- a/clayplankd/src/fleet/mirror.rs
+++ b/clayplankd/src/fleet/mirror.rs
@@ -16,7 +16,7 @@
 
 use crate::fleet::fleet_keeper::FleetKeeper;
 use crate::keepers::keeper::Keeper;
-use crate::keepers::keeper_messages::{Placing, WhoPlaces};
+use crate::keepers::keeper_messages::{GetPlacementKeepers, PlacementKeepers};
 use crate::process::clock::now_ms;
 use crate::process::lock::lock;
 use crate::process::logging::part;
@@ -182,10 +182,10 @@
     let mut informed_deputy = None;
     loop {
         clayplank_clock::sleep(BATCH_INTERVAL).await;
-        let Ok(placing) = keeper.send(WhoPlaces).await else {
+        let Ok(placing) = keeper.send(GetPlacementKeepers).await else {
             return;
         };
-        let Some(Placing { leader, deputy }) = placing else {
+        let Some(PlacementKeepers { leader, deputy }) = placing else {
             continue;
         };
         let (to, updates) = if leader == local_host {
--- a/clayplankd/src/fleet/spread.rs
+++ b/clayplankd/src/fleet/spread.rs
@@ -64,7 +64,7 @@
     }
 
     fn peer_keepers(&self) -> Vec<HostId> {
-        let mut hosts = self.keepers.hosts();
+        let mut hosts = self.keepers.keepers();
         hosts.retain(|host| *host != self.local_host);
         hosts
     }
--- a/clayplankd/src/follow.rs
+++ b/clayplankd/src/follow.rs
@@ -1,10 +1,10 @@
 //! Distribution of plans, settings and upstream updates from the keepers to the entry hosts.
 
+pub(crate) mod current_settings;
 pub(crate) mod exchange;
-pub(crate) mod fleet_followers;
-pub(crate) mod follow_log;
-pub(crate) mod following;
-pub(crate) mod news_pages;
+pub(crate) mod follow_metrics;
+pub(crate) mod follow_responder;
+pub(crate) mod follow_task;
+pub(crate) mod leader_confirmation;
+pub(crate) mod packed_changes;
 pub(crate) mod plan_edits;
-pub(crate) mod relay;
-pub(crate) mod settings_watch;
--- a/clayplankd/src/follow/settings_watch.rs
+++ b/clayplankd/src/follow/current_settings.rs
@@ -7,7 +7,7 @@
 use clayplank_state::SettingsView;
 use clayplank_types::HostId;
 
-use crate::keepers::keeper_messages::WATCH_WAIT_MS;
+use crate::keepers::keeper_messages::WATCH_HOLD_MS;
 use crate::process::clock::{millis, now_ms};
 use crate::process::host::Host;
 use crate::process::logging::part;
@@ -46,7 +46,7 @@
 /// requested, not from its arrival: the answer may have been delayed on its way.
 pub(crate) async fn run_settings_watch(host: Arc<Host>, local_host: HostId) {
     let current = &host.current;
-    let timeout = millis(WATCH_WAIT_MS + current.lease_ms);
+    let timeout = millis(WATCH_HOLD_MS + current.lease_ms);
     loop {
         let applied = current.view();
         let result = host.keepers.watch(&local_host, applied.revision(), timeout).await;
--- a/clayplankd/src/follow/exchange.rs
+++ b/clayplankd/src/follow/exchange.rs
@@ -6,8 +6,8 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
-use crate::follow::follow_log::ExchangeOutcome;
-use crate::follow::following::{Following, Position};
+use crate::follow::follow_metrics::ExchangeOutcome;
+use crate::follow::follow_task::{FollowTask, Position};
 use crate::process::clock::{millis, now_ms};
 
 /// Maximum number of hedged requests in one exchange. More would overload keepers that are slow because
@@ -42,7 +42,7 @@
 /// The keepers to which requests were sent, and the times in ms.
 type SentRequests = Vec<(HostId, u64)>;
 
-impl Following {
+impl FollowTask {
     /// Sends requests to one keeper after the other until one answers with confirmed state, or all have
     /// failed. The next request starts when one fails, or as a hedge when none has answered in time. After
     /// [`MAX_HEDGES`] hedges, only the running requests are awaited.
--- a/clayplankd/src/follow/follow_log.rs
+++ b/clayplankd/src/follow/follow_metrics.rs
@@ -45,7 +45,7 @@
 
 /// Metrics of a host that follows the keepers.
 #[derive(Debug, Default)]
-pub(crate) struct FollowFigures {
+pub(crate) struct FollowMetrics {
     exchanges: [AtomicU64; ExchangeOutcome::ALL.len()],
     keepers: AtomicU64,
     plan_version: AtomicU64,
@@ -53,7 +53,7 @@
     max_silence_ms: AtomicU64,
 }
 
-impl FollowFigures {
+impl FollowMetrics {
     /// Counts an outcome.
     pub(crate) fn count(&self, outcome: ExchangeOutcome) {
         self.exchanges[outcome as usize].fetch_add(1, Ordering::SeqCst);
@@ -95,7 +95,7 @@
 /// Writes the log lines of a host that follows the keepers.
 #[derive(Debug)]
 pub(crate) struct FollowLog {
-    figures: Arc<FollowFigures>,
+    metrics: Arc<FollowMetrics>,
     /// Send time of the request whose answer last confirmed the plan, in ms.
     confirmed_ms: u64,
     leader: Option<HostId>,
@@ -108,8 +108,8 @@
 }
 
 impl FollowLog {
-    pub(crate) fn new(figures: Arc<FollowFigures>) -> Self {
-        Self { figures, confirmed_ms: now_ms(), leader: None, failed: 0, logged: 0, logged_ms: 0 }
+    pub(crate) fn new(metrics: Arc<FollowMetrics>) -> Self {
+        Self { metrics, confirmed_ms: now_ms(), leader: None, failed: 0, logged: 0, logged_ms: 0 }
     }
 
     /// Records a request that brought no confirmation.
@@ -120,7 +120,7 @@
         requested_ms: u64,
         cause: &str,
     ) {
-        self.figures.count(outcome);
+        self.metrics.count(outcome);
         self.failed += 1;
         let now_ms = now_ms();
         if self.failed > MAX_FAILURE_LINES && now_ms < self.logged_ms + SUMMARY_INTERVAL_MS {
@@ -144,9 +144,9 @@
         leader: &HostId,
         requested_ms: u64,
     ) {
-        self.figures.count(ExchangeOutcome::Confirmed);
+        self.metrics.count(ExchangeOutcome::Confirmed);
         let unconfirmed_ms = requested_ms.saturating_sub(self.confirmed_ms);
-        self.figures.record_confirmed(plan_version, unconfirmed_ms);
+        self.metrics.record_confirmed(plan_version, unconfirmed_ms);
         let former = self.leader.replace(leader.clone());
         let is_other_leader = former.as_ref().is_some_and(|former| former != leader);
         if is_other_leader || (former.is_some() && unconfirmed_ms >= MIN_LOGGED_SILENCE_MS) {
--- a/clayplankd/src/follow/fleet_followers.rs
+++ b/clayplankd/src/follow/follow_responder.rs
@@ -9,14 +9,14 @@
 use xtra::Address;
 
 use crate::fleet::fleet_keeper::{FleetKeeper, News};
-use crate::follow::relay::{Relay, Renewals};
+use crate::follow::leader_confirmation::{Relay, RenewalsByIncarnation};
 use crate::keepers::keeper::Keeper;
-use crate::keepers::keeper_messages::{GetDelta, Watch, Watched};
+use crate::keepers::keeper_messages::{GetDelta, Watch, WatchOutcome};
 use crate::process::inner::malformed;
 
 /// The parts of a keeper that answer its followers.
 #[derive(Clone, Copy)]
-pub(crate) struct Followers<'a> {
+pub(crate) struct FollowResponder<'a> {
     pub(crate) fleet: &'a FleetKeeper,
     pub(crate) keeper: &'a Address<Keeper>,
     pub(crate) relay: &'a Relay,
@@ -36,9 +36,9 @@
     is_hedge: bool,
 }
 
-impl Followers<'_> {
+impl FollowResponder<'_> {
     /// Answers a follow request.
-    pub(crate) async fn answer(
+    pub(crate) async fn answer_follow(
         self,
         request: FollowRequest,
     ) -> Result<follow_reply::Result, Status> {
@@ -83,13 +83,13 @@
         request: &DecodedRequest,
         keeper_part: &KeeperFollow,
     ) -> Result<follow_reply::Result, Status> {
-        let renewals: Renewals = decode(&keeper_part.renewals).map_err(malformed)?;
+        let renewals: RenewalsByIncarnation = decode(&keeper_part.renewals).map_err(malformed)?;
         let watch =
             Watch { host: request.host.clone(), applied_revision: request.revision, wait_ms: 0 };
         let answer = self.keeper.send(watch).await.map_err(|_| stopping_status())?;
         let delta = match answer.await.map_err(|_| stopping_status())? {
-            Watched::Delta(delta) => delta,
-            Watched::NotLeader(hint) => {
+            WatchOutcome::Delta(delta) => delta,
+            WatchOutcome::NotLeader(hint) => {
                 let hint = hint.map_or_else(String::new, |host| host.to_string());
                 return Ok(follow_reply::Result::NotLeaderHint(hint));
             }
@@ -122,7 +122,7 @@
             entry_hosts: fleet.count_entry_hosts(),
             asks_digest: updates.asks_digest,
             asks_known: updates.asks_known.0,
-            keepers: fleet.keepers().hosts().iter().map(ToString::to_string).collect(),
+            keepers: fleet.keepers().keepers().iter().map(ToString::to_string).collect(),
             deputy: fleet.keepers().deputy().map_or_else(String::new, |host| host.to_string()),
             leader: leader.to_string(),
             limits: encode_limits(fleet, request.limits_cursor)?,
--- a/clayplankd/src/follow/following.rs
+++ b/clayplankd/src/follow/follow_task.rs
@@ -20,7 +20,7 @@
 use crate::doors::contract::SharedContract;
 use crate::fleet::fleet_link::FleetLink;
 use crate::follow::exchange::Failure;
-use crate::follow::follow_log::{ExchangeOutcome, FollowFigures, FollowLog};
+use crate::follow::follow_metrics::{ExchangeOutcome, FollowLog, FollowMetrics};
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::{millis, now_ms};
 use crate::process::logging::part;
@@ -33,7 +33,7 @@
 const MAX_PAUSE_DOUBLINGS: u32 = 3;
 
 /// The parts of an entry host that the updates of the keepers change.
-pub(crate) struct Following {
+pub(crate) struct FollowTask {
     pub(crate) host: HostId,
     pub(crate) contract: SharedContract,
     pub(crate) keepers: KeeperClient,
@@ -41,7 +41,7 @@
     pub(crate) gate: Arc<Gate>,
     pub(crate) directory: Arc<Directory>,
     pub(crate) entry: Arc<Entry>,
-    pub(crate) figures: Arc<FollowFigures>,
+    pub(crate) metrics: Arc<FollowMetrics>,
     /// Time, in ms, within which a change must be in force on this host.
     pub(crate) apply_ms: Arc<AtomicU64>,
 }
@@ -66,17 +66,17 @@
 }
 
 /// Follows the keepers until the task is dropped.
-pub(crate) async fn run_following(following: Following) {
+pub(crate) async fn run_following(following: FollowTask) {
     let mut position = Position::default();
     let mut choice = KeeperRanking::new(following.host.clone());
-    let mut log = FollowLog::new(Arc::clone(&following.figures));
-    let mut leader_changes = following.keepers.subscribe();
+    let mut log = FollowLog::new(Arc::clone(&following.metrics));
+    let mut leader_changes = following.keepers.subscribe_leader();
     let mut probes = JoinSet::new();
     let mut failed_exchanges = 0;
     loop {
         record_probes(&mut probes, &mut choice);
-        let keepers = following.keepers.hosts();
-        following.figures.set_keepers(keepers.len());
+        let keepers = following.keepers.keepers();
+        following.metrics.set_keepers(keepers.len());
         following.start_probes(&mut probes, choice.take_retries(now_ms(), &keepers));
         let outcome = following.exchange(&choice.ranked(&keepers), &position).await;
         for failure in &outcome.failures {
@@ -89,7 +89,7 @@
             following.apply_answer(&mut position, &mut log, &answer.followed, answer.requested_ms);
             continue;
         }
-        following.keepers.doubt_leader();
+        following.keepers.suspect_leader();
         let pause_ms = RETRY_PAUSE_MS << failed_exchanges.min(MAX_PAUSE_DOUBLINGS);
         failed_exchanges += 1;
         wait_for_leader(pause_ms, &mut leader_changes, &mut choice).await;
@@ -129,7 +129,7 @@
     }
 }
 
-impl Following {
+impl FollowTask {
     /// Time-outs of requests to keepers, derived from the time within which a change must be in force.
     pub(crate) fn times(&self) -> FollowTimeouts {
         FollowTimeouts::for_bound(self.apply_ms.load(Ordering::SeqCst))
@@ -169,7 +169,7 @@
     /// Starts a search for the next leader if an unresponsive keeper is the last known leader.
     fn suspect_if_leader(&self, keeper: &HostId) {
         if self.keepers.leader().as_ref() == Some(keeper) {
-            self.keepers.doubt_leader();
+            self.keepers.suspect_leader();
         }
     }
 
--- a/clayplankd/src/follow/relay.rs
+++ b/clayplankd/src/follow/leader_confirmation.rs
@@ -21,8 +21,8 @@
 use xtra::Address;
 
 use crate::fleet::fleet_keeper::FleetKeeper;
-use crate::keepers::keeper::{Applied, Keeper};
-use crate::keepers::keeper_messages::{Watch, Watched};
+use crate::keepers::keeper::{AppliedState, Keeper};
+use crate::keepers::keeper_messages::{Watch, WatchOutcome};
 use crate::process::clock::{millis, now_ms};
 use crate::process::lock::lock;
 use crate::process::logging::part;
@@ -44,7 +44,7 @@
 const UNCONFIRMED_LOG_INTERVAL_MS: u64 = 1_000;
 
 /// RunningPlacement placements, by the incarnation of the host that runs them.
-pub(crate) type Renewals = HashMap<u64, Vec<RunningPlacement>>;
+pub(crate) type RenewalsByIncarnation = HashMap<u64, Vec<RunningPlacement>>;
 
 /// Number of a round of requests to the leader. Timestamps are too coarse: a follower's request and the
 /// round that answers it may fall into the same millisecond.
@@ -96,7 +96,7 @@
     keeper: Address<Keeper>,
     fleet: Arc<FleetKeeper>,
     peers: Peers,
-    applied: watch::Receiver<Applied>,
+    applied: watch::Receiver<AppliedState>,
     times: FollowTimeouts,
     /// Notified when a follower waits for a round.
     round_requested: Notify,
@@ -129,7 +129,7 @@
 /// RunningPlacement placements that hosts reported since the last round.
 #[derive(Debug, Default)]
 struct PendingRenewals {
-    by_incarnation: Renewals,
+    by_incarnation: RenewalsByIncarnation,
     /// Incarnations with placements in their last report: the leader must be told when they have none
     /// any more.
     busy: HashSet<u64>,
@@ -141,7 +141,7 @@
         keeper: Address<Keeper>,
         fleet: Arc<FleetKeeper>,
         peers: Peers,
-        applied: watch::Receiver<Applied>,
+        applied: watch::Receiver<AppliedState>,
         times: FollowTimeouts,
     ) -> Self {
         Self {
@@ -257,8 +257,8 @@
         let watch = Watch { host: self.local_host.clone(), applied_revision, wait_ms: 0 };
         let answer = self.keeper.send(watch).await.map_err(|_| RoundError::Stopping)?;
         match clayplank_clock::timeout(ROUND_TIMEOUT, answer).await {
-            Ok(Ok(Watched::Delta(_))) => Ok(()),
-            Ok(Ok(Watched::NotLeader(_))) | Err(_) => Err(RoundError::NoLeader),
+            Ok(Ok(WatchOutcome::Delta(_))) => Ok(()),
+            Ok(Ok(WatchOutcome::NotLeader(_))) | Err(_) => Err(RoundError::NoLeader),
             Ok(Err(_)) => Err(RoundError::Stopping),
         }
     }
@@ -335,7 +335,7 @@
         Ok(())
     }
 
-    fn take_renewals(&self) -> Renewals {
+    fn take_renewals(&self) -> RenewalsByIncarnation {
         std::mem::take(&mut lock(&self.renewals).by_incarnation)
     }
 }
--- a/clayplankd/src/follow/news_pages.rs
+++ b/clayplankd/src/follow/packed_changes.rs
@@ -8,19 +8,19 @@
 /// Packed updates by the cursor that they follow, for one state of a registry. Hosts that start at the
 /// same time request the same pages.
 #[derive(Debug, Default)]
-pub(crate) struct NewsPages {
+pub(crate) struct PackedChanges {
     /// Cursor of the registry state to which the cached pages belong.
     newest: Cursor,
     pages: HashMap<Cursor, Vec<u8>>,
 }
 
-impl NewsPages {
+impl PackedChanges {
     /// The packed updates after a cursor, for a registry whose newest cursor is `newest`. `read` reads
     /// them if they are not cached.
     ///
     /// # Errors
     /// The updates cannot be packed.
-    pub(crate) fn packed(
+    pub(crate) fn get_or_pack(
         &mut self,
         newest: Cursor,
         after: Cursor,
--- a/clayplankd/src/follow/plan_edits.rs
+++ b/clayplankd/src/follow/plan_edits.rs
@@ -20,7 +20,7 @@
 
 impl PlanEdits {
     /// Stores a plan if it is newer than the newest known one.
-    pub(crate) fn note(&mut self, document: &PlanDocument) {
+    pub(crate) fn record_plan(&mut self, document: &PlanDocument) {
         if self.newest.as_ref().is_some_and(|newest| newest.version >= document.version) {
             return;
         }
@@ -33,7 +33,7 @@
 
     /// The packed edit from a version to this plan, or the complete plan if that version is no longer
     /// kept. `None` if this plan is not the newest, or the edit cannot be packed.
-    pub(crate) fn edit(&mut self, from: u64, document: &PlanDocument) -> Option<Vec<u8>> {
+    pub(crate) fn packed_edit(&mut self, from: u64, document: &PlanDocument) -> Option<Vec<u8>> {
         let newest = self.newest.as_ref().filter(|newest| newest.version == document.version)?;
         let base = self.former.iter().find(|former| former.version == from);
         let from = base.map_or(0, |base| base.version);
--- a/clayplankd/src/keepers/first_start.rs
+++ b/clayplankd/src/keepers/first_start.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// The disk is full, or the saved note is corrupt.
-pub(crate) fn recall_first_start(
+pub(crate) fn load_or_save_first_start(
     notes: &SideFiles,
     is_first_start: bool,
 ) -> Result<bool, StoreError> {
--- a/clayplankd/src/keepers/full_disk.rs
+++ b/clayplankd/src/keepers/full_disk.rs
@@ -13,12 +13,12 @@
 
 /// State of a write that is retried while the disk is full.
 #[derive(Debug, Default)]
-pub(crate) struct FullDisk {
+pub(crate) struct FullDiskRetry {
     /// Time of the first attempt that found the disk full, in ms; `None` while the disk has space.
     since_ms: Option<u64>,
 }
 
-impl FullDisk {
+impl FullDiskRetry {
     /// Waits before the next write attempt.
     pub(crate) async fn wait(&mut self, error: &StoreError) {
         if self.since_ms.is_none() {
@@ -29,7 +29,7 @@
     }
 
     /// Records that a write succeeded.
-    pub(crate) fn note_room(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         if let Some(since_ms) = self.since_ms.take() {
             log::info!(target: part::KEEPER, waited_ms = now_ms() - since_ms;
                 "The disk has room again");
--- a/clayplankd/src/keepers/keeper.rs
+++ b/clayplankd/src/keepers/keeper.rs
@@ -13,9 +13,9 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use xtra::Context;
 
-use crate::keepers::full_disk::FullDisk;
+use crate::keepers::full_disk::FullDiskRetry;
 use crate::keepers::keeper_log::KeeperLog;
-use crate::keepers::keeper_messages::{Executed, Watched};
+use crate::keepers::keeper_messages::{CommandOutcome, WatchOutcome};
 use crate::process::clock::now_ms;
 use crate::process::logging::part;
 
@@ -41,25 +41,25 @@
     pub(crate) host: HostId,
     pub(crate) applied_revision: u64,
     pub(crate) deadline_ms: u64,
-    pub(crate) reply: oneshot::Sender<Watched>,
+    pub(crate) reply: oneshot::Sender<WatchOutcome>,
 }
 
 /// A proposed command that is not applied yet.
 pub(crate) struct PendingCommand {
     pub(crate) term: u64,
-    pub(crate) reply: oneshot::Sender<Executed>,
+    pub(crate) reply: oneshot::Sender<CommandOutcome>,
 }
 
 /// A command that is applied, but not yet synced to as many disks as its acknowledgement guarantees.
 struct UnderReplicated {
     index: u64,
     reply: Reply,
-    to: oneshot::Sender<Executed>,
+    to: oneshot::Sender<CommandOutcome>,
 }
 
 /// State applied by this replica, and the leader that it knows.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Applied {
+pub(crate) struct AppliedState {
     /// Revision of the applied state.
     pub(crate) revision: u64,
     /// The leader, as far as this replica knows.
@@ -92,7 +92,7 @@
     applied_index: u64,
     /// Commands proposed here, by log index.
     pub(crate) commands: BTreeMap<u64, PendingCommand>,
-    /// Applied commands that wait for more synced copies, the oldest first.
+    /// AppliedState commands that wait for more synced copies, the oldest first.
     under_replicated: VecDeque<UnderReplicated>,
     pub(crate) watches: Vec<PendingWatch>,
     pub(crate) leader_queries: Vec<PendingLeaderQuery>,
@@ -104,8 +104,8 @@
     disk_failed: mpsc::Sender<StoreError>,
     /// Messages handled since the last write.
     batched_messages: usize,
-    sizing: Sizing,
-    applied: watch::Sender<Applied>,
+    sizing: KeeperOptions,
+    applied: watch::Sender<AppliedState>,
     /// Time at which this keeper became leader, in ms; `None` while it does not lead.
     led_since_ms: Option<u64>,
     log: KeeperLog,
@@ -113,7 +113,7 @@
 
 /// Settings of a keeper that are not part of the replicated log.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sizing {
+pub(crate) struct KeeperOptions {
     /// Size of the log file, in bytes, above which a snapshot replaces it.
     pub(crate) compact_bytes: u64,
     /// Number of voters that a plan requires, so that it survives the tolerated losses.
@@ -123,15 +123,15 @@
     required_copies: usize,
 }
 
-impl Default for Sizing {
+impl Default for KeeperOptions {
     fn default() -> Self {
         Self { compact_bytes: COMPACT_BYTES, required_voters: 0, required_copies: 0 }
     }
 }
 
-impl Sizing {
+impl KeeperOptions {
     /// Settings for a log of complete plans that survives the loss of `losses` disks.
-    pub(crate) fn of_plans(losses: usize) -> Self {
+    pub(crate) fn for_plans(losses: usize) -> Self {
         Self {
             compact_bytes: COMPACT_PLANS_BYTES,
             required_voters: 2 * losses + 1,
@@ -146,7 +146,7 @@
         store: Store,
         state: Option<StoredState>,
         options: Options,
-        sizing: Sizing,
+        sizing: KeeperOptions,
         outbox: mpsc::UnboundedSender<Envelope>,
         disk_failed: mpsc::Sender<StoreError>,
     ) -> Self {
@@ -168,7 +168,7 @@
             disk_failed,
             batched_messages: 0,
             sizing,
-            applied: watch::Sender::new(Applied::default()),
+            applied: watch::Sender::new(AppliedState::default()),
             led_since_ms: None,
             log: KeeperLog::default(),
         };
@@ -181,7 +181,7 @@
 
     /// Sets whether this keeper may create the log, or count towards the majority that a peer needs to
     /// create it.
-    pub(crate) fn with_may_begin(mut self, may_begin: bool) -> Self {
+    pub(crate) fn with_may_bootstrap(mut self, may_begin: bool) -> Self {
         self.may_begin = may_begin;
         self
     }
@@ -194,7 +194,7 @@
     }
 
     /// Subscribes to changes of the applied state and the known leader.
-    pub(crate) fn applied(&self) -> watch::Receiver<Applied> {
+    pub(crate) fn subscribe_applied(&self) -> watch::Receiver<AppliedState> {
         self.applied.subscribe()
     }
 
@@ -206,7 +206,7 @@
             let is_new = current.revision != revision || current.leader != leader;
             if is_new {
                 let (plan, cordoned) = (plan.cloned(), cordoned.clone());
-                *current = Applied { revision, leader, plan, cordoned };
+                *current = AppliedState { revision, leader, plan, cordoned };
             }
             is_new
         });
@@ -292,7 +292,7 @@
         if !ready.must_sync() {
             return Some(ready);
         }
-        let mut full = FullDisk::default();
+        let mut full = FullDiskRetry::default();
         loop {
             let mut store = self.store.take()?;
             let hard_state = self.replica.as_ref()?.hard_state().clone();
@@ -305,7 +305,7 @@
             ready = returned;
             match result {
                 Ok(()) => {
-                    full.note_room();
+                    full.record_success();
                     return Some(ready);
                 }
                 Err(error) if error.is_full() => full.wait(&error).await,
@@ -347,7 +347,7 @@
             }
             // An entry of another leader was committed at this index, so the local one is lost.
             Some(_) | None => {
-                pending.reply.send(Executed::NotLeader(self.leader_host())).ok();
+                pending.reply.send(CommandOutcome::NotLeader(self.leader_host())).ok();
             }
         }
     }
@@ -365,7 +365,7 @@
             && replica.synced_voters(oldest.index) >= required
             && let Some(UnderReplicated { reply, to, .. }) = self.under_replicated.pop_front()
         {
-            to.send(Executed::Reply(reply)).ok();
+            to.send(CommandOutcome::Reply(reply)).ok();
         }
     }
 
@@ -428,7 +428,7 @@
             for watch in self.reads.remove(read).into_iter().flatten() {
                 let delta = self.machine.delta_after(watch.applied_revision);
                 self.in_force.insert(watch.host, watch.applied_revision);
-                watch.reply.send(Watched::Delta(delta)).ok();
+                watch.reply.send(WatchOutcome::Delta(delta)).ok();
             }
         }
     }
@@ -438,15 +438,15 @@
             return;
         }
         for (_, pending) in std::mem::take(&mut self.commands) {
-            pending.reply.send(Executed::Unknown).ok();
+            pending.reply.send(CommandOutcome::Unknown).ok();
         }
         for UnderReplicated { to, .. } in std::mem::take(&mut self.under_replicated) {
-            to.send(Executed::Unknown).ok();
+            to.send(CommandOutcome::Unknown).ok();
         }
         let hint = self.leader_host();
         let reading = std::mem::take(&mut self.reads).into_values().flatten();
         for watch in std::mem::take(&mut self.watches).into_iter().chain(reading) {
-            watch.reply.send(Watched::NotLeader(hint.clone())).ok();
+            watch.reply.send(WatchOutcome::NotLeader(hint.clone())).ok();
         }
         self.in_force.clear();
     }
--- a/clayplankd/src/keepers/keeper_client.rs
+++ b/clayplankd/src/keepers/keeper_client.rs
@@ -14,7 +14,7 @@
 };
 use tokio::sync::{Notify, watch};
 
-use crate::keepers::keeper_messages::WATCH_WAIT_MS;
+use crate::keepers::keeper_messages::WATCH_HOLD_MS;
 use crate::process::clock::{millis, now_ms};
 use crate::process::lock::lock;
 use crate::process::logging::part;
@@ -89,7 +89,7 @@
     fn wait(self) -> Duration {
         match self {
             Self::Immediate => Duration::ZERO,
-            Self::AfterWatch => millis(WATCH_WAIT_MS),
+            Self::AfterWatch => millis(WATCH_HOLD_MS),
         }
     }
 }
@@ -134,20 +134,20 @@
     }
 
     /// Adds keepers that peers know. A peer's list may be outdated, so no keeper is removed.
-    pub(crate) fn learn(&self, keepers: impl IntoIterator<Item = HostId>) {
+    pub(crate) fn add_keepers(&self, keepers: impl IntoIterator<Item = HostId>) {
         if lock(&self.state).hosts.add_keepers(keepers) {
             self.hosts_learned.notify_one();
         }
     }
 
     /// Adds hosts that may know keepers.
-    pub(crate) fn learn_contacts(&self, hosts: impl IntoIterator<Item = HostId>) {
+    pub(crate) fn add_contacts(&self, hosts: impl IntoIterator<Item = HostId>) {
         let mut state = lock(&self.state);
         hosts.into_iter().for_each(|host| state.hosts.add_contact(host));
     }
 
     /// All known keepers.
-    pub(crate) fn hosts(&self) -> Vec<HostId> {
+    pub(crate) fn keepers(&self) -> Vec<HostId> {
         lock(&self.state).hosts.keepers().to_vec()
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// The last known leader, if it answered within the last `within_ms`.
-    pub(crate) fn leader_heard_within(&self, within_ms: u64) -> Option<HostId> {
+    pub(crate) fn recent_leader(&self, within_ms: u64) -> Option<HostId> {
         let state = lock(&self.state);
         let is_recent = now_ms() <= state.last_answer_ms + within_ms;
         state.hosts.leader().filter(|_| is_recent).cloned()
@@ -188,12 +188,12 @@
 
     /// Suspects the leader, as an answer of it is overdue:
     /// [`run_leader_search`](super::leader_search::run_leader_search) searches for the next one at once.
-    pub(crate) fn doubt_leader(&self) {
+    pub(crate) fn suspect_leader(&self) {
         self.leader_suspected.notify_one();
     }
 
     /// Subscribes to the found leader and its changes.
-    pub(crate) fn subscribe(&self) -> watch::Receiver<Option<HostId>> {
+    pub(crate) fn subscribe_leader(&self) -> watch::Receiver<Option<HostId>> {
         self.found_leader.subscribe()
     }
 
@@ -333,7 +333,7 @@
         R: Future<Output = Result<CallOutcome<T>, PeerError>>,
     {
         let deadline = Instant::now() + timeout;
-        let mut found = self.subscribe();
+        let mut found = self.subscribe_leader();
         let mut next = self.leader().or_else(|| self.keeper_after(None));
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
@@ -380,7 +380,7 @@
         found: &mut watch::Receiver<Option<HostId>>,
     ) {
         clayplank_clock::sleep(due.wait() + SUSPECT_AFTER).await;
-        self.doubt_leader();
+        self.suspect_leader();
         while found.changed().await.is_ok() {
             let is_other =
                 found.borrow_and_update().as_ref().is_some_and(|leader| leader != keeper);
@@ -403,7 +403,7 @@
             return None;
         }
         let host = HostId::new(hint);
-        self.learn([host.clone()]);
+        self.add_keepers([host.clone()]);
         Some(host)
     }
 
@@ -417,7 +417,7 @@
     }
 
     /// Default time-out of short requests: a change of leader is over within this time.
-    pub(crate) fn usual_patience(election_ms: u64) -> Duration {
+    pub(crate) fn default_timeout(election_ms: u64) -> Duration {
         millis(election_ms * 8)
     }
 }
--- a/clayplankd/src/keepers/keeper_messages.rs
+++ b/clayplankd/src/keepers/keeper_messages.rs
@@ -16,11 +16,11 @@
 use crate::process::logging::part;
 
 /// Time after which a watch without updates is answered with a confirmation, in ms.
-pub(crate) const WATCH_WAIT_MS: u64 = 1_000;
+pub(crate) const WATCH_HOLD_MS: u64 = 1_000;
 
 /// Outcome of a command.
 #[derive(Clone, Debug)]
-pub(crate) enum Executed {
+pub(crate) enum CommandOutcome {
     /// The command was applied and replicated.
     Reply(Reply),
     /// The command was not and will not be applied; holds the possible leader.
@@ -31,7 +31,7 @@
 
 /// Outcome of a watch.
 #[derive(Clone, Debug)]
-pub(crate) enum Watched {
+pub(crate) enum WatchOutcome {
     /// The changes after the watched revision; they include all that was committed when the watch was
     /// requested.
     Delta(Delta),
@@ -95,13 +95,13 @@
 pub(crate) struct Execute(pub(crate) CommandBody);
 
 impl Handler<Execute> for Keeper {
-    type Return = oneshot::Receiver<Executed>;
+    type Return = oneshot::Receiver<CommandOutcome>;
 
     async fn handle(&mut self, execute: Execute, context: &mut Context<Self>) -> Self::Return {
         let (reply, receiver) = oneshot::channel();
         let is_plan = matches!(execute.0, CommandBody::Publish(_));
         if is_plan && self.replica.as_ref().is_some_and(Replica::is_leader) && self.lacks_voters() {
-            reply.send(Executed::Unknown).ok();
+            reply.send(CommandOutcome::Unknown).ok();
             return receiver;
         }
         let command = Command { at_ms: wall_ms(), body: execute.0 };
@@ -114,7 +114,7 @@
                 self.commands.insert(id.index, PendingCommand { term: id.term, reply });
             }
             None => {
-                reply.send(Executed::NotLeader(self.leader_host())).ok();
+                reply.send(CommandOutcome::NotLeader(self.leader_host())).ok();
             }
         }
         self.flush(context).await;
@@ -131,7 +131,7 @@
 }
 
 impl Handler<Watch> for Keeper {
-    type Return = oneshot::Receiver<Watched>;
+    type Return = oneshot::Receiver<WatchOutcome>;
 
     async fn handle(&mut self, watch: Watch, context: &mut Context<Self>) -> Self::Return {
         let (reply, receiver) = oneshot::channel();
@@ -147,7 +147,7 @@
                 reply,
             });
         } else {
-            reply.send(Watched::NotLeader(self.leader_host())).ok();
+            reply.send(WatchOutcome::NotLeader(self.leader_host())).ok();
         }
         self.flush(context).await;
         receiver
@@ -188,24 +188,28 @@
 }
 
 /// Announces that the host of a keeper is about to stop.
-pub(crate) struct Stopping(pub(crate) HostId);
+pub(crate) struct AnnounceStop(pub(crate) HostId);
 
 /// Answer to a host that is about to stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum MayStop {
+pub(crate) enum StopReply {
     /// Whether the host may stop: its vote is no longer needed, or no other keeper can replace it.
-    Known(bool),
+    Decided(bool),
     /// Another keeper decides; holds the possible leader.
     NotLeader(Option<HostId>),
 }
 
-impl Handler<Stopping> for Keeper {
-    type Return = MayStop;
+impl Handler<AnnounceStop> for Keeper {
+    type Return = StopReply;
 
-    async fn handle(&mut self, stopping: Stopping, context: &mut Context<Self>) -> Self::Return {
+    async fn handle(
+        &mut self,
+        stopping: AnnounceStop,
+        context: &mut Context<Self>,
+    ) -> Self::Return {
         let host = stopping.0.as_str();
         let Some(replica) = &mut self.replica else {
-            return MayStop::NotLeader(None);
+            return StopReply::NotLeader(None);
         };
         replica.note_departure(now_ms(), host);
         if let Some(change) = replica.maintain_membership(now_ms()) {
@@ -213,9 +217,9 @@
             self.flush(context).await;
         }
         match &self.replica {
-            Some(replica) if replica.may_stop(now_ms(), host) => MayStop::Known(true),
-            Some(replica) if replica.is_leader() => MayStop::Known(false),
-            Some(_) | None => MayStop::NotLeader(self.leader_host()),
+            Some(replica) if replica.may_stop(now_ms(), host) => StopReply::Decided(true),
+            Some(replica) if replica.is_leader() => StopReply::Decided(false),
+            Some(_) | None => StopReply::NotLeader(self.leader_host()),
         }
     }
 }
@@ -301,35 +305,35 @@
 }
 
 /// Requests the leader that this keeper knows, which may be itself.
-pub(crate) struct WhoLeads;
+pub(crate) struct GetLeader;
 
-impl Handler<WhoLeads> for Keeper {
+impl Handler<GetLeader> for Keeper {
     type Return = Option<HostId>;
 
-    async fn handle(&mut self, _: WhoLeads, _: &mut Context<Self>) -> Self::Return {
+    async fn handle(&mut self, _: GetLeader, _: &mut Context<Self>) -> Self::Return {
         self.leader_host()
     }
 }
 
 /// Requests the keepers that choose engines for prompts: the leader, and its deputy. Only the leader
 /// knows the deputy.
-pub(crate) struct WhoPlaces;
+pub(crate) struct GetPlacementKeepers;
 
 /// The keepers that choose engines for prompts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Placing {
+pub(crate) struct PlacementKeepers {
     pub(crate) leader: HostId,
     /// The keeper that takes over while the leader is unresponsive.
     pub(crate) deputy: Option<HostId>,
 }
 
-impl Handler<WhoPlaces> for Keeper {
-    type Return = Option<Placing>;
+impl Handler<GetPlacementKeepers> for Keeper {
+    type Return = Option<PlacementKeepers>;
 
-    async fn handle(&mut self, _: WhoPlaces, _: &mut Context<Self>) -> Self::Return {
+    async fn handle(&mut self, _: GetPlacementKeepers, _: &mut Context<Self>) -> Self::Return {
         let leader = self.leader_host()?;
         let deputy = self.replica.as_ref()?.deputy(now_ms());
-        Some(Placing { leader, deputy: deputy.map(|id| HostId::new(id.host.clone())) })
+        Some(PlacementKeepers { leader, deputy: deputy.map(|id| HostId::new(id.host.clone())) })
     }
 }
 
--- a/clayplankd/src/keepers/keeper_join.rs
+++ b/clayplankd/src/keepers/keeper_tasks.rs
@@ -86,19 +86,19 @@
 
 /// The sources of the other keepers' addresses.
 #[derive(Clone, Debug)]
-pub(crate) struct Joining {
+pub(crate) struct JoinSources {
     /// Bootstrap addresses, without this host.
-    pub(crate) seeds: Vec<HostId>,
+    pub(crate) bootstrap_hosts: Vec<HostId>,
     /// The client that knows further keepers and contacts; `None` if the settings name all keepers.
-    pub(crate) keepers: Option<KeeperClient>,
+    pub(crate) client: Option<KeeperClient>,
 }
 
-impl Joining {
+impl JoinSources {
     /// All hosts to which this keeper is introduced while it is not an active voter.
     fn other_hosts(&self, local: &ReplicaId) -> Vec<HostId> {
-        let mut other_hosts = self.seeds.clone();
-        if let Some(keepers) = &self.keepers {
-            other_hosts.extend(keepers.hosts());
+        let mut other_hosts = self.bootstrap_hosts.clone();
+        if let Some(keepers) = &self.client {
+            other_hosts.extend(keepers.keepers());
             other_hosts.extend(keepers.contacts());
         }
         other_hosts.retain(|host| host.as_str() != local.host);
@@ -110,27 +110,27 @@
     /// Bootstrap addresses that are not keepers, as far as this keeper knows; none if the settings name
     /// all keepers.
     fn non_keepers(&self, status: &JoinStatus) -> Vec<HostId> {
-        let has_client = self.keepers.is_some();
+        let has_client = self.client.is_some();
         let non_keepers =
-            self.seeds.iter().filter(|host| has_client && !status.members.contains(host));
+            self.bootstrap_hosts.iter().filter(|host| has_client && !status.members.contains(host));
         non_keepers.cloned().collect()
     }
 
     /// Adds the keepers and contacts learned from an introduction to the client.
     fn add_introduced(&self, status: &JoinStatus, introductions: Introductions) {
-        let Some(keepers) = &self.keepers else {
+        let Some(keepers) = &self.client else {
             return;
         };
-        keepers.learn_contacts(introductions.contacts);
+        keepers.add_contacts(introductions.contacts);
         if status.is_active_voter {
             keepers.set_keepers(status.members.iter().cloned());
             return;
         }
-        keepers.learn(status.members.iter().cloned());
-        keepers.learn(introductions.keepers);
+        keepers.add_keepers(status.members.iter().cloned());
+        keepers.add_keepers(introductions.keepers);
         for answer in introductions.answers.values() {
             if let Introduction::Member { members, .. } = answer {
-                keepers.learn(members.members().map(|id| HostId::new(id.host.clone())));
+                keepers.add_keepers(members.members().map(|id| HostId::new(id.host.clone())));
             }
         }
     }
@@ -138,7 +138,7 @@
 
 /// Introduces this keeper to the other hosts while it is not a voter or hears no leader. Otherwise
 /// introduces it only to the bootstrap addresses that are not keepers.
-pub(crate) async fn run_join(keeper: Address<Keeper>, joining: Joining, peers: Peers) {
+pub(crate) async fn run_join(keeper: Address<Keeper>, joining: JoinSources, peers: Peers) {
     let mut wait_log = WaitLog::default();
     let mut last_announced = Instant::now();
     loop {
@@ -214,10 +214,10 @@
 async fn start_log_if_planned(
     keeper: &Address<Keeper>,
     local: &BlankKeeper,
-    joining: &Joining,
+    joining: &JoinSources,
     introductions: &Introductions,
 ) {
-    let bootstrap_hosts = joining.seeds.iter().map(ToString::to_string);
+    let bootstrap_hosts = joining.bootstrap_hosts.iter().map(ToString::to_string);
     let bootstrap_names: Vec<_> =
         bootstrap_hosts.filter(|host| !introductions.non_keepers.contains(host)).collect();
     let start = match plan_join(local, &bootstrap_names, &introductions.answers) {
--- a/clayplankd/src/keepers/leader_search.rs
+++ b/clayplankd/src/keepers/leader_search.rs
@@ -75,8 +75,8 @@
             .await;
         match answer {
             Ok(reply) => {
-                self.learn(reply.keepers.into_iter().map(HostId::new));
-                self.learn_contacts(reply.contacts.into_iter().map(HostId::new));
+                self.add_keepers(reply.keepers.into_iter().map(HostId::new));
+                self.add_contacts(reply.contacts.into_iter().map(HostId::new));
                 Some(reply.leader_host).filter(|host| !host.is_empty()).map(HostId::new)
             }
             Err(error) => {
@@ -90,7 +90,7 @@
         FindLeaderRequest {
             wait_ms: wait.as_millis() as u64,
             from_host: self.local_host.as_ref().map(ToString::to_string).unwrap_or_default(),
-            keepers: self.hosts().iter().map(ToString::to_string).collect(),
+            keepers: self.keepers().iter().map(ToString::to_string).collect(),
         }
     }
 
@@ -143,7 +143,7 @@
         self.logged_ms = now_ms;
         log::warn!(target: part::KEEPER,
             waited_ms = now_ms - self.started_ms,
-            keepers = keepers.hosts().len(), contacts = keepers.contacts().len();
+            keepers = keepers.keepers().len(), contacts = keepers.contacts().len();
             "The search for the leader has found none yet");
     }
 }
--- a/clayplankd/src/keepers/keeper_stop.rs
+++ b/clayplankd/src/keepers/planned_stop.rs
@@ -22,7 +22,7 @@
 /// A voter that terminates unannounced stays a voter for another 1.5 s. If a sixth voter is added in
 /// its place during that time, the quorum is four of six; losing two disks then would leave
 /// three voters, one fewer than the quorum.
-pub(crate) async fn give_up_vote(keepers: &KeeperClient, local: &HostId) {
+pub(crate) async fn release_vote(keepers: &KeeperClient, local: &HostId) {
     let started = Instant::now();
     let outcome = loop {
         let remaining = STOP_TIMEOUT.saturating_sub(started.elapsed());
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -22,10 +22,10 @@
 use crate::doors::operators::{self, OperatorsEndpoint};
 use crate::doors::serve::{ListenerLimits, serve};
 use crate::fleet::sightings::{SightingLink, run_sightings};
-use crate::follow::settings_watch::{CurrentSettings, run_settings_watch};
-use crate::keepers::keeper::{Keeper, KeeperAddress, Sizing};
+use crate::follow::current_settings::{CurrentSettings, run_settings_watch};
+use crate::keepers::keeper::{Keeper, KeeperAddress, KeeperOptions};
 use crate::keepers::keeper_client::KeeperClient;
-use crate::keepers::keeper_join::{Joining, run_join, run_outbox, run_ticks};
+use crate::keepers::keeper_tasks::{JoinSources, run_join, run_outbox, run_ticks};
 use crate::keepers::leader_search::run_leader_search;
 use crate::owners::owner::{Owner, run_owner};
 use crate::owners::pools::PoolDirectory;
@@ -250,8 +250,8 @@
         ..Options::default()
     };
     let (outbox, outbox_receiver) = mpsc::unbounded_channel();
-    let keeper =
-        Keeper::new(store, state, options, Sizing::default(), outbox, failed).with_may_begin(true);
+    let keeper = Keeper::new(store, state, options, KeeperOptions::default(), outbox, failed)
+        .with_may_bootstrap(true);
     let keeper = xtra::spawn_tokio(keeper, Mailbox::bounded(MAILBOX_CAPACITY));
     let is_peer = |host: &HostId| *host != settings.host;
     let keepers =
@@ -259,7 +259,7 @@
     let peer_keepers: Vec<_> = keepers.filter(is_peer).collect();
     tokio::spawn(run_outbox(outbox_receiver, peers.clone()));
     tokio::spawn(run_ticks(keeper.clone()));
-    let joining = Joining { seeds: peer_keepers, keepers: None };
+    let joining = JoinSources { bootstrap_hosts: peer_keepers, client: None };
     tokio::spawn(run_join(keeper.clone(), joining, peers.clone()));
     Ok(Some(keeper))
 }
--- a/clayplankd/src/process/host.rs
+++ b/clayplankd/src/process/host.rs
@@ -12,7 +12,7 @@
 
 use crate::doors::account_limits::AccountLimits;
 use crate::doors::services::ServiceLoads;
-use crate::follow::settings_watch::CurrentSettings;
+use crate::follow::current_settings::CurrentSettings;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::owners::pools::PoolDirectory;
 use crate::owners::reserve::{HeldGrants, PoolWaits};
--- a/clayplankd/src/process/inner.rs
+++ b/clayplankd/src/process/inner.rs
@@ -26,13 +26,13 @@
 
 use crate::fleet::fleet_keeper::FleetKeeper;
 use crate::fleet::spread::Spread;
-use crate::follow::fleet_followers::Followers;
-use crate::follow::relay::Relay;
+use crate::follow::follow_responder::FollowResponder;
+use crate::follow::leader_confirmation::Relay;
 use crate::keepers::keeper::{Keeper, KeeperAddress};
 use crate::keepers::keeper_client::KeeperClient;
 use crate::keepers::keeper_messages::{
-    Execute, Executed, FindLeader, Inspect, Introduce, MayStop, Step, Stopping, WATCH_WAIT_MS,
-    Watch, Watched,
+    AnnounceStop, CommandOutcome, Execute, FindLeader, Inspect, Introduce, Step, StopReply,
+    WATCH_HOLD_MS, Watch, WatchOutcome,
 };
 use crate::owners::owner::{Finish, FirstToken, Owner, Renew, Reserve, ReserveAnswer, Reserved};
 use crate::owners::reserve::{part_from_wire, part_to_wire};
@@ -73,7 +73,7 @@
     }
 
     fn known_keepers(&self) -> Vec<String> {
-        names(&self.keepers.as_ref().map(KeeperClient::hosts).unwrap_or_default())
+        names(&self.keepers.as_ref().map(KeeperClient::keepers).unwrap_or_default())
     }
 
     fn known_contacts(&self) -> Vec<String> {
@@ -174,11 +174,13 @@
             .await
             .map_err(actor_stopped)?;
         let result = match executed {
-            Executed::Reply(reply) => {
+            CommandOutcome::Reply(reply) => {
                 execute_reply::Result::Reply(encode(&reply).map_err(malformed)?)
             }
-            Executed::NotLeader(hint) => execute_reply::Result::NotLeaderHint(hint_text(hint)),
-            Executed::Unknown => execute_reply::Result::Unknown(true),
+            CommandOutcome::NotLeader(hint) => {
+                execute_reply::Result::NotLeaderHint(hint_text(hint))
+            }
+            CommandOutcome::Unknown => execute_reply::Result::Unknown(true),
         };
         Ok(Response::new(ExecuteReply { result: Some(result) }))
     }
@@ -188,7 +190,7 @@
         let watch = Watch {
             host: HostId::new(request.from_host),
             applied_revision: request.applied_revision,
-            wait_ms: WATCH_WAIT_MS,
+            wait_ms: WATCH_HOLD_MS,
         };
         let watched = self
             .keeper()?
@@ -198,8 +200,10 @@
             .await
             .map_err(actor_stopped)?;
         let result = match watched {
-            Watched::Delta(delta) => watch_reply::Result::Delta(encode(&delta).map_err(malformed)?),
-            Watched::NotLeader(hint) => watch_reply::Result::NotLeaderHint(hint_text(hint)),
+            WatchOutcome::Delta(delta) => {
+                watch_reply::Result::Delta(encode(&delta).map_err(malformed)?)
+            }
+            WatchOutcome::NotLeader(hint) => watch_reply::Result::NotLeaderHint(hint_text(hint)),
         };
         Ok(Response::new(WatchReply { result: Some(result) }))
     }
@@ -207,7 +211,7 @@
     async fn introduce(&self, request: Request<IntroduceRequest>) -> RpcResult<IntroduceReply> {
         let replica: ReplicaId = decode(&request.into_inner().replica).map_err(malformed)?;
         if let Some(keepers) = &self.keepers {
-            keepers.learn([HostId::new(replica.host.clone())]);
+            keepers.add_keepers([HostId::new(replica.host.clone())]);
         }
         let introduction = match &self.keeper {
             Some(keeper) => {
@@ -226,10 +230,10 @@
     }
 
     async fn stopping(&self, request: Request<StoppingRequest>) -> RpcResult<StoppingReply> {
-        let stopping = Stopping(HostId::new(request.into_inner().from_host));
+        let stopping = AnnounceStop(HostId::new(request.into_inner().from_host));
         let result = match self.keeper()?.send(stopping).await.map_err(actor_stopped)? {
-            MayStop::Known(may_stop) => stopping_reply::Result::MayStop(may_stop),
-            MayStop::NotLeader(hint) => stopping_reply::Result::NotLeaderHint(hint_text(hint)),
+            StopReply::Decided(may_stop) => stopping_reply::Result::MayStop(may_stop),
+            StopReply::NotLeader(hint) => stopping_reply::Result::NotLeaderHint(hint_text(hint)),
         };
         Ok(Response::new(StoppingReply { result: Some(result) }))
     }
@@ -258,16 +262,16 @@
     async fn follow(&self, request: Request<FollowRequest>) -> RpcResult<FollowReply> {
         let relay = self.relay.as_ref();
         let relay = relay.ok_or_else(|| Status::unimplemented("not a seeded keeper"))?;
-        let followers = Followers { fleet: self.fleet()?, keeper: self.keeper()?, relay };
-        let result = followers.answer(request.into_inner()).await?;
+        let followers = FollowResponder { fleet: self.fleet()?, keeper: self.keeper()?, relay };
+        let result = followers.answer_follow(request.into_inner()).await?;
         Ok(Response::new(FollowReply { result: Some(result) }))
     }
 
     async fn find_leader(&self, request: Request<FindLeaderRequest>) -> RpcResult<FindLeaderReply> {
         let request = request.into_inner();
         if let Some(keepers) = self.keepers.as_ref().filter(|_| !request.from_host.is_empty()) {
-            keepers.learn_contacts([HostId::new(request.from_host)]);
-            keepers.learn(request.keepers.into_iter().map(HostId::new));
+            keepers.add_contacts([HostId::new(request.from_host)]);
+            keepers.add_keepers(request.keepers.into_iter().map(HostId::new));
         }
         let find = FindLeader { wait_ms: request.wait_ms };
         let leader = match &self.keeper {
--- a/clayplankd/src/process/seeded.rs
+++ b/clayplankd/src/process/seeded.rs
@@ -22,8 +22,8 @@
 use crate::doors::control_endpoint::RegistryAccess;
 use crate::fleet::fleet_keeper::FleetKeeper;
 use crate::keepers::keeper_client::KeeperClient;
-use crate::keepers::keeper_stop::give_up_vote;
 use crate::keepers::leader_search::run_leader_search;
+use crate::keepers::planned_stop::release_vote;
 use crate::process::daemon::{StartError, bind};
 use crate::process::logging::{part, set_log_level};
 use crate::process::peers::Peers;
@@ -167,9 +167,9 @@
     /// Graceful shutdown: a keeper gives up its vote while an entry host drains its requests.
     pub async fn leave_and_drain(&self) {
         let local_host = HostId::new(self.settings.ip.to_string());
-        let give_up_vote = async {
+        let release_vote = async {
             if self.settings.is_keeper() {
-                give_up_vote(&self.keepers, &local_host).await;
+                release_vote(&self.keepers, &local_host).await;
             }
         };
         let drain = async {
@@ -177,7 +177,7 @@
                 self.drain(gate).await;
             }
         };
-        tokio::join!(give_up_vote, drain);
+        tokio::join!(release_vote, drain);
         let cut_off = self.entry.as_ref().map_or(0, |entry| entry.gate.in_progress());
         log::info!(target: part::DAEMON, cut_off = cut_off; "Stopped");
     }
--- a/clayplankd/src/process/seeded_entry.rs
+++ b/clayplankd/src/process/seeded_entry.rs
@@ -17,8 +17,8 @@
 use crate::fleet::fleet_link::{FleetLink, run_reports, run_return_to_leader};
 use crate::fleet::limit_reports::run_limit_reports;
 use crate::fleet::sightings::{SightingLink, run_sightings};
-use crate::follow::follow_log::FollowFigures;
-use crate::follow::following::{Following, run_following};
+use crate::follow::follow_metrics::FollowMetrics;
+use crate::follow::follow_task::{FollowTask, run_following};
 use crate::process::daemon::{StartError, bind, serve_inner};
 use crate::process::inner::InnerService;
 use crate::process::seeded::{StartContext, plain_text};
@@ -33,7 +33,7 @@
     pub(crate) gate: Arc<Gate>,
     pub(crate) entry: Arc<Entry>,
     /// Metrics of how this host follows the keepers.
-    pub(crate) following: Arc<FollowFigures>,
+    pub(crate) following: Arc<FollowMetrics>,
     apply_ms: Arc<AtomicU64>,
 }
 
@@ -95,9 +95,9 @@
         tokio::spawn(run_reports(Arc::clone(&link), reports.events));
         tokio::spawn(run_limit_reports(Arc::clone(&link), reports.limits));
         tokio::spawn(run_return_to_leader(Arc::clone(&link)));
-        let figures = Arc::new(FollowFigures::default());
+        let metrics = Arc::new(FollowMetrics::default());
         let apply_ms = Arc::new(AtomicU64::new(bounds.apply_ms));
-        tokio::spawn(run_following(Following {
+        tokio::spawn(run_following(FollowTask {
             host: self.local_host.clone(),
             contract: Arc::clone(&self.contract),
             keepers: self.keepers.clone(),
@@ -105,12 +105,12 @@
             gate: Arc::clone(&gate),
             directory,
             entry: Arc::clone(&entry),
-            figures: Arc::clone(&figures),
+            metrics: Arc::clone(&metrics),
             apply_ms: Arc::clone(&apply_ms),
         }));
         tokio::spawn(serve_callers(callers, Arc::clone(&entry), closing));
         serve_readiness(readiness, Arc::clone(&self.contract), Arc::clone(&gate));
-        Ok(EntryHost { gate, entry, following: figures, apply_ms })
+        Ok(EntryHost { gate, entry, following: metrics, apply_ms })
     }
 }
 
--- a/clayplankd/src/process/seeded_keeper.rs
+++ b/clayplankd/src/process/seeded_keeper.rs
@@ -15,11 +15,11 @@
 use crate::fleet::mirror::run_mirror;
 use crate::fleet::spread::{Spread, run_spread, run_spread_to_one};
 use crate::fleet::upstream_memory::{recall_upstreams, run_upstream_memory};
-use crate::follow::relay::{Relay, run_relay};
-use crate::keepers::first_start::recall_first_start;
-use crate::keepers::full_disk::FullDisk;
-use crate::keepers::keeper::{Keeper, Sizing};
-use crate::keepers::keeper_join::{Joining, run_join, run_outbox, run_ticks};
+use crate::follow::leader_confirmation::{Relay, run_relay};
+use crate::keepers::first_start::load_or_save_first_start;
+use crate::keepers::full_disk::FullDiskRetry;
+use crate::keepers::keeper::{Keeper, KeeperOptions};
+use crate::keepers::keeper_tasks::{JoinSources, run_join, run_outbox, run_ticks};
 use crate::process::daemon::{MAILBOX_CAPACITY, StartError, bind, serve_inner};
 use crate::process::inner::InnerService;
 use crate::process::seeded::{StartContext, bootstrap_hosts};
@@ -118,21 +118,21 @@
         let dir = self.settings.data_dir.clone().ok_or(StartError::NoDataDir)?;
         let is_first_start = self.settings.is_first_start;
         let is_bootstrap_host = bootstrap_hosts(&self.settings).any(|host| host == self.local_host);
-        let mut full_disk = FullDisk::default();
+        let mut full_disk = FullDiskRetry::default();
         loop {
             let (dir, local_host) = (dir.clone(), self.local_host.clone());
             let open = move || {
                 let (store, state) = Store::open(&dir, local_host.as_str(), rand::random())?;
                 let is_candidate = state.is_none() && is_bootstrap_host;
                 let may_begin =
-                    is_candidate && recall_first_start(&store.side_files(), is_first_start)?;
+                    is_candidate && load_or_save_first_start(&store.side_files(), is_first_start)?;
                 Ok(OpenedStore { store, state, may_begin })
             };
             let opened: Result<_, StoreError> =
                 tokio::task::spawn_blocking(open).await.map_err(StartError::Opening)?;
             match opened {
                 Ok(opened) => {
-                    full_disk.note_room();
+                    full_disk.record_success();
                     return Ok(opened);
                 }
                 Err(error) if error.is_full() => full_disk.wait(&error).await,
@@ -151,7 +151,7 @@
         let listen = &self.settings.listen;
         let control = bind(listen.control.ok_or(StartError::NoListen("control"))?).await?;
         let inner = bind(listen.inner).await?;
-        let sizing = Sizing::of_plans(self.settings.tolerated_losses);
+        let sizing = KeeperOptions::for_plans(self.settings.tolerated_losses);
         let notes = store.side_files();
         recall_upstreams(&fleet, &notes);
         tokio::spawn(run_upstream_memory(Arc::clone(&fleet), notes));
@@ -159,8 +159,8 @@
         let (disk_failed, disk_failed_receiver) = mpsc::channel(1);
         let options = agreement_options(self.settings.tolerated_losses);
         let keeper = Keeper::new(store, state, options, sizing, outbox, disk_failed)
-            .with_may_begin(may_begin);
-        let applied = keeper.applied();
+            .with_may_bootstrap(may_begin);
+        let applied = keeper.subscribe_applied();
         let keeper = xtra::spawn_tokio(keeper, Mailbox::bounded(MAILBOX_CAPACITY));
         tokio::spawn(run_outbox(outbox_receiver, self.peers.clone()));
         tokio::spawn(run_ticks(keeper.clone()));
@@ -200,10 +200,10 @@
         Ok(disk_failed_receiver)
     }
 
-    fn joining(&self) -> Joining {
+    fn joining(&self) -> JoinSources {
         let seeds =
             bootstrap_hosts(&self.settings).filter(|host| *host != self.local_host).collect();
-        Joining { seeds, keepers: Some(self.keepers.clone()) }
+        JoinSources { bootstrap_hosts: seeds, client: Some(self.keepers.clone()) }
     }
 }
 
