--- a/bench/src/replay.rs
+++ b/bench/src/replay.rs
@@ -412,7 +412,7 @@
         let grants: Vec<_> = self
             .attempts
             .iter()
-            .map(|(&attempt_id, attempt)| clayplank_schedule::HeldGrant {
+            .map(|(&attempt_id, attempt)| clayplank_schedule::RenewedGrant {
                 grant_id: attempt.grant.grant_id,
                 owner: Incarnation::default(),
                 attempt_id,
--- a/clayplank-schedule/src/grants.rs
+++ b/clayplank-schedule/src/grants.rs
@@ -10,7 +10,7 @@
 
 /// A grant as its holder reports it to the pool's owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldGrant {
+pub struct RenewedGrant {
     /// Identifier of the grant, unique within the issuing owner's incarnation.
     pub grant_id: GrantId,
     /// Incarnation of the owner that issued it.
--- a/clayplank-schedule/src/lib.rs
+++ b/clayplank-schedule/src/lib.rs
@@ -36,7 +36,7 @@
 
 pub use admission::Forecast;
 pub use engine::{EngineReport, EngineSpec};
-pub use grants::HeldGrant;
+pub use grants::RenewedGrant;
 pub use limits::{RequestRateLimit, RetryBudget};
 pub use policy::{Discipline, Lane, Mechanisms, Policy, PolicyBuilder};
 pub use pools::{PoolLoad, choose_pool};
--- a/clayplank-schedule/src/lifecycle.rs
+++ b/clayplank-schedule/src/lifecycle.rs
@@ -6,7 +6,7 @@
 
 use crate::engine::{Availability, EngineReport};
 use crate::fleet::EngineIndex;
-use crate::grants::{GrantRecord, GrantState, HeldGrant, ReservedPart};
+use crate::grants::{GrantRecord, GrantState, RenewedGrant, ReservedPart};
 use crate::policy::Lane;
 use crate::reservation::{Decision, GrantHolder, GrantId, Usage};
 use crate::scheduler::Scheduler;
@@ -73,7 +73,7 @@
 
     /// Renews the listed grants of a holder and adopts those issued by an earlier owner.
     /// Grants of the host's earlier incarnations are revoked.
-    pub fn renew(&mut self, now_ms: u64, holder: &GrantHolder, held: &[HeldGrant]) {
+    pub fn renew(&mut self, now_ms: u64, holder: &GrantHolder, held: &[RenewedGrant]) {
         for grant_id in self.grants.of_earlier_incarnations(holder) {
             self.revoke(now_ms, grant_id);
         }
@@ -95,7 +95,7 @@
 
     /// Adopts a grant that is not in the table. One issued by this incarnation of the owner
     /// has already ended and is ignored.
-    fn adopt(&mut self, holder: &GrantHolder, held: &HeldGrant, until_ms: u64) {
+    fn adopt(&mut self, holder: &GrantHolder, held: &RenewedGrant, until_ms: u64) {
         if held.owner == self.incarnation || self.ended.contains(held.attempt_id) {
             return;
         }
--- a/clayplankd/src/doors/callers.rs
+++ b/clayplankd/src/doors/callers.rs
@@ -19,7 +19,7 @@
 use crate::doors::serve::{bearer_key, read_body};
 use crate::doors::services::{ServiceCall, is_service_path, run_call};
 use crate::process::clock::millis;
-use crate::process::host::{Host, InProgressGuard};
+use crate::process::host_state::{Host, InProgressGuard};
 
 /// Header with the name of the request's template.
 const TEMPLATE_HEADER: &str = "x-clayplank-template";
@@ -68,13 +68,13 @@
 }
 
 fn identify(host: &Host, request: &Request<Incoming>) -> Option<AccountId> {
-    let view = host.current.view();
+    let view = host.replicated_settings.view();
     view.find_account(bearer_key(request)?).map(|(id, _)| id)
 }
 
 /// Answers the health check; it fails while this host should get no requests.
 pub(crate) fn health(host: &Host) -> Response<Body> {
-    match (host.progress.is_leaving(), host.current.is_confirmed()) {
+    match (host.progress.is_leaving(), host.replicated_settings.is_confirmed()) {
         (true, _) => text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n".to_owned()),
         (false, false) => {
             text(StatusCode::SERVICE_UNAVAILABLE, "settings not confirmed\n".to_owned())
@@ -111,7 +111,7 @@
     if host.progress.is_closed() {
         return reject(RefusalReason::Leaving);
     }
-    let Some(view) = host.current.confirmed() else {
+    let Some(view) = host.replicated_settings.confirmed() else {
         return reject(RefusalReason::SettingsStale);
     };
     let key = bearer_key(request).ok_or(Problem::Unauthorized)?;
--- a/clayplankd/src/doors/claims.rs
+++ b/clayplankd/src/doors/claims.rs
@@ -8,8 +8,8 @@
 use crate::doors::replies::Problem;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::millis;
-use crate::process::host::Host;
-use crate::process::logging::part;
+use crate::process::host_state::Host;
+use crate::process::logging::log_target;
 
 /// Retry delay for a request whose claim the keepers did not grant.
 const CLAIM_RETRY_MS: u64 = 1_000;
@@ -96,7 +96,7 @@
     let keepers = host.keepers.clone();
     tokio::spawn(async move {
         if let Err(error) = keepers.execute(&body, millis(SETTLE_TIMEOUT_MS)).await {
-            log::warn!(target: part::CALLERS, "Could not settle or release a claim, which stays open: {error}.");
+            log::warn!(target: log_target::CALLERS, "Could not settle or release a claim, which stays open: {error}.");
         }
     });
 }
--- a/clayplankd/src/doors/completions.rs
+++ b/clayplankd/src/doors/completions.rs
@@ -20,7 +20,7 @@
 use crate::doors::dispatch::{PromptJob, Sink, run_job};
 use crate::doors::replies::{BodyAborted, Problem, full, json, set_outcome};
 use crate::doors::services::{fingerprint, repeat_response};
-use crate::process::host::{Host, InProgressGuard};
+use crate::process::host_state::{Host, InProgressGuard};
 
 /// Number of chunks buffered for a slow caller before backpressure stops reading from the engine.
 const STREAM_CHUNKS: usize = 64;
--- a/clayplankd/src/doors/contract.rs
+++ b/clayplankd/src/doors/contract.rs
@@ -22,13 +22,13 @@
     /// An upstream reports its status.
     Heartbeat(Heartbeat),
     /// An upstream departs: the incarnation that it names, or the newest.
-    Leave(Heartbeat),
+    Depart(Heartbeat),
     /// An operator lists the quarantined requests.
-    ReadHeldBack,
+    ListQuarantined,
     /// An operator lifts the quarantine of a request.
-    Lift(RequestFingerprint),
+    LiftQuarantine(RequestFingerprint),
     /// An operator lists the cordoned data centres.
-    ReadCordoned,
+    ListCordons,
     /// An operator cordons a data centre: its upstreams get no more requests.
     Cordon(DataCentre),
     /// An operator lifts the cordon of a data centre.
@@ -40,13 +40,13 @@
     ///
     /// # Errors
     /// The address lacks a host or a port, so that no request could be sent to the upstream.
-    pub fn of_heartbeat(heartbeat: Heartbeat) -> Result<Self, ControlFault> {
+    pub fn from_heartbeat(heartbeat: Heartbeat) -> Result<Self, ControlError> {
         if heartbeat.is_reachable() {
             return Ok(Self::Heartbeat(heartbeat));
         }
         let mut faults = Faults::default();
         faults.push("/address", format!("nothing can be reached at {}", heartbeat.address));
-        Err(ControlFault::Malformed(faults))
+        Err(ControlError::Malformed(faults))
     }
 }
 
@@ -54,7 +54,7 @@
 /// missing fields take their defaults, and unknown fields are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct EngineReport {
+pub struct EngineLoadReport {
     /// Ratio of actual run time to the cost model's estimate; above 1 if the engine is slower.
     pub pace: f64,
     /// Number of requests that the engine runs, from all hosts.
@@ -67,7 +67,7 @@
     pub born_ms: u64,
 }
 
-impl Default for EngineReport {
+impl Default for EngineLoadReport {
     fn default() -> Self {
         Self { pace: 1.0, running: 0, waiting: 0, used_tokens: 0, born_ms: 0 }
     }
@@ -75,7 +75,7 @@
 
 /// Why a call is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ControlFault {
+pub enum ControlError {
     /// No call has this method and path.
     NotFound,
     /// The body or the path is invalid.
@@ -92,12 +92,12 @@
     ///
     /// # Errors
     /// There is no such call, or its body is invalid; each fault names its place in the body.
-    fn scan_call(
+    fn parse_call(
         &self,
         method: &Method,
         path: &str,
         body: &[u8],
-    ) -> Result<ControlCall, ControlFault>;
+    ) -> Result<ControlCall, ControlError>;
 
     /// Parses a serving plan, such as one that was accepted and stored before.
     ///
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     /// The body is not a valid report.
-    fn scan_report(&self, body: &[u8]) -> Result<EngineReport, serde_json::Error>;
+    fn parse_report(&self, body: &[u8]) -> Result<EngineLoadReport, serde_json::Error>;
 
     /// Whether a call is the readiness check, which asks if the host accepts new connections.
     fn is_readiness_call(&self, method: &Method, path: &str) -> bool;
--- a/clayplankd/src/doors/control_endpoint.rs
+++ b/clayplankd/src/doors/control_endpoint.rs
@@ -19,13 +19,13 @@
 use serde_json::Value;
 use xtra::Address;
 
-use crate::doors::contract::{ControlCall, ControlFault, SharedContract};
+use crate::doors::contract::{ControlCall, ControlError, SharedContract};
 use crate::fleet::fleet_keeper::FleetKeeper;
 use crate::fleet::spread::Spread;
 use crate::keepers::keeper::Keeper;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::keepers::keeper_messages::GetLeader;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Size limit of a body, such as a plan, in bytes; the platform's plans stay below four megabytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
@@ -83,18 +83,18 @@
             Ok(body) => body.to_bytes(),
             Err(error) => return fault(StatusCode::BAD_REQUEST, &format!("the body: {error}")),
         };
-        match self.contract.scan_call(&head.method, head.uri.path(), &body) {
+        match self.contract.parse_call(&head.method, head.uri.path(), &body) {
             Ok(ControlCall::Publish(plan)) => self.publish(&plan, &body).await,
             Ok(ControlCall::ReadPlan) => self.read_plan().await,
             Ok(ControlCall::Heartbeat(heartbeat)) => self.apply_heartbeat(heartbeat).await,
-            Ok(ControlCall::Leave(departed)) => self.apply_departure(departed).await,
-            Ok(ControlCall::ReadHeldBack) => self.list_quarantined().await,
-            Ok(ControlCall::Lift(fingerprint)) => self.lift_quarantine(fingerprint).await,
-            Ok(ControlCall::ReadCordoned) => self.read_cordoned().await,
+            Ok(ControlCall::Depart(departed)) => self.apply_departure(departed).await,
+            Ok(ControlCall::ListQuarantined) => self.list_quarantined().await,
+            Ok(ControlCall::LiftQuarantine(fingerprint)) => self.lift_quarantine(fingerprint).await,
+            Ok(ControlCall::ListCordons) => self.read_cordoned().await,
             Ok(ControlCall::Cordon(data_centre)) => self.cordon(data_centre).await,
             Ok(ControlCall::Uncordon(data_centre)) => self.uncordon(data_centre).await,
-            Err(ControlFault::NotFound) => fault(StatusCode::NOT_FOUND, "no such call"),
-            Err(ControlFault::Malformed(faults)) => malformed(&faults),
+            Err(ControlError::NotFound) => fault(StatusCode::NOT_FOUND, "no such call"),
+            Err(ControlError::Malformed(faults)) => malformed(&faults),
         }
     }
 
@@ -114,7 +114,7 @@
             Ok(_) => (fault(StatusCode::INTERNAL_SERVER_ERROR, "an unfit reply"), "unfit"),
             Err(_) => (fault(StatusCode::SERVICE_UNAVAILABLE, "no quorum in time"), "no_quorum"),
         };
-        log::info!(target: part::KEEPER,
+        log::info!(target: log_target::KEEPER,
             version = plan.version, outcome = outcome, took_ms = now_ms() - started_ms,
             bytes = body.len();
             "An operator sent a plan");
@@ -127,7 +127,7 @@
         match self.keepers.watch(&self.local_host, 0, QUORUM_TIMEOUT).await {
             Ok((delta, _)) => Ok(delta),
             Err(error) => {
-                log::info!(target: part::KEEPER, "{what} not available from a quorum: {error}.");
+                log::info!(target: log_target::KEEPER, "{what} not available from a quorum: {error}.");
                 Err(Box::new(fault(StatusCode::SERVICE_UNAVAILABLE, "no quorum in time")))
             }
         }
@@ -164,7 +164,7 @@
             Ok(_) => (fault(StatusCode::INTERNAL_SERVER_ERROR, "an unfit reply"), "unfit"),
             Err(_) => (fault(StatusCode::SERVICE_UNAVAILABLE, "no quorum in time"), "no_quorum"),
         };
-        log::info!(target: part::KEEPER,
+        log::info!(target: log_target::KEEPER,
             fingerprint:% = fingerprint, outcome = outcome;
             "An operator lifted the quarantine of a request");
         answer
@@ -247,7 +247,7 @@
 fn malformed(faults: &Faults) -> Answer {
     // The faults may quote the body, which may be long.
     let shown: String = faults.to_string().chars().take(MAX_LOGGED_CHARS).collect();
-    log::info!(target: part::KEEPER, faults = shown; "Rejected a malformed call");
+    log::info!(target: log_target::KEEPER, faults = shown; "Rejected a malformed call");
     let body = serde_json::json!({ "error": "the body is wrong", "faults": faults });
     json(StatusCode::BAD_REQUEST, Bytes::from(body.to_string()))
 }
--- a/clayplankd/src/doors/cordons.rs
+++ b/clayplankd/src/doors/cordons.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 
 use crate::doors::control_endpoint::{Answer, ControlEndpoint, QUORUM_TIMEOUT, empty, fault, json};
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 impl ControlEndpoint {
     /// Answers with the data centres under a cordon, as confirmed by a quorum.
@@ -53,7 +53,7 @@
             Ok(_) => (fault(StatusCode::INTERNAL_SERVER_ERROR, "an unfit reply"), "unfit"),
             Err(_) => (fault(StatusCode::SERVICE_UNAVAILABLE, "no quorum in time"), "no_quorum"),
         };
-        log::info!(target: part::KEEPER,
+        log::info!(target: log_target::KEEPER,
             data_centre = data_centre.as_str(), order = done, outcome = outcome,
             took_ms = now_ms() - started_ms;
             "An operator ordered a cordon");
--- a/clayplankd/src/doors/dispatch.rs
+++ b/clayplankd/src/doors/dispatch.rs
@@ -18,8 +18,8 @@
 use crate::doors::replies::Problem;
 use crate::owners::reserve::{Held, finish, new_ask, reserve, tell_first_token};
 use crate::process::clock::millis;
-use crate::process::host::Host;
-use crate::process::logging::part;
+use crate::process::host_state::Host;
+use crate::process::logging::log_target;
 use crate::process::metrics::Span;
 
 /// Limit of attempts of one request, including the first.
@@ -141,7 +141,7 @@
         if !is_safe || attempt_count >= MAX_ATTEMPTS || !permit.spend_retry() {
             return Err(to_problem(error, may_have_run));
         }
-        log::info!(target: part::CALLERS,
+        log::info!(target: log_target::CALLERS,
             "Attempt {} failed and is retried: {error:?}.", reservation.grant.attempt_id);
     }
     Err(Problem::Failed("no try was left".to_owned()))
--- a/clayplankd/src/doors/native.rs
+++ b/clayplankd/src/doors/native.rs
@@ -10,7 +10,7 @@
 use http_body_util::Full;
 use serde_json::{Value, json};
 
-use crate::doors::contract::{Contract, ControlCall, ControlFault, EngineReport};
+use crate::doors::contract::{Contract, ControlCall, ControlError, EngineLoadReport};
 
 const PLAN_PATH: &str = "/v1/plan";
 const UPSTREAMS_PATH: &str = "/v1/upstreams/";
@@ -50,12 +50,12 @@
         HeaderNames::default()
     }
 
-    fn scan_call(
+    fn parse_call(
         &self,
         method: &Method,
         path: &str,
         body: &[u8],
-    ) -> Result<ControlCall, ControlFault> {
+    ) -> Result<ControlCall, ControlError> {
         if let Some(id) = path.strip_prefix(UPSTREAMS_PATH).filter(|id| !id.is_empty()) {
             return scan_upstream_call(method, id, body);
         }
@@ -66,14 +66,14 @@
         match (method, path) {
             (&Method::PUT, PLAN_PATH) => {
                 let text = std::str::from_utf8(body).map_err(|error| malformed(&error))?;
-                let plan = self.parse_plan(text).map_err(ControlFault::Malformed)?;
+                let plan = self.parse_plan(text).map_err(ControlError::Malformed)?;
                 Ok(ControlCall::Publish(Box::new(plan)))
             }
             (&Method::GET, PLAN_PATH) => Ok(ControlCall::ReadPlan),
-            (&Method::GET, QUARANTINE_PATH) => Ok(ControlCall::ReadHeldBack),
-            (&Method::GET, CORDONS_PATH) => Ok(ControlCall::ReadCordoned),
+            (&Method::GET, QUARANTINE_PATH) => Ok(ControlCall::ListQuarantined),
+            (&Method::GET, CORDONS_PATH) => Ok(ControlCall::ListCordons),
             (&Method::DELETE, _) => scan_lift(path),
-            _ => Err(ControlFault::NotFound),
+            _ => Err(ControlError::NotFound),
         }
     }
 
@@ -88,7 +88,7 @@
         request
     }
 
-    fn scan_report(&self, body: &[u8]) -> Result<EngineReport, serde_json::Error> {
+    fn parse_report(&self, body: &[u8]) -> Result<EngineLoadReport, serde_json::Error> {
         serde_json::from_slice(body)
     }
 
@@ -98,35 +98,35 @@
 }
 
 /// Parses a call that lifts the quarantine of a request, named by its fingerprint.
-fn scan_lift(path: &str) -> Result<ControlCall, ControlFault> {
+fn scan_lift(path: &str) -> Result<ControlCall, ControlError> {
     let fingerprint = path.strip_prefix(QUARANTINE_PATH).and_then(|rest| rest.strip_prefix('/'));
-    let fingerprint = fingerprint.ok_or(ControlFault::NotFound)?;
-    fingerprint.parse().map(ControlCall::Lift).map_err(|error| malformed(&error))
+    let fingerprint = fingerprint.ok_or(ControlError::NotFound)?;
+    fingerprint.parse().map(ControlCall::LiftQuarantine).map_err(|error| malformed(&error))
 }
 
-fn scan_cordon_call(method: &Method, name: &str) -> Result<ControlCall, ControlFault> {
+fn scan_cordon_call(method: &Method, name: &str) -> Result<ControlCall, ControlError> {
     let data_centre = DataCentre::new(name);
     match *method {
         Method::PUT => Ok(ControlCall::Cordon(data_centre)),
         Method::DELETE => Ok(ControlCall::Uncordon(data_centre)),
-        _ => Err(ControlFault::NotFound),
+        _ => Err(ControlError::NotFound),
     }
 }
 
-fn scan_upstream_call(method: &Method, id: &str, body: &[u8]) -> Result<ControlCall, ControlFault> {
+fn scan_upstream_call(method: &Method, id: &str, body: &[u8]) -> Result<ControlCall, ControlError> {
     match *method {
         Method::PUT => {
             let heartbeat: Heartbeat =
                 serde_json::from_slice(body).map_err(|error| malformed(&error))?;
-            ControlCall::of_heartbeat(heartbeat.with_name(id))
+            ControlCall::from_heartbeat(heartbeat.with_name(id))
         }
-        Method::DELETE => Ok(ControlCall::Leave(Heartbeat::departure(id))),
-        _ => Err(ControlFault::NotFound),
+        Method::DELETE => Ok(ControlCall::Depart(Heartbeat::departure(id))),
+        _ => Err(ControlError::NotFound),
     }
 }
 
-fn malformed(error: &dyn std::error::Error) -> ControlFault {
+fn malformed(error: &dyn std::error::Error) -> ControlError {
     let mut faults = Faults::default();
     faults.push("", format!("cannot be read: {error}"));
-    ControlFault::Malformed(faults)
+    ControlError::Malformed(faults)
 }
--- a/clayplankd/src/doors/operators.rs
+++ b/clayplankd/src/doors/operators.rs
@@ -16,8 +16,8 @@
 use crate::doors::serve::{bearer_key, read_body};
 use crate::keepers::keeper_client::KeeperClient;
 use crate::owners::owner::{Owner, PoolTotals};
-use crate::process::host::Host;
-use crate::process::logging::part;
+use crate::process::host_state::Host;
+use crate::process::logging::log_target;
 use crate::process::suspension::suspension_metrics;
 
 const MAX_BODY_BYTES: u64 = 1 << 20;
@@ -95,7 +95,7 @@
 
     /// Lists the settings of the operator's partner; those of other partners are not shown.
     fn list(&self, operator: &Operator, kind: &str) -> Result<Response<Body>, Problem> {
-        let view = self.host.current.view();
+        let view = self.host.replicated_settings.view();
         let mut items = Vec::new();
         for (key, item) in view.iter().filter(|(key, _)| *key.partner() == operator.partner) {
             if kind_of(key) == parse_kind(kind)? && item.value.is_some() {
@@ -107,7 +107,7 @@
 
     fn get(&self, operator: &Operator, kind: &str, name: &str) -> Result<Response<Body>, Problem> {
         let requested_key = setting_key(operator, kind, name)?;
-        let view = self.host.current.view();
+        let view = self.host.replicated_settings.view();
         match view.iter().find(|(key, item)| **key == requested_key && item.value.is_some()) {
             Some((key, item)) => Ok(json_response(StatusCode::OK, &item_json(key, item))),
             None => Err(Problem::NotFound(format!("there is no setting {kind}/{name}"))),
@@ -155,7 +155,7 @@
         let reply = self.host.keepers.execute(&CommandBody::Change(change), timeout).await;
         match reply {
             Ok(Reply::Changed { version }) => {
-                log::info!(target: part::OPERATORS, "{operator} changed {key:?} to version {version}.");
+                log::info!(target: log_target::OPERATORS, "{operator} changed {key:?} to version {version}.");
                 Ok(json_response(StatusCode::OK, &json!({ "version": version })))
             }
             Ok(Reply::Conflict { current }) => {
@@ -228,8 +228,8 @@
         let keepers: Option<Value> = keepers.and_then(|json| serde_json::from_str(&json).ok());
         let status = json!({
             "host": self.host.settings.host,
-            "revision": self.host.current.view().revision(),
-            "settings_confirmed": self.host.current.is_confirmed(),
+            "revision": self.host.replicated_settings.view().revision(),
+            "settings_confirmed": self.host.replicated_settings.is_confirmed(),
             "leaving": self.host.progress.is_leaving(),
             "in_progress": self.host.progress.count(),
             "in_force": keepers.as_ref().map(|keepers| keepers["in_force"].clone()),
--- a/clayplankd/src/doors/quarantine.rs
+++ b/clayplankd/src/doors/quarantine.rs
@@ -10,8 +10,8 @@
 use clayplank_forward::{BrokenRequest, TerminationEvidence, has_stopped_listening};
 use clayplank_types::{Refusal, RefusalReason, RequestFingerprint, UpstreamId};
 
-use crate::process::host::Host;
-use crate::process::logging::part;
+use crate::process::host_state::Host;
+use crate::process::logging::log_target;
 
 /// Identity of a request, by which a repeat of it is recognized.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
         let Some(retry_after_ms) = quarantined_for_ms else {
             return Ok(());
         };
-        log::info!(target: part::CALLERS,
+        log::info!(target: log_target::CALLERS,
             fingerprint:% = fingerprint;
             "Does not send a request that is held back");
         Err(Refusal::new(RefusalReason::HeldBack, retry_after_ms))
--- a/clayplankd/src/doors/services.rs
+++ b/clayplankd/src/doors/services.rs
@@ -18,7 +18,7 @@
 use crate::doors::account_limits::AccountPermit;
 use crate::doors::claims::{Claimed, claim, release, settle};
 use crate::doors::replies::{Body, Problem, full, set_outcome};
-use crate::process::host::Host;
+use crate::process::host_state::Host;
 
 /// Retry delay while no service can take a call.
 const BUSY_RETRY_MS: u64 = 200;
--- a/clayplankd/src/fleet/engine_watch.rs
+++ b/clayplankd/src/fleet/engine_watch.rs
@@ -9,9 +9,9 @@
 use clayplank_forward::{CallError, ExchangeError, request_complete};
 use clayplank_types::UpstreamId;
 
-use crate::doors::contract::EngineReport;
+use crate::doors::contract::EngineLoadReport;
 use crate::fleet::fleet_keeper::FleetKeeper;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Interval between two checks for suspect engines.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -35,14 +35,14 @@
 async fn query(fleet: &FleetKeeper, id: &UpstreamId, address: SocketAddr) {
     match request_report(fleet, address).await {
         Ok(report) => {
-            log::info!(target: part::KEEPER,
+            log::info!(target: log_target::KEEPER,
                 upstream = id.as_str(), pace = report.pace, running = report.running,
                 waiting = report.waiting, used_tokens = report.used_tokens;
                 "An engine reported its load");
             fleet.note_report(id, &report);
         }
         Err(error) => {
-            log::info!(target: part::KEEPER, upstream = id.as_str(), cause:% = error; "An engine did not answer a load report request");
+            log::info!(target: log_target::KEEPER, upstream = id.as_str(), cause:% = error; "An engine did not answer a load report request");
             if error.is_connect_failure() {
                 fleet.record_unreachable(id);
             }
@@ -69,8 +69,8 @@
 async fn request_report(
     fleet: &FleetKeeper,
     address: SocketAddr,
-) -> Result<EngineReport, ReportError> {
+) -> Result<EngineLoadReport, ReportError> {
     let contract = fleet.contract();
     let (_, body) = request_complete(address, contract.report_request(), REPORT_TIMEOUT).await?;
-    Ok(contract.scan_report(&body)?)
+    Ok(contract.parse_report(&body)?)
 }
--- a/clayplankd/src/fleet/fleet_engines.rs
+++ b/clayplankd/src/fleet/fleet_engines.rs
@@ -7,7 +7,7 @@
 use clayplank_routes::PlanIndex;
 use clayplank_types::{DataCentre, UpstreamId};
 
-use crate::process::clock::fleet_now_ms;
+use crate::process::clock::monotonic_now_ms;
 
 /// Sets the engines of a fleet from the plan and all registered upstreams, and removes those that
 /// are not registered.
@@ -35,7 +35,7 @@
         fleet.set_heartbeats_missing(&heartbeat.id, record.is_silent);
         if let Some(start) = plan.cold_start_limit(&heartbeat.service) {
             let remaining_ms = heartbeat.cold_left_ms as f64;
-            fleet.set_cold(fleet_now_ms(), &heartbeat.id, remaining_ms, start.requests_per_s);
+            fleet.set_cold(monotonic_now_ms(), &heartbeat.id, remaining_ms, start.requests_per_s);
         }
     }
 }
@@ -47,7 +47,7 @@
     for id in fleet.set_cordoned(cordoned.clone()) {
         let start = fleet.pool_of(&id).and_then(|pool| plan.cold_start_limit(pool));
         if let Some(start) = start {
-            fleet.set_cold(fleet_now_ms(), &id, start.lasts_ms as f64, start.requests_per_s);
+            fleet.set_cold(monotonic_now_ms(), &id, start.lasts_ms as f64, start.requests_per_s);
         }
     }
 }
--- a/clayplankd/src/fleet/fleet_keeper.rs
+++ b/clayplankd/src/fleet/fleet_keeper.rs
@@ -22,7 +22,7 @@
 use clayplank_types::{DataCentre, HostId, UpstreamId};
 use tokio::sync::watch;
 
-use crate::doors::contract::{EngineReport, SharedContract};
+use crate::doors::contract::{EngineLoadReport, SharedContract};
 use crate::fleet::fleet_engines::{set_cordoned, set_engines, update_engines};
 use crate::fleet::host_counts::HostCounts;
 use crate::fleet::mirror::{PlacementMirror, PlacementUpdates};
@@ -31,9 +31,9 @@
 use crate::follow::plan_edits::PlanEdits;
 use crate::keepers::keeper::AppliedState;
 use crate::keepers::keeper_client::KeeperClient;
-use crate::process::clock::{fleet_now_ms, millis, now_ms};
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::clock::{millis, monotonic_now_ms, now_ms};
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 
 /// Number of missing heartbeats after which an upstream counts as unresponsive.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
@@ -129,7 +129,7 @@
     pub(crate) fn apply(&self, heartbeats: &[Heartbeat]) {
         self.note_heartbeats(heartbeats);
         let now_ms = now_ms();
-        let mut registry = lock(&self.registry);
+        let mut registry = lock_ignoring_poison(&self.registry);
         let mut is_urgent = false;
         for heartbeat in heartbeats {
             if registry.apply(now_ms, heartbeat) {
@@ -148,22 +148,22 @@
 
     /// Records the heartbeats in the fleet, which then probes unreachable engines again.
     fn note_heartbeats(&self, heartbeats: &[Heartbeat]) {
-        let mut fleet = lock(&self.fleet);
+        let mut fleet = lock_ignoring_poison(&self.fleet);
         for heartbeat in heartbeats {
-            fleet.note_heartbeat(fleet_now_ms(), &heartbeat.id);
+            fleet.note_heartbeat(monotonic_now_ms(), &heartbeat.id);
         }
     }
 
     /// Restores the upstreams that this keeper knew before its restart.
     pub(crate) fn remember(&self, known: &[Heartbeat]) {
-        lock(&self.registry).restore(now_ms(), known);
+        lock_ignoring_poison(&self.registry).restore(now_ms(), known);
         self.notify_followers();
     }
 
     /// Returns the upstreams to save, without the departed ones, and the cursor of the newest
     /// change they include. `None` if nothing has changed since the cursor `saved`.
     pub(crate) fn upstreams_after(&self, saved: Cursor) -> Option<(Cursor, Vec<Heartbeat>)> {
-        let registry = lock(&self.registry);
+        let registry = lock_ignoring_poison(&self.registry);
         let cursor = registry.cursor();
         if cursor == saved {
             return None;
@@ -183,7 +183,7 @@
 
     /// Records that an upstream has departed. Returns the heartbeat to relay to the other keepers.
     pub(crate) fn leave(&self, departed: &Heartbeat) -> Heartbeat {
-        let departed = lock(&self.registry).apply_departure(now_ms(), departed);
+        let departed = lock_ignoring_poison(&self.registry).apply_departure(now_ms(), departed);
         log_status(&departed);
         self.notify_followers();
         departed
@@ -193,23 +193,23 @@
     fn notify_followers(&self) {
         self.has_unsent_updates.store(false, Ordering::SeqCst);
         self.update_engines();
-        let cursor = lock(&self.registry).cursor();
+        let cursor = lock_ignoring_poison(&self.registry).cursor();
         self.changed.send_replace(cursor);
     }
 
     /// Replaces all engines of the fleet, from the plan and the whole registry.
     fn set_engines(&self) {
-        *lock(&self.engines_cursor) = Cursor::default();
+        *lock_ignoring_poison(&self.engines_cursor) = Cursor::default();
         let Some(plan) = self.plan.load_full() else {
             return;
         };
         let (records, cursor) = {
-            let registry = lock(&self.registry);
+            let registry = lock_ignoring_poison(&self.registry);
             (registry.records().cloned().collect::<Vec<_>>(), registry.cursor())
         };
-        set_engines(&mut lock(&self.fleet), &plan, &records);
+        set_engines(&mut lock_ignoring_poison(&self.fleet), &plan, &records);
         self.restore_named_limits();
-        *lock(&self.engines_cursor) = cursor;
+        *lock_ignoring_poison(&self.engines_cursor) = cursor;
     }
 
     /// Updates the engines whose records have changed. The cost grows with the number of changes,
@@ -218,13 +218,13 @@
         let Some(plan) = self.plan.load_full() else {
             return;
         };
-        let mut engines_cursor = lock(&self.engines_cursor);
+        let mut engines_cursor = lock_ignoring_poison(&self.engines_cursor);
         loop {
             let (changes, newest) = {
-                let registry = lock(&self.registry);
+                let registry = lock_ignoring_poison(&self.registry);
                 (registry.changes_after(*engines_cursor), registry.cursor())
             };
-            update_engines(&mut lock(&self.fleet), &plan, &changes.records);
+            update_engines(&mut lock_ignoring_poison(&self.fleet), &plan, &changes.records);
             *engines_cursor = changes.cursor;
             if changes.cursor == newest {
                 return;
@@ -238,14 +238,14 @@
         if current == Some(document.version) {
             return;
         }
-        lock(&self.edits).record_plan(document);
+        lock_ignoring_poison(&self.edits).record_plan(document);
         match self.contract.parse_plan(&document.text) {
             Ok(plan) => {
                 self.plan.store(Some(Arc::new(PlanIndex::new(plan))));
                 self.set_engines();
             }
             Err(faults) => {
-                log::error!(target: part::KEEPER, "Cannot parse plan {}: {faults}", document.version);
+                log::error!(target: log_target::KEEPER, "Cannot parse plan {}: {faults}", document.version);
             }
         }
     }
@@ -253,7 +253,7 @@
     /// Applies the set of cordoned data centres, which get no new placements.
     fn set_cordoned(&self, cordoned: &BTreeSet<DataCentre>) {
         if let Some(plan) = self.plan.load_full() {
-            set_cordoned(&mut lock(&self.fleet), &plan, cordoned);
+            set_cordoned(&mut lock_ignoring_poison(&self.fleet), &plan, cordoned);
         }
     }
 
@@ -262,10 +262,10 @@
     /// thus gets one response per check, not one per upstream that registers.
     fn expire_records(&self, unresponsive_after_ms: u64) {
         self.queried_hosts.store(0, Ordering::SeqCst);
-        lock(&self.fleet).drop_expired(fleet_now_ms());
+        lock_ignoring_poison(&self.fleet).drop_expired(monotonic_now_ms());
         let (has_changed, has_removed) = {
             let now_ms = now_ms();
-            let mut registry = lock(&self.registry);
+            let mut registry = lock_ignoring_poison(&self.registry);
             let before = registry.cursor();
             let has_removed = registry.expire(now_ms, unresponsive_after_ms);
             registry.drain_unconfirmed(now_ms, 2 * self.heartbeat_ms);
@@ -285,10 +285,10 @@
         if self.lacks_upstreams() || self.plan.load().is_none() {
             return None;
         }
-        let mut fleet = lock(&self.fleet);
-        let placed = fleet.place(fleet_now_ms(), ask);
+        let mut fleet = lock_ignoring_poison(&self.fleet);
+        let placed = fleet.place(monotonic_now_ms(), ask);
         if let PlacementOutcome::At(assignment) = &placed {
-            lock(&self.mirror).record_placement(ask, assignment);
+            lock_ignoring_poison(&self.mirror).record_placement(ask, assignment);
         }
         if let PlacementOutcome::Full { retry_after_ms } = placed {
             let since_ms = fleet.since_first_try_ms(ask);
@@ -296,7 +296,7 @@
                 ask,
                 since_ms,
                 retry_after_ms,
-                &fleet.pool_summary(fleet_now_ms(), &ask.pool),
+                &fleet.pool_summary(monotonic_now_ms(), &ask.pool),
             );
         }
         Some(placed)
@@ -315,10 +315,10 @@
 
     /// Records events of placements.
     pub(crate) fn note(&self, events: &[(PlacementId, Event)]) {
-        lock(&self.mirror).record_events(events);
-        let mut fleet = lock(&self.fleet);
+        lock_ignoring_poison(&self.mirror).record_events(events);
+        let mut fleet = lock_ignoring_poison(&self.fleet);
         for (id, event) in events {
-            fleet.apply_event(fleet_now_ms(), *id, *event);
+            fleet.apply_event(monotonic_now_ms(), *id, *event);
         }
     }
 
@@ -328,9 +328,12 @@
         let named: Vec<_> =
             limits.into_iter().map(|limit| limit.into_observation(now_ms)).collect();
         for observed in &named {
-            if lock(&self.limits).apply_remote(observed) == LimitUpdateResult::Changed {
+            if lock_ignoring_poison(&self.limits).apply_remote(observed)
+                == LimitUpdateResult::Changed
+            {
                 log_limit(observed);
-                lock(&self.fleet).set_declared_limit(&observed.upstream, observed.requests_per_s);
+                lock_ignoring_poison(&self.fleet)
+                    .set_declared_limit(&observed.upstream, observed.requests_per_s);
             }
         }
         named
@@ -338,13 +341,13 @@
 
     /// Limits of upstreams that changed after `cursor`, for a follower.
     pub(crate) fn limit_changes(&self, cursor: Cursor) -> LimitChanges {
-        lock(&self.limits).changes_after(now_ms(), cursor)
+        lock_ignoring_poison(&self.limits).changes_after(now_ms(), cursor)
     }
 
     /// Applies the known limits again after all engines were replaced.
     fn restore_named_limits(&self) {
-        let limits = lock(&self.limits);
-        let mut fleet = lock(&self.fleet);
+        let limits = lock_ignoring_poison(&self.limits);
+        let mut fleet = lock_ignoring_poison(&self.fleet);
         for (id, per_s) in limits.iter() {
             fleet.set_declared_limit(id, Some(per_s));
         }
@@ -359,37 +362,37 @@
         let id = limit.upstream.clone();
         // The host that requests the permit may have learned of the limit before this keeper.
         self.note_limits(vec![limit]);
-        let limit_per_s = lock(&self.limits).limit_per_s(&id);
-        let mut permits = lock(&self.permits);
+        let limit_per_s = lock_ignoring_poison(&self.limits).limit_per_s(&id);
+        let mut permits = lock_ignoring_poison(&self.permits);
         let permit = permits.entry(id).or_default();
         permit.set_declared_limit(limit_per_s);
-        let taken = permit.acquire_permit(fleet_now_ms(), max_wait_ms as f64);
+        let taken = permit.acquire_permit(monotonic_now_ms(), max_wait_ms as f64);
         taken.map(|wait_ms| wait_ms.ceil() as u64).map_err(|wait_ms| wait_ms.ceil() as u64)
     }
 
     /// Removes limits of upstreams that are no longer registered.
     fn remove_unknown_limits(&self) {
-        let registry = lock(&self.registry);
+        let registry = lock_ignoring_poison(&self.registry);
         let is_known = |id: &UpstreamId| registry.record(id).is_some();
-        lock(&self.limits).expire(now_ms(), is_known);
-        lock(&self.permits).retain(|id, _| is_known(id));
+        lock_ignoring_poison(&self.limits).expire(now_ms(), is_known);
+        lock_ignoring_poison(&self.permits).retain(|id, _| is_known(id));
     }
 
     /// Adds placements that another keeper made.
     pub(crate) fn take_over(&self, placed: Vec<RunningPlacement>) {
-        lock(&self.fleet).take_over(fleet_now_ms(), &placed);
-        lock(&self.mirror).take_over(placed);
+        lock_ignoring_poison(&self.fleet).take_over(monotonic_now_ms(), &placed);
+        lock_ignoring_poison(&self.mirror).take_over(placed);
     }
 
     /// Removes and returns the placements known here, for the new leader.
     pub(crate) fn take_placements(&self) -> PlacementUpdates {
-        lock(&self.fleet).forget_placements();
-        lock(&self.mirror).take_all()
+        lock_ignoring_poison(&self.fleet).forget_placements();
+        lock_ignoring_poison(&self.mirror).take_all()
     }
 
     /// Removes all placements if no update arrived recently. Called on keepers that do not lead.
     pub(crate) fn clear_stale_placements(&self) {
-        if !lock(&self.mirror).is_current() {
+        if !lock_ignoring_poison(&self.mirror).is_current() {
             self.take_placements();
         }
     }
@@ -402,27 +405,27 @@
     /// Removes and returns the engines that should be queried for a load report, with their
     /// addresses.
     pub(crate) fn take_suspects(&self) -> Vec<(UpstreamId, SocketAddr)> {
-        let suspects = lock(&self.fleet).take_engines_to_query(fleet_now_ms());
-        let registry = lock(&self.registry);
+        let suspects = lock_ignoring_poison(&self.fleet).take_engines_to_query(monotonic_now_ms());
+        let registry = lock_ignoring_poison(&self.registry);
         let address = |id: &UpstreamId| Some(registry.record(id)?.heartbeat.address);
         suspects.into_iter().filter_map(|id| Some((id.clone(), address(&id)?))).collect()
     }
 
     /// Records the load report of an engine, unless a different incarnation of the engine answered.
-    pub(crate) fn note_report(&self, id: &UpstreamId, report: &EngineReport) {
-        if !lock(&self.registry).confirm_incarnation(now_ms(), id, report.born_ms) {
-            log::info!(target: part::KEEPER,
+    pub(crate) fn note_report(&self, id: &UpstreamId, report: &EngineLoadReport) {
+        if !lock_ignoring_poison(&self.registry).confirm_incarnation(now_ms(), id, report.born_ms) {
+            log::info!(target: log_target::KEEPER,
                 upstream = id.as_str(), answered_born_ms = report.born_ms;
                 "A different incarnation of an upstream answered");
             self.notify_followers();
             return;
         }
-        lock(&self.fleet).note_pace(fleet_now_ms(), id, report.pace);
+        lock_ignoring_poison(&self.fleet).note_pace(monotonic_now_ms(), id, report.pace);
     }
 
     /// Records that a connection to an engine could not be established.
     pub(crate) fn record_unreachable(&self, id: &UpstreamId) {
-        lock(&self.fleet).note_unreachable(fleet_now_ms(), id);
+        lock_ignoring_poison(&self.fleet).note_unreachable(monotonic_now_ms(), id);
     }
 
     pub(crate) fn contract(&self) -> &SharedContract {
@@ -449,11 +452,12 @@
         cursor: Cursor,
         digest: Option<&Digest>,
     ) -> Result<News, PackError> {
-        let registry = lock(&self.registry);
+        let registry = lock_ignoring_poison(&self.registry);
         let newest = registry.cursor();
         if cursor.life == 0 || cursor.life == newest.life {
             let read = || registry.changes_after(cursor);
-            let changes = lock(&self.update_pages).get_or_pack(newest, cursor, read)?;
+            let changes =
+                lock_ignoring_poison(&self.update_pages).get_or_pack(newest, cursor, read)?;
             return Ok(News { changes, ..News::default() });
         }
         let Some(digest) = digest else {
@@ -478,21 +482,21 @@
 
     /// Replaces the placements of each entry host incarnation in `renewals` by those it still runs.
     pub(crate) fn renew_all(&self, renewals: &RenewalsByIncarnation) {
-        let mut fleet = lock(&self.fleet);
+        let mut fleet = lock_ignoring_poison(&self.fleet);
         for (incarnation, renewed) in renewals {
-            fleet.sync_host(fleet_now_ms(), *incarnation, renewed);
+            fleet.sync_host(monotonic_now_ms(), *incarnation, renewed);
         }
     }
 
     /// Digest of the registry: a few numbers that followers and keepers compare to find
     /// differences.
     pub(crate) fn digest(&self) -> Digest {
-        lock(&self.registry).digest()
+        lock_ignoring_poison(&self.registry).digest()
     }
 
     /// Newest heartbeats of the upstreams in the given buckets of the digest.
     pub(crate) fn heartbeats_in(&self, buckets: Buckets) -> Vec<Heartbeat> {
-        let registry = lock(&self.registry);
+        let registry = lock_ignoring_poison(&self.registry);
         let heartbeats = registry.records().map(|record| &record.heartbeat);
         heartbeats.filter(|one| buckets.contains(&one.id)).cloned().collect()
     }
@@ -505,7 +509,7 @@
         let Some(document) = &delta.plan else {
             return Vec::new();
         };
-        let mut edits = lock(&self.edits);
+        let mut edits = lock_ignoring_poison(&self.edits);
         edits.record_plan(document);
         let edit = edits.packed_edit(plan_version, document);
         if edit.is_some() {
@@ -516,34 +520,34 @@
 
     /// Records a follow request of an entry host.
     pub(crate) fn note_entry_host(&self, host: HostId) {
-        lock(&self.entry_hosts).record_local(now_ms(), host);
+        lock_ignoring_poison(&self.entry_hosts).record_local(now_ms(), host);
     }
 
     /// Records the number of entry hosts that follow another keeper, as that keeper reported it.
     pub(crate) fn note_relayed_hosts(&self, keeper: HostId, hosts: u64) {
-        lock(&self.entry_hosts).record_peer(now_ms(), keeper, hosts);
+        lock_ignoring_poison(&self.entry_hosts).record_peer(now_ms(), keeper, hosts);
     }
 
     /// Records the total number of entry hosts that the leader reported.
     pub(crate) fn set_told_hosts(&self, hosts: u64) {
-        lock(&self.entry_hosts).record_leader_count(now_ms(), hosts);
+        lock_ignoring_poison(&self.entry_hosts).record_leader_count(now_ms(), hosts);
     }
 
     /// Number of entry hosts that follow this keeper.
     pub(crate) fn count_own_hosts(&self) -> u64 {
-        lock(&self.entry_hosts).count_local(now_ms())
+        lock_ignoring_poison(&self.entry_hosts).count_local(now_ms())
     }
 
     /// Number of entry hosts that follow any keeper, as far as this keeper knows.
     pub(crate) fn count_entry_hosts(&self) -> u64 {
-        lock(&self.entry_hosts).count_all(now_ms())
+        lock_ignoring_poison(&self.entry_hosts).count_all(now_ms())
     }
 
     /// Metrics in the Prometheus text format.
     pub(crate) fn to_text(&self) -> String {
-        let upstreams = lock(&self.registry).records().count();
-        let placed = lock(&self.fleet).placed_count();
-        let limited = lock(&self.limits).iter().count();
+        let upstreams = lock_ignoring_poison(&self.registry).records().count();
+        let placed = lock_ignoring_poison(&self.fleet).placed_count();
+        let limited = lock_ignoring_poison(&self.limits).iter().count();
         format!(
             "clayplank_keeper_upstreams {upstreams}\nclayplank_keeper_limited_upstreams {limited}\n\
              clayplank_keeper_placements {placed}\nclayplank_keeper_entry_hosts {}\n",
@@ -558,7 +562,7 @@
     retry_after_ms: u64,
     outlook: &PoolSummary,
 ) {
-    log::info!(target: part::KEEPER,
+    log::info!(target: log_target::KEEPER,
         prompt_tokens = ask.prompt_tokens, since_first_try_ms = since_first_try_ms as u64,
         retry_after_ms = retry_after_ms, engines = outlook.engines,
         taken_slots = outlook.taken_slots, helped_parts = outlook.helped_parts,
@@ -568,7 +572,7 @@
 }
 
 fn log_status(heartbeat: &Heartbeat) {
-    log::info!(target: part::KEEPER,
+    log::info!(target: log_target::KEEPER,
         upstream = heartbeat.id.as_str(), standing:? = heartbeat.standing,
         sequence = heartbeat.sequence, address:% = heartbeat.address,
         data_centre = heartbeat.data_centre.as_str(), cold_left_ms = heartbeat.cold_left_ms;
@@ -576,7 +580,7 @@
 }
 
 fn log_limit(observed: &LimitObservation) {
-    log::info!(target: part::KEEPER,
+    log::info!(target: log_target::KEEPER,
         upstream = observed.upstream.as_str(), limit_per_s = observed.requests_per_s;
         "An upstream's limit changed");
 }
--- a/clayplankd/src/fleet/fleet_link.rs
+++ b/clayplankd/src/fleet/fleet_link.rs
@@ -20,9 +20,9 @@
 use crate::fleet::fleet_engines::{set_cordoned, set_engines, update_engines};
 use crate::fleet::unreachable::Unreachable;
 use crate::keepers::keeper_client::KeeperClient;
-use crate::process::clock::{fleet_now_ms, millis, now_ms};
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::clock::{millis, monotonic_now_ms, now_ms};
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 use crate::process::peers::Peers;
 
 /// Time-out of a placement or permit request to a keeper. Without an answer, the host decides by
@@ -117,7 +117,7 @@
         match placed {
             Ok(reply) => decode(&reply.placed).ok(),
             Err(error) => {
-                log::info!(target: part::MEMBERS,
+                log::info!(target: log_target::MEMBERS,
                     keeper = keeper.as_str(), cause:% = error;
                     "A keeper does not choose engines");
                 unresponsive_until_ms.store(now_ms() + KEEPER_BACKOFF_MS, Ordering::SeqCst);
@@ -144,7 +144,7 @@
         match call.await {
             Ok(reply) => Some(reply),
             Err(error) => {
-                log::info!(target: part::MEMBERS,
+                log::info!(target: log_target::MEMBERS,
                     keeper = keeper.as_str(), cause:% = error;
                     "A keeper did not answer a request for a permit");
                 None
@@ -161,22 +161,23 @@
     }
 
     fn place_locally(&self, ask: &PlacementRequest) -> PlacementOutcome {
-        log::info!(target: part::MEMBERS, prompt_tokens = ask.prompt_tokens; "Chooses engines by itself");
-        lock(&self.local_fleet).place(fleet_now_ms(), ask)
+        log::info!(target: log_target::MEMBERS, prompt_tokens = ask.prompt_tokens; "Chooses engines by itself");
+        lock_ignoring_poison(&self.local_fleet).place(monotonic_now_ms(), ask)
     }
 
     /// Returns the request with the engines that this host failed to connect to recently excluded.
     fn without_unreachable(&self, ask: &PlacementRequest) -> PlacementRequest {
         let mut ask = ask.clone();
-        ask.avoid.extend(lock(&self.unreachable).ids(now_ms()).cloned());
+        ask.avoid.extend(lock_ignoring_poison(&self.unreachable).ids(now_ms()).cloned());
         ask
     }
 
     /// Avoids the engine of a placement for a while, after a failed connection.
     fn avoid_engine(&self, id: PlacementId) {
-        let active = lock(&self.active);
+        let active = lock_ignoring_poison(&self.active);
         if let Some(renewed) = active.get(&id) {
-            lock(&self.unreachable).insert(now_ms(), renewed.assignment.engine.clone());
+            lock_ignoring_poison(&self.unreachable)
+                .insert(now_ms(), renewed.assignment.engine.clone());
         }
     }
 
@@ -190,7 +191,7 @@
             assignment: assignment.clone(),
             is_started: false,
         };
-        lock(&self.active).insert(ask.id, renewed);
+        lock_ignoring_poison(&self.active).insert(ask.id, renewed);
     }
 
     /// Incarnation of this host in the ids of its placements.
@@ -200,12 +201,12 @@
 
     /// Placements that are still running, for the periodic renewal at the leader.
     pub(crate) fn renewed(&self) -> Vec<RunningPlacement> {
-        lock(&self.active).values().cloned().collect()
+        lock_ignoring_poison(&self.active).values().cloned().collect()
     }
 
     /// Adds or updates some of the engines for local placement.
     pub(crate) fn change_engines(&self, plan: &PlanIndex, records: &[Record]) {
-        update_engines(&mut lock(&self.local_fleet), plan, records);
+        update_engines(&mut lock_ignoring_poison(&self.local_fleet), plan, records);
     }
 
     pub(crate) fn peers(&self) -> &Peers {
@@ -214,7 +215,8 @@
 
     /// Applies the rate limit that an engine named, or its lifting, to local placement.
     pub(crate) fn set_declared_limit(&self, observed: &LimitObservation) {
-        lock(&self.local_fleet).set_declared_limit(&observed.upstream, observed.requests_per_s);
+        lock_ignoring_poison(&self.local_fleet)
+            .set_declared_limit(&observed.upstream, observed.requests_per_s);
     }
 
     /// Queues a limit for the report to the keeper that places prompts.
@@ -224,17 +226,17 @@
 
     /// Excludes the engines of cordoned data centres from local placement.
     pub(crate) fn set_cordoned(&self, plan: &PlanIndex, cordoned: &BTreeSet<DataCentre>) {
-        set_cordoned(&mut lock(&self.local_fleet), plan, cordoned);
+        set_cordoned(&mut lock_ignoring_poison(&self.local_fleet), plan, cordoned);
     }
 
     /// Sets the number of hosts that may place locally at the same time.
     pub(crate) fn set_hosts(&self, hosts: u64) {
-        lock(&self.local_fleet).set_hosts(hosts);
+        lock_ignoring_poison(&self.local_fleet).set_hosts(hosts);
     }
 
     /// Replaces the engines for local placement.
     pub(crate) fn set_engines(&self, plan: &PlanIndex, records: &[Record]) {
-        set_engines(&mut lock(&self.local_fleet), plan, records);
+        set_engines(&mut lock_ignoring_poison(&self.local_fleet), plan, records);
     }
 }
 
@@ -248,7 +250,11 @@
             };
             self.record_placement(&ask, &placed);
             let running = self.renewed();
-            lock(&self.local_fleet).sync_host(fleet_now_ms(), self.incarnation, &running);
+            lock_ignoring_poison(&self.local_fleet).sync_host(
+                monotonic_now_ms(),
+                self.incarnation,
+                &running,
+            );
             placed
         })
     }
@@ -257,10 +263,14 @@
         if event == Event::Unreached {
             self.avoid_engine(id);
         }
-        lock(&self.local_fleet).apply_event(fleet_now_ms(), id, local_event(event));
+        lock_ignoring_poison(&self.local_fleet).apply_event(
+            monotonic_now_ms(),
+            id,
+            local_event(event),
+        );
         match event {
             Event::Started { .. } => {
-                if let Some(renewed) = lock(&self.active).get_mut(&id) {
+                if let Some(renewed) = lock_ignoring_poison(&self.active).get_mut(&id) {
                     renewed.is_started = true;
                 }
             }
@@ -269,7 +279,7 @@
             | Event::Broken
             | Event::Unreached
             | Event::HelperFailed { .. } => {
-                lock(&self.active).remove(&id);
+                lock_ignoring_poison(&self.active).remove(&id);
             }
         }
         self.events.send((id, event)).ok();
@@ -338,7 +348,7 @@
             .call(&keeper, REPORT_TIMEOUT, |mut client| async move { client.report(request).await })
             .await;
         if let Err(error) = sent {
-            log::debug!(target: part::MEMBERS, "Failed to report events of placements to {keeper}: {error}.");
+            log::debug!(target: log_target::MEMBERS, "Failed to report events of placements to {keeper}: {error}.");
         }
     }
 }
--- a/clayplankd/src/fleet/limit_reports.rs
+++ b/clayplankd/src/fleet/limit_reports.rs
@@ -13,7 +13,7 @@
 
 use crate::fleet::fleet_link::FleetLink;
 use crate::process::clock::now_ms;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Time for which limits are collected into one call.
 const BATCH_DELAY: Duration = Duration::from_millis(15);
@@ -69,7 +69,7 @@
         .call(&keeper, REPORT_TIMEOUT, |mut client| async move { client.report(request).await })
         .await;
     if let Err(error) = &sent {
-        log::debug!(target: part::MEMBERS, "Failed to report limits of upstreams, retries: {error}.");
+        log::debug!(target: log_target::MEMBERS, "Failed to report limits of upstreams, retries: {error}.");
     }
     sent.is_ok()
 }
--- a/clayplankd/src/fleet/mirror.rs
+++ b/clayplankd/src/fleet/mirror.rs
@@ -18,8 +18,8 @@
 use crate::keepers::keeper::Keeper;
 use crate::keepers::keeper_messages::{GetPlacementKeepers, PlacementKeepers};
 use crate::process::clock::now_ms;
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 use crate::process::peers::Peers;
 
 /// Interval at which collected updates are sent, in one call.
@@ -193,7 +193,7 @@
             fleet.keepers().set_deputy(deputy.clone());
             let is_new = deputy.is_some() && informed_deputy != deputy;
             informed_deputy.clone_from(&deputy);
-            let mut mirror = lock(fleet.mirror());
+            let mut mirror = lock_ignoring_poison(fleet.mirror());
             (deputy, if is_new { mirror.all_as_updates() } else { mirror.take_updates() })
         } else if informed_leader.as_ref() != Some(&leader) {
             informed_deputy = None;
@@ -201,7 +201,7 @@
             (Some(leader), fleet.take_placements())
         } else {
             fleet.clear_stale_placements();
-            (None, lock(fleet.mirror()).take_updates())
+            (None, lock_ignoring_poison(fleet.mirror()).take_updates())
         };
         if let Some(to) = to.filter(|_| !updates.is_empty()) {
             tokio::spawn(send(peers.clone(), to, updates));
@@ -211,7 +211,7 @@
 
 async fn send(peers: Peers, to: HostId, updates: PlacementUpdates) {
     let (Ok(placed), Ok(events)) = (encode(&updates.placed), encode(&updates.events)) else {
-        log::error!(target: part::KEEPER, "Failed to encode placements for another keeper.");
+        log::error!(target: log_target::KEEPER, "Failed to encode placements for another keeper.");
         return;
     };
     let request = ReportRequest { events, placed, ..ReportRequest::default() };
@@ -219,6 +219,6 @@
         .call(&to, CALL_TIMEOUT, |mut client| async move { client.report(request).await })
         .await;
     if let Err(error) = sent {
-        log::debug!(target: part::KEEPER, "Failed to send placements to {to}: {error}.");
+        log::debug!(target: log_target::KEEPER, "Failed to send placements to {to}: {error}.");
     }
 }
--- a/clayplankd/src/fleet/sightings.rs
+++ b/clayplankd/src/fleet/sightings.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 
 use crate::keepers::keeper_client::KeeperClient;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Time for which observations are collected into one command: an upstream that terminates runs up
 /// to a few tens of requests, each of which yields an observation.
@@ -51,7 +51,7 @@
 impl QuarantineAuthority for SightingLink {
     fn report(&self, observation: Observation) {
         if let Err(error) = self.observations.try_send(observation) {
-            log::warn!(target: part::KEEPER, cause:% = error; "Discarded an observation of a request before it was reported to the keepers");
+            log::warn!(target: log_target::KEEPER, cause:% = error; "Discarded an observation of a request before it was reported to the keepers");
         }
     }
 
@@ -61,7 +61,7 @@
                 Ok(Reply::Trial(TrialReply::Granted | TrialReply::NotNeeded)) => true,
                 Ok(_) => false,
                 Err(error) => {
-                    log::info!(target: part::KEEPER, cause:% = error; "The keepers did not answer a trial claim");
+                    log::info!(target: log_target::KEEPER, cause:% = error; "The keepers did not answer a trial claim");
                     false
                 }
             }
@@ -102,11 +102,11 @@
                 return;
             }
             Ok(_) => {
-                log::error!(target: part::KEEPER, "The keepers answered a report of observations with a reply of another type.");
+                log::error!(target: log_target::KEEPER, "The keepers answered a report of observations with a reply of another type.");
                 return;
             }
             Err(error) => {
-                log::info!(target: part::KEEPER,
+                log::info!(target: log_target::KEEPER,
                     cause:% = error, observations = batch.len();
                     "Could not report the requests of terminated upstreams to the keepers; retries");
             }
@@ -130,12 +130,12 @@
 fn log_verdicts(verdicts: &QuarantineChanges) {
     for QuarantinedRequest { fingerprint, caller, ended, .. } in &verdicts.held_back {
         let ended: Vec<_> = ended.iter().map(ToString::to_string).collect();
-        log::warn!(target: part::KEEPER,
+        log::warn!(target: log_target::KEEPER,
             fingerprint:% = fingerprint, caller = caller, ended = ended.join(" ");
             "A request terminated several upstreams in succession and is quarantined");
     }
     for fingerprint in &verdicts.lifted {
-        log::info!(target: part::KEEPER,
+        log::info!(target: log_target::KEEPER,
             fingerprint:% = fingerprint;
             "The quarantine of a request was lifted");
     }
--- a/clayplankd/src/fleet/spread.rs
+++ b/clayplankd/src/fleet/spread.rs
@@ -13,8 +13,8 @@
 
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::now_ms;
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 use crate::process::peers::Peers;
 
 /// Interval at which a keeper sends the collected heartbeats, in one call to each other keeper.
@@ -48,7 +48,7 @@
     }
 
     fn take_pending(&self) -> Vec<Heartbeat> {
-        std::mem::take(&mut *lock(&self.pending))
+        std::mem::take(&mut *lock_ignoring_poison(&self.pending))
     }
 
     /// Tries the keepers in random order until one accepts the heartbeats.
@@ -60,7 +60,7 @@
                 return;
             }
         }
-        log::warn!(target: part::KEEPER, heartbeats = heartbeats.len(); "No keeper accepted the collected heartbeats");
+        log::warn!(target: log_target::KEEPER, heartbeats = heartbeats.len(); "No keeper accepted the collected heartbeats");
     }
 
     fn peer_keepers(&self) -> Vec<HostId> {
@@ -71,16 +71,16 @@
 
     /// Queues a heartbeat for the next call.
     pub(crate) fn push(&self, heartbeat: Heartbeat) {
-        lock(&self.pending).push(heartbeat);
+        lock_ignoring_poison(&self.pending).push(heartbeat);
     }
 
     /// Queues a limit for the next call. It replaces an earlier one of the same upstream.
     pub(crate) fn push_limit(&self, limit: LimitObservation) {
-        lock(&self.pending_limits).insert(limit.upstream.clone(), limit);
+        lock_ignoring_poison(&self.pending_limits).insert(limit.upstream.clone(), limit);
     }
 
     fn take_pending_limits(&self) -> Vec<AgedLimit> {
-        let limits = std::mem::take(&mut *lock(&self.pending_limits));
+        let limits = std::mem::take(&mut *lock_ignoring_poison(&self.pending_limits));
         limits.values().map(|limit| limit.to_aged(now_ms())).collect()
     }
 
@@ -127,7 +127,7 @@
             .call(host, timeout, |mut client| async move { client.spread(request).await })
             .await;
         if let Err(error) = &sent {
-            log::debug!(target: part::KEEPER, "Failed to relay heartbeats to {host}: {error}.");
+            log::debug!(target: log_target::KEEPER, "Failed to relay heartbeats to {host}: {error}.");
         }
         sent.is_ok()
     }
@@ -142,7 +142,7 @@
             continue;
         }
         let (Ok(heartbeats), Ok(limits)) = (encode(&heartbeats), encode(&limits)) else {
-            log::error!(target: part::KEEPER, "Failed to encode heartbeats and limits for relaying.");
+            log::error!(target: log_target::KEEPER, "Failed to encode heartbeats and limits for relaying.");
             continue;
         };
         let request = SpreadRequest { heartbeats, limits, passes_on: false };
--- a/clayplankd/src/fleet/upstream_memory.rs
+++ b/clayplankd/src/fleet/upstream_memory.rs
@@ -14,7 +14,7 @@
 use clayplank_registry::{Cursor, Heartbeat};
 
 use crate::fleet::fleet_keeper::FleetKeeper;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Name of the stored note.
 const NOTE_NAME: &str = "upstreams";
@@ -27,13 +27,13 @@
 pub(crate) fn recall_upstreams(fleet: &FleetKeeper, notes: &SideFiles) {
     match notes.load::<Vec<Heartbeat>>(NOTE_NAME) {
         Ok(Some(known)) => {
-            log::info!(target: part::KEEPER, upstreams = known.len(); "Restored the saved upstreams");
+            log::info!(target: log_target::KEEPER, upstreams = known.len(); "Restored the saved upstreams");
             fleet.remember(&known);
         }
         Ok(None) => {}
         // Not fatal: heartbeats rebuild the registry.
         Err(error) => {
-            log::warn!(target: part::KEEPER, cause:% = error; "Failed to load the saved upstreams");
+            log::warn!(target: log_target::KEEPER, cause:% = error; "Failed to load the saved upstreams");
         }
     }
 }
@@ -47,7 +47,7 @@
             continue;
         };
         if let Err(error) = save(notes.clone(), known).await {
-            log::warn!(target: part::KEEPER, cause:% = error; "Failed to save the registered upstreams; retries");
+            log::warn!(target: log_target::KEEPER, cause:% = error; "Failed to save the registered upstreams; retries");
             continue;
         }
         saved = cursor;
--- a/clayplankd/src/follow/current_settings.rs
+++ b/clayplankd/src/follow/current_settings.rs
@@ -9,8 +9,8 @@
 
 use crate::keepers::keeper_messages::WATCH_HOLD_MS;
 use crate::process::clock::{millis, now_ms};
-use crate::process::host::Host;
-use crate::process::logging::part;
+use crate::process::host_state::Host;
+use crate::process::logging::log_target;
 
 /// The newest settings, and the time of their last confirmation.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
 /// Keeps the settings up to date. The lease counts from the time at which the confirmation was
 /// requested, not from its arrival: the answer may have been delayed on its way.
 pub(crate) async fn run_settings_watch(host: Arc<Host>, local_host: HostId) {
-    let current = &host.current;
+    let current = &host.replicated_settings;
     let timeout = millis(WATCH_HOLD_MS + current.lease_ms);
     loop {
         let applied = current.view();
@@ -53,7 +53,7 @@
         let (mut delta, requested_ms) = match result {
             Ok(answer) => answer,
             Err(error) => {
-                log::warn!(target: part::SETTINGS,
+                log::warn!(target: log_target::SETTINGS,
                     "The keepers did not confirm the settings: {error}");
                 continue;
             }
@@ -65,11 +65,11 @@
             let mut next = SettingsView::clone(&applied);
             let (revision, count) = (delta.revision, delta.items.len());
             if let Err(error) = next.apply(delta) {
-                log::error!(target: part::SETTINGS,
+                log::error!(target: log_target::SETTINGS,
                     "Could not apply an update of the settings: {error}");
                 continue;
             }
-            log::info!(target: part::SETTINGS,
+            log::info!(target: log_target::SETTINGS,
                 "Applied revision {revision} of the settings, which changed {count} of them.");
             current.view.store(Arc::new(next));
         }
--- a/clayplankd/src/follow/follow_metrics.rs
+++ b/clayplankd/src/follow/follow_metrics.rs
@@ -7,7 +7,7 @@
 use clayplank_types::HostId;
 
 use crate::process::clock::now_ms;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Number of failed exchanges, since the plan was last confirmed, that get a log line each. Further ones
 /// are only counted in summary lines.
@@ -126,7 +126,7 @@
         if self.failed > MAX_FAILURE_LINES && now_ms < self.logged_ms + SUMMARY_INTERVAL_MS {
             return;
         }
-        log::warn!(target: part::SETTINGS,
+        log::warn!(target: log_target::SETTINGS,
             keeper = keeper.as_str(), cause = cause,
             waited_ms = now_ms.saturating_sub(requested_ms),
             silence_ms = now_ms.saturating_sub(self.confirmed_ms),
@@ -150,7 +150,7 @@
         let former = self.leader.replace(leader.clone());
         let is_other_leader = former.as_ref().is_some_and(|former| former != leader);
         if is_other_leader || (former.is_some() && unconfirmed_ms >= MIN_LOGGED_SILENCE_MS) {
-            log::info!(target: part::SETTINGS,
+            log::info!(target: log_target::SETTINGS,
                 version = plan_version, keeper = keeper.as_str(), leader = leader.as_str(),
                 lost_ms = unconfirmed_ms, failed = self.failed;
                 "The plan is confirmed again");
--- a/clayplankd/src/follow/follow_responder.rs
+++ b/clayplankd/src/follow/follow_responder.rs
@@ -12,7 +12,7 @@
 use crate::follow::leader_confirmation::{Relay, RenewalsByIncarnation};
 use crate::keepers::keeper::Keeper;
 use crate::keepers::keeper_messages::{GetDelta, Watch, WatchOutcome};
-use crate::process::inner::malformed;
+use crate::process::peer_service::invalid_message;
 
 /// The parts of a keeper that answer its followers.
 #[derive(Clone, Copy)]
@@ -42,21 +42,22 @@
         self,
         request: FollowRequest,
     ) -> Result<follow_reply::Result, Status> {
-        let known: Vec<Heartbeat> = decode(&request.known).map_err(malformed)?;
+        let known: Vec<Heartbeat> = decode(&request.known).map_err(invalid_message)?;
         let decoded = DecodedRequest {
             host: HostId::new(request.from_host),
             revision: request.applied_revision,
             plan_version: request.plan_version,
-            cursor: decode(&request.cursor).map_err(malformed)?,
+            cursor: decode(&request.cursor).map_err(invalid_message)?,
             digest: decode_digest(&request.digest)?,
-            limits_cursor: decode(&request.limits_cursor).map_err(malformed)?,
+            limits_cursor: decode(&request.limits_cursor).map_err(invalid_message)?,
             is_hedge: request.is_hedge,
         };
         self.fleet.learn(&known);
         match request.keeper {
             Some(keeper_part) => self.answer_keeper(&decoded, &keeper_part).await,
             None => {
-                let renewed: Vec<RunningPlacement> = decode(&request.renewed).map_err(malformed)?;
+                let renewed: Vec<RunningPlacement> =
+                    decode(&request.renewed).map_err(invalid_message)?;
                 self.relay.record_renewals(request.life, renewed);
                 self.answer_host(&decoded).await
             }
@@ -83,7 +84,8 @@
         request: &DecodedRequest,
         keeper_part: &KeeperFollow,
     ) -> Result<follow_reply::Result, Status> {
-        let renewals: RenewalsByIncarnation = decode(&keeper_part.renewals).map_err(malformed)?;
+        let renewals: RenewalsByIncarnation =
+            decode(&keeper_part.renewals).map_err(invalid_message)?;
         let watch =
             Watch { host: request.host.clone(), applied_revision: request.revision, wait_ms: 0 };
         let answer = self.keeper.send(watch).await.map_err(|_| stopping_status())?;
@@ -113,10 +115,10 @@
             true => News::later(request.cursor),
             false => fleet.news_for(request.cursor, request.digest.as_ref()),
         };
-        let updates = updates.map_err(malformed)?;
+        let updates = updates.map_err(invalid_message)?;
         let plan_edit = fleet.take_edit(&mut delta, request.plan_version);
         Ok(follow_reply::Result::Followed(Followed {
-            delta: encode(&delta).map_err(malformed)?,
+            delta: encode(&delta).map_err(invalid_message)?,
             plan_edit,
             changes: updates.changes,
             entry_hosts: fleet.count_entry_hosts(),
@@ -140,7 +142,7 @@
     if changes.cursor == cursor {
         return Ok(Vec::new());
     }
-    encode(&changes).map_err(malformed)
+    encode(&changes).map_err(invalid_message)
 }
 
 /// The digest that a follower sent; `None` if it sent none.
@@ -148,5 +150,5 @@
     if bytes.is_empty() {
         return Ok(None);
     }
-    decode(bytes).map(Some).map_err(malformed)
+    decode(bytes).map(Some).map_err(invalid_message)
 }
--- a/clayplankd/src/follow/follow_task.rs
+++ b/clayplankd/src/follow/follow_task.rs
@@ -23,7 +23,7 @@
 use crate::follow::follow_metrics::{ExchangeOutcome, FollowLog, FollowMetrics};
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::{millis, now_ms};
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Maximum random pause, in ms, after the first exchange in which no keeper confirmed the plan.
 const RETRY_PAUSE_MS: u64 = 100;
@@ -104,7 +104,7 @@
             Ok((keeper, false)) => choice.record_failure(now_ms(), keeper),
             // The keeper stays suspect, and is probed again.
             Err(error) => {
-                log::error!(target: part::SETTINGS, "A keeper probe task failed: {error}")
+                log::error!(target: log_target::SETTINGS, "A keeper probe task failed: {error}")
             }
         }
     }
@@ -213,13 +213,13 @@
         let (Ok(delta), Ok(changes)) =
             (decode::<Delta>(&followed.delta), unpack::<Changes>(&followed.changes))
         else {
-            log::error!(target: part::SETTINGS, "Could not decode the answer of a keeper.");
+            log::error!(target: log_target::SETTINGS, "Could not decode the answer of a keeper.");
             return;
         };
         let plan = match new_plan(position, &delta, &followed.plan_edit) {
             Ok(plan) => plan,
             Err(error) => {
-                log::warn!(target: part::SETTINGS, cause:% = error;
+                log::warn!(target: log_target::SETTINGS, cause:% = error;
                     "Could not apply an edit of the plan; requests the complete plan");
                 position.plan = PlanDocument::default();
                 return;
@@ -276,7 +276,7 @@
         let changes = match decode::<LimitChanges>(limits) {
             Ok(changes) => changes,
             Err(error) => {
-                log::error!(target: part::SETTINGS,
+                log::error!(target: log_target::SETTINGS,
                     "Could not decode the limits of upstreams: {error}");
                 return;
             }
@@ -298,13 +298,13 @@
         let version = document.version;
         match self.contract.parse_plan(&document.text) {
             Ok(plan) => {
-                log::info!(target: part::SETTINGS, version = version; "A plan is in force");
+                log::info!(target: log_target::SETTINGS, version = version; "A plan is in force");
                 self.directory.set_cold_starts(&plan);
                 self.gate.set_plan(PlanIndex::new(plan));
                 true
             }
             Err(faults) => {
-                log::error!(target: part::SETTINGS,
+                log::error!(target: log_target::SETTINGS,
                     "Could not parse version {version} of the plan: {faults}");
                 false
             }
@@ -314,7 +314,7 @@
     /// Cordons data centres: no further requests are sent to their upstreams.
     fn set_cordoned(&self, cordoned: BTreeSet<DataCentre>) {
         let names: Vec<_> = cordoned.iter().map(DataCentre::as_str).collect();
-        log::info!(target: part::SETTINGS, cordoned = names.join(","); "Cordons are in force");
+        log::info!(target: log_target::SETTINGS, cordoned = names.join(","); "Cordons are in force");
         let plan = self.gate.plan().unwrap_or_default();
         self.link.set_cordoned(&plan, &cordoned);
         self.directory.set_cordoned(cordoned);
--- a/clayplankd/src/follow/leader_confirmation.rs
+++ b/clayplankd/src/follow/leader_confirmation.rs
@@ -24,8 +24,8 @@
 use crate::keepers::keeper::{AppliedState, Keeper};
 use crate::keepers::keeper_messages::{Watch, WatchOutcome};
 use crate::process::clock::{millis, now_ms};
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 use crate::process::peers::{PeerError, Peers};
 
 /// Pause between two rounds. The answer of a round serves all followers that wait.
@@ -166,7 +166,7 @@
 
     /// Records the placements that an incarnation of a host runs, for the next report to the leader.
     pub(crate) fn record_renewals(&self, incarnation: u64, renewed: Vec<RunningPlacement>) {
-        let mut pending = lock(&self.renewals);
+        let mut pending = lock_ignoring_poison(&self.renewals);
         let was_busy = if renewed.is_empty() {
             pending.busy.remove(&incarnation)
         } else {
@@ -231,7 +231,7 @@
         self.unconfirmed_logged_ms.store(now_ms, Ordering::SeqCst);
         let (confirmed, failed) = self.rounds.finished();
         let leader = self.applied.borrow().leader.clone();
-        log::warn!(target: part::KEEPER,
+        log::warn!(target: log_target::KEEPER,
             leader = leader.as_ref().map_or("", HostId::as_str),
             rounds_confirmed = confirmed - before.0, rounds_failed = failed - before.1;
             "A follower is not confirmed");
@@ -336,7 +336,7 @@
     }
 
     fn take_renewals(&self) -> RenewalsByIncarnation {
-        std::mem::take(&mut lock(&self.renewals).by_incarnation)
+        std::mem::take(&mut lock_ignoring_poison(&self.renewals).by_incarnation)
     }
 }
 
@@ -362,7 +362,7 @@
             }
             Err(cause) => {
                 relay.rounds.failed.fetch_add(1, Ordering::SeqCst);
-                log::debug!(target: part::KEEPER,
+                log::debug!(target: log_target::KEEPER,
                     "A round brought no confirmation for the followers: {cause}");
                 // The followers still wait, so another round is needed.
                 relay.round_requested.notify_one();
--- a/clayplankd/src/keepers/full_disk.rs
+++ b/clayplankd/src/keepers/full_disk.rs
@@ -5,7 +5,7 @@
 use clayplank_agreement::StoreError;
 
 use crate::process::clock::now_ms;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Pause between two write attempts: short compared with the seconds that it takes to free space on
 /// a full disk.
@@ -23,7 +23,7 @@
     pub(crate) async fn wait(&mut self, error: &StoreError) {
         if self.since_ms.is_none() {
             self.since_ms = Some(now_ms());
-            log::error!(target: part::KEEPER, cause:% = error; "The disk is full; waits for room");
+            log::error!(target: log_target::KEEPER, cause:% = error; "The disk is full; waits for room");
         }
         clayplank_clock::sleep(RETRY_PAUSE).await;
     }
@@ -31,7 +31,7 @@
     /// Records that a write succeeded.
     pub(crate) fn record_success(&mut self) {
         if let Some(since_ms) = self.since_ms.take() {
-            log::info!(target: part::KEEPER, waited_ms = now_ms() - since_ms;
+            log::info!(target: log_target::KEEPER, waited_ms = now_ms() - since_ms;
                 "The disk has room again");
         }
     }
--- a/clayplankd/src/keepers/keeper.rs
+++ b/clayplankd/src/keepers/keeper.rs
@@ -17,7 +17,7 @@
 use crate::keepers::keeper_log::KeeperLog;
 use crate::keepers::keeper_messages::{CommandOutcome, WatchOutcome};
 use crate::process::clock::now_ms;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Maximum number of messages that are handled before a write although more are queued.
 const MAX_BATCH_MESSAGES: usize = 512;
@@ -319,7 +319,7 @@
 
     /// Stops this replica permanently and reports the disk failure, which ends the process.
     pub(crate) fn stop_on_disk_failure(&mut self, error: StoreError) {
-        log::error!(target: part::KEEPER,
+        log::error!(target: log_target::KEEPER,
             "Writing to the disk failed, stopping this replica: {error}");
         self.replica = None;
         self.disk_failed.try_send(error).ok();
@@ -373,12 +373,12 @@
         let leads = self.replica.as_ref().is_some_and(Replica::is_leader);
         self.led_since_ms = match (leads, self.led_since_ms) {
             (true, None) => {
-                log::info!(target: part::KEEPER, "Leads the keepers.");
+                log::info!(target: log_target::KEEPER, "Leads the keepers.");
                 Some(now_ms())
             }
             (true, since_ms) => since_ms,
             (false, Some(_)) => {
-                log::info!(target: part::KEEPER, "This keeper is no longer the leader.");
+                log::info!(target: log_target::KEEPER, "This keeper is no longer the leader.");
                 None
             }
             (false, None) => None,
@@ -477,12 +477,12 @@
         self.store = Some(store);
         match result {
             Ok(()) => {
-                log::info!(target: part::KEEPER,
+                log::info!(target: log_target::KEEPER,
                     "Replaced the log up to index {} by a snapshot.", self.applied_index)
             }
             // The previous files are still complete; the next flush tries again.
             Err(error) if error.is_full() => {
-                log::warn!(target: part::KEEPER, cause:% = error;
+                log::warn!(target: log_target::KEEPER, cause:% = error;
                     "The disk is too full to compact the log; keeps the previous files");
             }
             Err(error) => self.stop_on_disk_failure(error),
--- a/clayplankd/src/keepers/keeper_client.rs
+++ b/clayplankd/src/keepers/keeper_client.rs
@@ -16,8 +16,8 @@
 
 use crate::keepers::keeper_messages::WATCH_HOLD_MS;
 use crate::process::clock::{millis, now_ms};
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 use crate::process::peers::{PeerError, Peers};
 
 /// Pause between two attempts.
@@ -124,64 +124,64 @@
 
     /// Replaces the bootstrap addresses by those that the settings now name.
     pub(crate) fn set_bootstrap_hosts(&self, seeds: impl IntoIterator<Item = HostId>) {
-        lock(&self.state).hosts.set_bootstrap_hosts(seeds);
+        lock_ignoring_poison(&self.state).hosts.set_bootstrap_hosts(seeds);
         self.hosts_learned.notify_one();
     }
 
     /// Replaces the known keepers by the complete list of a keeper that hears the leader.
     pub(crate) fn set_keepers(&self, keepers: impl IntoIterator<Item = HostId>) {
-        lock(&self.state).hosts.set_keepers(keepers);
+        lock_ignoring_poison(&self.state).hosts.set_keepers(keepers);
     }
 
     /// Adds keepers that peers know. A peer's list may be outdated, so no keeper is removed.
     pub(crate) fn add_keepers(&self, keepers: impl IntoIterator<Item = HostId>) {
-        if lock(&self.state).hosts.add_keepers(keepers) {
+        if lock_ignoring_poison(&self.state).hosts.add_keepers(keepers) {
             self.hosts_learned.notify_one();
         }
     }
 
     /// Adds hosts that may know keepers.
     pub(crate) fn add_contacts(&self, hosts: impl IntoIterator<Item = HostId>) {
-        let mut state = lock(&self.state);
+        let mut state = lock_ignoring_poison(&self.state);
         hosts.into_iter().for_each(|host| state.hosts.add_contact(host));
     }
 
     /// All known keepers.
     pub(crate) fn keepers(&self) -> Vec<HostId> {
-        lock(&self.state).hosts.keepers().to_vec()
+        lock_ignoring_poison(&self.state).hosts.keepers().to_vec()
     }
 
     /// Hosts that may know keepers and are not known to be keepers themselves.
     pub(crate) fn contacts(&self) -> Vec<HostId> {
-        lock(&self.state).hosts.contacts().cloned().collect()
+        lock_ignoring_poison(&self.state).hosts.contacts().cloned().collect()
     }
 
     /// The contacts to send to another host: a few of them, and only while no keeper is known.
     pub(crate) fn sample_contacts(&self) -> Vec<HostId> {
-        lock(&self.state).hosts.sample_contacts(&mut rand::rng())
+        lock_ignoring_poison(&self.state).hosts.sample_contacts(&mut rand::rng())
     }
 
     /// The last known leader.
     pub(crate) fn leader(&self) -> Option<HostId> {
-        lock(&self.state).hosts.leader().cloned()
+        lock_ignoring_poison(&self.state).hosts.leader().cloned()
     }
 
     /// The keeper that chooses engines while the leader is unresponsive, as the leader named it. It is
     /// not derived from the list of known keepers, which may contain replaced ones: with a replaced
     /// keeper as deputy, each host would choose engines alone until another keeper leads.
     pub(crate) fn deputy(&self) -> Option<HostId> {
-        let state = lock(&self.state);
+        let state = lock_ignoring_poison(&self.state);
         state.deputy.clone().filter(|deputy| Some(deputy) != state.hosts.leader())
     }
 
     /// Sets the deputy that the leader named.
     pub(crate) fn set_deputy(&self, deputy: Option<HostId>) {
-        lock(&self.state).deputy = deputy;
+        lock_ignoring_poison(&self.state).deputy = deputy;
     }
 
     /// The last known leader, if it answered within the last `within_ms`.
     pub(crate) fn recent_leader(&self, within_ms: u64) -> Option<HostId> {
-        let state = lock(&self.state);
+        let state = lock_ignoring_poison(&self.state);
         let is_recent = now_ms() <= state.last_answer_ms + within_ms;
         state.hosts.leader().filter(|_| is_recent).cloned()
     }
@@ -198,12 +198,12 @@
     }
 
     pub(super) fn record_leader(&self, leader: HostId) {
-        let mut state = lock(&self.state);
+        let mut state = lock_ignoring_poison(&self.state);
         let former = state.hosts.set_leader(leader.clone());
         let last_answer_ms = state.last_answer_ms;
         drop(state);
         if former.as_ref() != Some(&leader) {
-            log::info!(target: part::KEEPER,
+            log::info!(target: log_target::KEEPER,
                 leader = leader.as_str(), former = former.as_ref().map_or("", HostId::as_str),
                 silent_ms = now_ms().saturating_sub(last_answer_ms);
                 "Found the next leader");
@@ -355,7 +355,7 @@
                 Ok(CallOutcome::NotLeader(hint)) => self.resolve_hint(&hint),
                 Ok(CallOutcome::Retry) => None,
                 Err(error) => {
-                    log::debug!(target: part::KEEPER, "A call to a keeper failed: {error}");
+                    log::debug!(target: log_target::KEEPER, "A call to a keeper failed: {error}");
                     None
                 }
             };
@@ -394,7 +394,7 @@
     /// Records that a keeper answered as the leader.
     pub(crate) fn record_answer(&self, keeper: HostId) {
         self.record_leader(keeper);
-        lock(&self.state).last_answer_ms = now_ms();
+        lock_ignoring_poison(&self.state).last_answer_ms = now_ms();
     }
 
     /// The host that a hint names, which is added to the known keepers; `None` if the hint is empty.
@@ -409,7 +409,7 @@
 
     /// The known keeper after `host` in the order of the list; the first one if `host` is not in it.
     fn keeper_after(&self, host: Option<&HostId>) -> Option<HostId> {
-        let state = lock(&self.state);
+        let state = lock_ignoring_poison(&self.state);
         let keepers = state.hosts.keepers();
         let position = keepers.iter().position(|keeper| Some(keeper) == host);
         let next = position.map_or(0, |position| position + 1) % keepers.len().max(1);
--- a/clayplankd/src/keepers/keeper_log.rs
+++ b/clayplankd/src/keepers/keeper_log.rs
@@ -8,7 +8,7 @@
 use clayplank_types::HostId;
 
 use crate::keepers::keeper_messages::JoinStatus;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Interval between two log lines on an undecided election, in ms: a keeper may start several
 /// elections per second.
@@ -57,7 +57,7 @@
         if self.role.as_ref() == Some(&current) {
             return;
         }
-        log::info!(target: part::KEEPER,
+        log::info!(target: log_target::KEEPER,
             role = current.name, term = current.term,
             last_index = replica.map_or(0, Replica::last_index),
             leader = current.leader.as_ref().map_or("", HostId::as_str);
@@ -74,7 +74,7 @@
             return;
         }
         let configuration = replica.configuration();
-        log::info!(target: part::KEEPER,
+        log::info!(target: log_target::KEEPER,
             voters = join_ids(configuration.voters.iter()),
             learners = join_ids(configuration.learners.iter()),
             quorum = configuration.quorum(), is_committed = is_committed,
@@ -94,7 +94,7 @@
             return;
         }
         self.election_logged_ms = Some(now_ms);
-        log::warn!(target: part::KEEPER,
+        log::warn!(target: log_target::KEEPER,
             granted = join_ids(granted.iter()), quorum = replica.configuration().quorum(),
             voters = join_ids(replica.configuration().voters.iter()),
             term = replica.term(), last_index = replica.last_index();
@@ -137,7 +137,7 @@
             let hosts = answers.iter().filter(|(_, answer)| answer.is_blank() == is_blank);
             hosts.map(|(host, _)| host.as_str()).collect::<Vec<_>>().join(" ")
         };
-        log::warn!(target: part::KEEPER,
+        log::warn!(target: log_target::KEEPER,
             waited_ms = (now - started).as_millis() as u64, has_log = status.has_log,
             members = answered(false), blank = answered(true);
             "This keeper is not yet a voter that hears a leader");
--- a/clayplankd/src/keepers/keeper_messages.rs
+++ b/clayplankd/src/keepers/keeper_messages.rs
@@ -12,8 +12,8 @@
 use xtra::{Context, Handler};
 
 use crate::keepers::keeper::{Keeper, PendingCommand, PendingLeaderQuery, PendingWatch};
-use crate::process::clock::{now_ms, wall_ms};
-use crate::process::logging::part;
+use crate::process::clock::{now_ms, unix_now_ms};
+use crate::process::logging::log_target;
 
 /// Time after which a watch without updates is answered with a confirmation, in ms.
 pub(crate) const WATCH_HOLD_MS: u64 = 1_000;
@@ -73,7 +73,7 @@
 }
 
 fn log_member_change(change: &Change, cause: &str) {
-    log::info!(target: part::KEEPER, change:% = change, cause = cause;
+    log::info!(target: log_target::KEEPER, change:% = change, cause = cause;
         "Proposed a membership change of the keepers");
 }
 
@@ -104,7 +104,7 @@
             reply.send(CommandOutcome::Unknown).ok();
             return receiver;
         }
-        let command = Command { at_ms: wall_ms(), body: execute.0 };
+        let command = Command { at_ms: unix_now_ms(), body: execute.0 };
         let proposed = match (&mut self.replica, encode(&command)) {
             (Some(replica), Ok(bytes)) => replica.propose(bytes).ok(),
             _ => None,
@@ -245,13 +245,13 @@
         match store.initialize(&state, genesis) {
             Ok(()) => {
                 let id = store.identity().id.clone();
-                log::info!(target: part::KEEPER, "Started the local replica as {id}.");
+                log::info!(target: log_target::KEEPER, "Started the local replica as {id}.");
                 self.load_state(&state);
                 self.replica = Some(Replica::new(id, state, self.options, now_ms()));
             }
             // The join task sends this message again.
             Err(error) if error.is_full() => {
-                log::warn!(target: part::KEEPER, cause:% = error;
+                log::warn!(target: log_target::KEEPER, cause:% = error;
                     "The disk is too full to create the log");
             }
             Err(error) => self.stop_on_disk_failure(error),
--- a/clayplankd/src/keepers/keeper_tasks.rs
+++ b/clayplankd/src/keepers/keeper_tasks.rs
@@ -16,7 +16,7 @@
 use crate::keepers::keeper_log::WaitLog;
 use crate::keepers::keeper_messages::{GetJoinStatus, JoinStatus, StartLog, Tick};
 use crate::process::clock::millis;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 use crate::process::peers::Peers;
 
 /// Range of the interval between two ticks of the replica, in ms. Each interval is random: with a fixed
@@ -78,7 +78,7 @@
             .call(&host, STEP_TIMEOUT, |mut client| async move { client.step(request).await })
             .await;
         if let Err(error) = sent {
-            log::debug!(target: part::KEEPER,
+            log::debug!(target: log_target::KEEPER,
                 "Dropped replication messages to a peer, as the call failed: {error}");
         }
     }
@@ -189,7 +189,7 @@
                 introductions.non_keepers.insert(host);
             }
             Err(error) => {
-                log::warn!(target: part::KEEPER, host = host, cause:% = error;
+                log::warn!(target: log_target::KEEPER, host = host, cause:% = error;
                     "Could not decode the answer to an introduction");
             }
         }
@@ -224,7 +224,7 @@
         Join::Bootstrap(configuration) => StartLog(Some(configuration)),
         Join::AsLearner => StartLog(None),
         Join::Wait => {
-            log::debug!(target: part::KEEPER,
+            log::debug!(target: log_target::KEEPER,
                 "Does not create the log yet: waits for answers of the other keepers");
             return;
         }
--- a/clayplankd/src/keepers/leader_search.rs
+++ b/clayplankd/src/keepers/leader_search.rs
@@ -10,8 +10,8 @@
 
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::{millis, now_ms};
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 
 /// Time for which a queried keeper waits to hear from a leader before it answers: elections are over
 /// within about half a second. A keeper queried during an election answers at the first heartbeat of
@@ -61,7 +61,7 @@
 
     /// The next host to query, except those in `queried`.
     fn next_to_query(&self, queried: &HashSet<HostId>) -> Option<HostId> {
-        lock(&self.state).hosts.next_to_query(queried, &mut rand::rng())
+        lock_ignoring_poison(&self.state).hosts.next_to_query(queried, &mut rand::rng())
     }
 
     /// Queries a host for the next leader that it hears from, and adds the keepers and contacts that it
@@ -80,7 +80,7 @@
                 Some(reply.leader_host).filter(|host| !host.is_empty()).map(HostId::new)
             }
             Err(error) => {
-                log::debug!(target: part::KEEPER, "A query for the leader failed: {error}");
+                log::debug!(target: log_target::KEEPER, "A query for the leader failed: {error}");
                 None
             }
         }
@@ -97,7 +97,7 @@
     /// Sends the known keepers to the bootstrap addresses: other hosts may start from the same ones.
     async fn notify_bootstrap_hosts(self) {
         let request = self.find_leader_request(Duration::ZERO);
-        let bootstrap_hosts = lock(&self.state).hosts.bootstrap_hosts().to_vec();
+        let bootstrap_hosts = lock_ignoring_poison(&self.state).hosts.bootstrap_hosts().to_vec();
         let calls = bootstrap_hosts.iter().map(|host| {
             let request = request.clone();
             self.peers.call(host, LEADER_WAIT, |mut client| async move {
@@ -106,7 +106,7 @@
         });
         for sent in futures_util::future::join_all(calls).await {
             if let Err(error) = sent {
-                log::debug!(target: part::KEEPER,
+                log::debug!(target: log_target::KEEPER,
                     "Could not send the known keepers to a bootstrap address: {error}");
             }
         }
@@ -141,7 +141,7 @@
             return;
         }
         self.logged_ms = now_ms;
-        log::warn!(target: part::KEEPER,
+        log::warn!(target: log_target::KEEPER,
             waited_ms = now_ms - self.started_ms,
             keepers = keepers.keepers().len(), contacts = keepers.contacts().len();
             "The search for the leader has found none yet");
--- a/clayplankd/src/keepers/planned_stop.rs
+++ b/clayplankd/src/keepers/planned_stop.rs
@@ -6,7 +6,7 @@
 use clayplank_types::HostId;
 
 use crate::keepers::keeper_client::KeeperClient;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Longest wait of a stopping keeper for its removal from the voters: several times the duration of
 /// an election and two membership changes. After it the keeper stops anyway, and the leader removes
@@ -30,13 +30,13 @@
             Ok(true) => break "may stop",
             Ok(false) => clayplank_clock::sleep(REQUEST_INTERVAL.min(remaining)).await,
             Err(error) => {
-                log::warn!(target: part::KEEPER, cause:% = error;
+                log::warn!(target: log_target::KEEPER, cause:% = error;
                     "Could not reach the leader to release this keeper's vote; stops as a voter");
                 break "not answered";
             }
         }
     };
-    log::info!(target: part::KEEPER,
+    log::info!(target: log_target::KEEPER,
         outcome = outcome, waited_ms = started.elapsed().as_millis() as u64;
         "Stopped waiting for this keeper's vote to be released");
 }
--- a/clayplankd/src/lib.rs
+++ b/clayplankd/src/lib.rs
@@ -22,7 +22,7 @@
 mod owners;
 mod process;
 
-pub use doors::contract::{Contract, ControlCall, ControlFault, EngineReport};
+pub use doors::contract::{Contract, ControlCall, ControlError, EngineLoadReport};
 pub use doors::native::NativeContract;
 pub use process::daemon::{Daemon, StartError};
 pub use process::logging::{LogFormat, Logging, start_logging};
--- a/clayplankd/src/owners/commands.rs
+++ b/clayplankd/src/owners/commands.rs
@@ -11,7 +11,7 @@
 
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::millis;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Lease of a fencing token, in ms. It is longer than a command takes.
 const COMMAND_LEASE_MS: u64 = 5_000;
@@ -81,7 +81,7 @@
         let token = acquire_token(plan, target).await?;
         let command = Order::LoadAdapter { adapter: plan.adapter.clone() };
         if let Err(error) = plan.edge.order(target.address, token, &command).await {
-            log::warn!(target: part::OWNER, "Engine {} failed to load adapter {}: {error}.", target.engine, plan.adapter);
+            log::warn!(target: log_target::OWNER, "Engine {} failed to load adapter {}: {error}.", target.engine, plan.adapter);
             return Err(Refusal::new(RefusalReason::UpstreamRefused, COMMAND_RETRY_MS));
         }
     }
--- a/clayplankd/src/owners/owner.rs
+++ b/clayplankd/src/owners/owner.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use clayplank_schedule::{
-    Decision, EngineReport, EngineSpec, Grant, GrantHolder, GrantId, HeldGrant, Policy,
+    Decision, EngineReport, EngineSpec, Grant, GrantHolder, GrantId, Policy, RenewedGrant,
     ReservationRequest, Scheduler, Totals, Usage,
 };
 use clayplank_settings::HostSettings;
@@ -26,7 +26,7 @@
 use crate::owners::pools::PoolDirectory;
 use crate::owners::upstreams::UpstreamStates;
 use crate::process::clock::{millis, now_ms};
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 use crate::process::membership::MembersView;
 
 /// Interval at which the owner follows membership changes and advances its schedulers.
@@ -139,7 +139,7 @@
         let Some(address) = self.self_address.clone() else {
             return;
         };
-        log::info!(target: part::OWNER, "Owns pool {pool}.");
+        log::info!(target: log_target::OWNER, "Owns pool {pool}.");
         let lease_ms = self.settings.timing.grant_lease_ms;
         let policy = Policy::builder().grant_lease_ms(lease_ms).seed(self.incarnation.0).build();
         // Each acquisition is a new incarnation, so that grants of earlier ones are recognized.
@@ -167,7 +167,7 @@
     /// Releases a pool. Waiting requests get the reply [`Reserved::NotOwner`] and are then sent to
     /// the new owner. It learns of existing grants from their holders.
     fn release(&mut self, pool: &PoolId) {
-        log::info!(target: part::OWNER, "No longer owns pool {pool}.");
+        log::info!(target: log_target::OWNER, "No longer owns pool {pool}.");
         self.pools.remove(pool);
         let owner = self.members.owner_of(pool);
         for (_, waiter) in self.waiters.extract_if(|_, waiter| waiter.pool == *pool) {
@@ -272,7 +272,7 @@
             // If this fails, the memory is released by the load report that no longer lists the
             // attempt.
             if let Err(error) = edge.cancel(address, attempt_id).await {
-                log::warn!(target: part::OWNER, "Failed to cancel attempt {attempt_id} at {engine}: {error}.");
+                log::warn!(target: log_target::OWNER, "Failed to cancel attempt {attempt_id} at {engine}: {error}.");
             }
         });
     }
@@ -292,7 +292,7 @@
     /// Withdraws waiting requests whose sender no longer waits for a reply.
     fn withdraw_closed_waiters(&mut self) {
         for (request_id, waiter) in self.waiters.extract_if(|_, waiter| waiter.reply.is_closed()) {
-            log::debug!(target: part::OWNER, "Withdrew attempt {}: its sender stopped waiting.", waiter.attempt_id);
+            log::debug!(target: log_target::OWNER, "Withdrew attempt {}: its sender stopped waiting.", waiter.attempt_id);
             if let Some(owned) = self.pools.get_mut(&waiter.pool) {
                 owned.scheduler.cancel(request_id);
             }
@@ -389,7 +389,7 @@
 /// Message: a host renews its grants, which are listed by pool.
 pub(crate) struct Renew {
     pub(crate) holder: GrantHolder,
-    pub(crate) held: BTreeMap<PoolId, Vec<HeldGrant>>,
+    pub(crate) held: BTreeMap<PoolId, Vec<RenewedGrant>>,
 }
 
 impl Handler<Renew> for Owner {
--- a/clayplankd/src/owners/reserve.rs
+++ b/clayplankd/src/owners/reserve.rs
@@ -6,7 +6,7 @@
 
 use clayplank_clock::Instant;
 use clayplank_schedule::{
-    GrantId, GrantPart, HeldGrant, PoolLoad, ReservationRequest, Usage, choose_pool,
+    GrantId, GrantPart, PoolLoad, RenewedGrant, ReservationRequest, Usage, choose_pool,
 };
 use clayplank_types::{
     AttemptId, EnginePriority, HostId, Incarnation, PoolId, Refusal, RefusalReason, RequestId,
@@ -18,8 +18,8 @@
 };
 
 use crate::process::clock::millis;
-use crate::process::host::Host;
-use crate::process::logging::part;
+use crate::process::host_state::Host;
+use crate::process::logging::log_target;
 use crate::process::peers::PeerError;
 
 /// Delay before a request is repeated while the owner cannot be reached or has just changed.
@@ -40,17 +40,17 @@
 pub(crate) struct Held {
     pub(crate) pool: PoolId,
     pub(crate) account: String,
-    pub(crate) grant: HeldGrant,
+    pub(crate) grant: RenewedGrant,
     pub(crate) engine_priority: EnginePriority,
 }
 
 /// All grants that this host holds, by attempt.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct HeldGrants {
+pub(crate) struct OwnedGrants {
     grants: Arc<Mutex<HashMap<AttemptId, Held>>>,
 }
 
-impl HeldGrants {
+impl OwnedGrants {
     fn insert(&self, held: Held) {
         self.grants
             .lock()
@@ -102,7 +102,7 @@
         }
         match reserve_in(host, &pool, ask, remaining).await {
             Ok(ReserveOutcome::Granted(held)) => {
-                host.held.insert(held.clone());
+                host.grants.insert(held.clone());
                 return Ok(held);
             }
             Ok(ReserveOutcome::Refused(refusal)) => match next_pool(pools, &pool, refusal) {
@@ -128,7 +128,11 @@
     let local_data_centre = host.settings.own_entry().map(|entry| &entry.data_centre);
     let is_local = host.pools.data_centre(pool) == local_data_centre;
     let distance_ms = if is_local { 0 } else { REMOTE_POOL_DISTANCE_MS };
-    PoolLoad { pool: pool.clone(), wait_ms: host.pool_waits.get(pool), round_trip_ms: distance_ms }
+    PoolLoad {
+        pool: pool.clone(),
+        wait_ms: host.pool_wait_estimates.get(pool),
+        round_trip_ms: distance_ms,
+    }
 }
 
 /// Result of one reservation request to an owner.
@@ -152,7 +156,7 @@
         .peers
         .call(&owner, remaining, |mut client| async move { client.reserve(request).await })
         .await?;
-    host.pool_waits.set(pool, reply.pool_wait_ms);
+    host.pool_wait_estimates.set(pool, reply.pool_wait_ms);
     Ok(from_wire(pool, ask, reply))
 }
 
@@ -191,7 +195,7 @@
         }
         Some(reserve_reply::Result::NotOwner(_)) | None => return ReserveOutcome::NotOwner,
     };
-    let grant = HeldGrant {
+    let grant = RenewedGrant {
         grant_id: GrantId(granted.grant_id),
         owner: Incarnation(granted.owner_incarnation),
         attempt_id: ask.attempt_id,
@@ -250,7 +254,7 @@
 /// Ends a grant and notifies the owner. If the notification is lost, the grant expires at the
 /// owner.
 pub(crate) async fn finish(host: &Host, held: &Held, usage: Usage) {
-    host.held.remove(held.grant.attempt_id);
+    host.grants.remove(held.grant.attempt_id);
     let request = FinishRequest {
         grant_id: held.grant.grant_id.0,
         owner_incarnation: held.grant.owner.0,
@@ -268,7 +272,7 @@
         .peers
         .call(&owner, OWNER_CALL_TIMEOUT, |mut client| async move { client.finish(request).await });
     if let Err(error) = call.await {
-        log::debug!(target: part::CALLERS, "Failed to notify the owner of the end of attempt {}: {error}.", held.grant.attempt_id);
+        log::debug!(target: log_target::CALLERS, "Failed to notify the owner of the end of attempt {}: {error}.", held.grant.attempt_id);
     }
 }
 
@@ -284,7 +288,7 @@
                     client.renew(request).await
                 };
                 if let Err(error) = host.peers.call(&owner, OWNER_CALL_TIMEOUT, call).await {
-                    log::debug!(target: part::CALLERS, "Failed to renew grants at {owner}: {error}.");
+                    log::debug!(target: log_target::CALLERS, "Failed to renew grants at {owner}: {error}.");
                 }
             });
         }
@@ -293,7 +297,7 @@
 
 fn plan_renewals(host: &Host) -> BTreeMap<HostId, RenewRequest> {
     let mut requests: BTreeMap<HostId, RenewRequest> = BTreeMap::new();
-    for held in host.held.all() {
+    for held in host.grants.all() {
         let Some(owner) = host.members.owner_of(&held.pool) else {
             continue;
         };
--- a/clayplankd/src/process.rs
+++ b/clayplankd/src/process.rs
@@ -2,12 +2,12 @@
 
 pub(crate) mod clock;
 pub(crate) mod daemon;
-pub(crate) mod host;
-pub(crate) mod inner;
+pub(crate) mod host_state;
 pub(crate) mod lock;
 pub(crate) mod logging;
 pub(crate) mod membership;
 pub(crate) mod metrics;
+pub(crate) mod peer_service;
 pub(crate) mod peers;
 pub(crate) mod run_seeded;
 pub(crate) mod seeded;
--- a/clayplankd/src/process/clock.rs
+++ b/clayplankd/src/process/clock.rs
@@ -5,12 +5,12 @@
 pub(crate) use clayplank_forward::{millis, now_ms};
 
 /// Monotonic time in ms, as a float, in which the fleet counts.
-pub(crate) fn fleet_now_ms() -> f64 {
+pub(crate) fn monotonic_now_ms() -> f64 {
     now_ms() as f64
 }
 
 /// Wall-clock time in ms since the Unix epoch. Only the replicated state uses it.
-pub(crate) fn wall_ms() -> u64 {
+pub(crate) fn unix_now_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64)
 }
 
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -32,12 +32,12 @@
 use crate::owners::reserve::run_renewals;
 use crate::owners::upstreams::UpstreamStates;
 use crate::process::clock::{millis, new_incarnation};
-use crate::process::host::{Host, InProgress};
-use crate::process::inner::InnerService;
-use crate::process::logging::part;
+use crate::process::host_state::{Host, InProgress};
+use crate::process::logging::log_target;
 use crate::process::membership::{
     Leave, MembersView, Membership, run_membership, run_platform_poll,
 };
+use crate::process::peer_service::InnerService;
 use crate::process::peers::{MAX_MESSAGE_BYTES, Peers};
 use crate::process::suspension::run_suspension_watch;
 
@@ -144,7 +144,7 @@
         tokio::spawn(run_leader_search(host.keepers.clone()));
         tokio::spawn(run_settings_watch(Arc::clone(&host), local_host));
         start_endpoints(&host, owner, callers_listener, operators_listener);
-        log::info!(target: part::DAEMON, "Host {} accepts callers at {}.", settings.host, settings.listen.callers);
+        log::info!(target: log_target::DAEMON, "Host {} accepts callers at {}.", settings.host, settings.listen.callers);
         Ok(Self { host, membership, failed, _failed_sender: failed_sender })
     }
 
@@ -160,7 +160,7 @@
     /// every request in progress has ended, up to `drain_ms`.
     pub async fn leave_and_drain(&self) {
         let timing = &self.host.settings.timing;
-        log::info!(target: part::DAEMON, "Shutting down; {} requests are in progress.", self.host.progress.count());
+        log::info!(target: log_target::DAEMON, "Shutting down; {} requests are in progress.", self.host.progress.count());
         let deadline = Instant::now() + millis(timing.drain_ms);
         self.host.progress.leave();
         self.membership.send(Leave).await.ok();
@@ -171,7 +171,7 @@
             clayplank_clock::sleep(millis(20)).await;
         }
         clayplank_clock::sleep(FLUSH_DELAY).await;
-        log::info!(target: part::DAEMON, "Shutdown complete; {} requests were still in progress and are aborted.", self.host.progress.count());
+        log::info!(target: log_target::DAEMON, "Shutdown complete; {} requests were still in progress and are aborted.", self.host.progress.count());
     }
 }
 
@@ -196,15 +196,15 @@
         incarnation,
         keepers,
         peers,
-        current: Arc::new(CurrentSettings::new(settings.timing.settings_lease_ms)),
+        replicated_settings: Arc::new(CurrentSettings::new(settings.timing.settings_lease_ms)),
         members,
         engines,
         http: HttpClient::default(),
         addresses: settings.engines().map(|engine| (engine.id.clone(), engine.address)).collect(),
         pools,
         upstreams: UpstreamStates::default(),
-        held: Default::default(),
-        pool_waits: Default::default(),
+        grants: Default::default(),
+        pool_wait_estimates: Default::default(),
         account_limits: Default::default(),
         metrics: Default::default(),
         progress: InProgress::default(),
@@ -307,7 +307,7 @@
                 .timer(TokioTimer::new())
                 .keep_alive_interval(Some(Duration::from_secs(5)));
             if let Err(error) = builder.serve_connection(TokioIo::new(stream), service).await {
-                log::debug!(target: part::INNER, "The connection of a peer ended with an error: {error}.");
+                log::debug!(target: log_target::INNER, "The connection of a peer ended with an error: {error}.");
             }
         });
     }
--- a/clayplankd/src/process/host.rs
+++ b/clayplankd/src/process/host_state.rs
@@ -15,7 +15,7 @@
 use crate::follow::current_settings::CurrentSettings;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::owners::pools::PoolDirectory;
-use crate::owners::reserve::{HeldGrants, PoolWaits};
+use crate::owners::reserve::{OwnedGrants, PoolWaits};
 use crate::owners::upstreams::UpstreamStates;
 use crate::process::membership::MembersView;
 use crate::process::metrics::Metrics;
@@ -31,7 +31,7 @@
     pub(crate) peers: Peers,
     pub(crate) keepers: KeeperClient,
     /// Replicated settings, with the lease for which they are confirmed.
-    pub(crate) current: Arc<CurrentSettings>,
+    pub(crate) replicated_settings: Arc<CurrentSettings>,
     pub(crate) members: Arc<MembersView>,
     pub(crate) engines: Arc<dyn EngineEdge>,
     pub(crate) http: HttpClient,
@@ -40,8 +40,8 @@
     pub(crate) pools: Arc<PoolDirectory>,
     pub(crate) upstreams: UpstreamStates,
     /// Grants that this host holds and renews at their owners.
-    pub(crate) held: HeldGrants,
-    pub(crate) pool_waits: PoolWaits,
+    pub(crate) grants: OwnedGrants,
+    pub(crate) pool_wait_estimates: PoolWaits,
     pub(crate) account_limits: AccountLimits,
     pub(crate) metrics: Metrics,
     pub(crate) progress: InProgress,
--- a/clayplankd/src/process/logging.rs
+++ b/clayplankd/src/process/logging.rs
@@ -7,7 +7,7 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
 
 /// Components of the daemon, used as log targets.
-pub(crate) mod part {
+pub(crate) mod log_target {
     pub(crate) const CALLERS: &str = "callers";
     pub(crate) const DAEMON: &str = "daemon";
     pub(crate) const INNER: &str = "inner";
@@ -84,7 +84,7 @@
         clayplank_clock::sleep(DROPPED_CHECK_INTERVAL).await;
         let dropped = counter.dropped_lines();
         if dropped > reported {
-            log::warn!(target: part::DAEMON, lines = dropped - reported; "Log lines were dropped");
+            log::warn!(target: log_target::DAEMON, lines = dropped - reported; "Log lines were dropped");
         }
         reported = dropped;
     }
--- a/clayplankd/src/process/membership.rs
+++ b/clayplankd/src/process/membership.rs
@@ -16,7 +16,7 @@
 use crate::owners::pools::PoolDirectory;
 use crate::owners::upstreams::UpstreamStates;
 use crate::process::clock::{millis, now_ms};
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 use crate::process::peers::Peers;
 
 /// Interval at which the membership protocol advances.
@@ -76,7 +76,7 @@
         for (host, status) in self.members.iter() {
             let previous = before.status(host);
             if previous != Some(status) {
-                log::info!(target: part::MEMBERS, "Status of host {host} changed to {status:?}.");
+                log::info!(target: log_target::MEMBERS, "Status of host {host} changed to {status:?}.");
             }
         }
         self.view.members.store(Arc::new(self.members.clone()));
@@ -275,7 +275,7 @@
                 membership.send(PlatformLeaving(leaving_hosts)).await.ok();
             }
             Err(error) => {
-                log::debug!(target: part::MEMBERS, "Could not fetch the platform's list of hosts: {error}.")
+                log::debug!(target: log_target::MEMBERS, "Could not fetch the platform's list of hosts: {error}.")
             }
         }
         clayplank_clock::sleep(millis(platform.poll_interval_ms)).await;
--- a/clayplankd/src/process/inner.rs
+++ b/clayplankd/src/process/peer_service.rs
@@ -8,7 +8,7 @@
 use clayplank_members::MemberUpdate;
 use clayplank_placement::{Event, PlacementId, PlacementRequest, RunningPlacement};
 use clayplank_registry::{AgedLimit, Heartbeat};
-use clayplank_schedule::{GrantHolder, GrantId, HeldGrant, Usage};
+use clayplank_schedule::{GrantHolder, GrantId, RenewedGrant, Usage};
 use clayplank_state::{CommandBody, decode, encode};
 use clayplank_types::{AttemptId, HostId, Incarnation, PoolId, Priority, RequestId, UpstreamId};
 use clayplank_wire::inner_server::Inner;
@@ -94,7 +94,7 @@
 }
 
 /// Status for a message of a peer that cannot be decoded.
-pub(crate) fn malformed<E: std::fmt::Display>(error: E) -> Status {
+pub(crate) fn invalid_message<E: std::fmt::Display>(error: E) -> Status {
     Status::invalid_argument(error.to_string())
 }
 
@@ -103,7 +103,7 @@
     if bytes.is_empty() {
         return Ok(Vec::new());
     }
-    decode(bytes).map_err(malformed)
+    decode(bytes).map_err(invalid_message)
 }
 
 fn hint_text(hint: Option<HostId>) -> String {
@@ -144,7 +144,7 @@
 
     async fn finish(&self, request: Request<FinishRequest>) -> RpcResult<FinishReply> {
         let request = request.into_inner();
-        let attempt_id: AttemptId = request.attempt_id.parse().map_err(malformed)?;
+        let attempt_id: AttemptId = request.attempt_id.parse().map_err(invalid_message)?;
         let usage = Usage {
             engine_ended: request.engine_ended,
             engine_failed: request.engine_failed,
@@ -160,12 +160,15 @@
         let messages = request.into_inner().messages;
         let decoded: Result<Vec<Envelope>, _> =
             messages.iter().map(|bytes| decode(bytes)).collect();
-        self.keeper()?.send(Step(decoded.map_err(malformed)?)).await.map_err(actor_stopped)?;
+        self.keeper()?
+            .send(Step(decoded.map_err(invalid_message)?))
+            .await
+            .map_err(actor_stopped)?;
         Ok(Response::new(StepReply {}))
     }
 
     async fn execute(&self, request: Request<ExecuteRequest>) -> RpcResult<ExecuteReply> {
-        let body: CommandBody = decode(&request.into_inner().command).map_err(malformed)?;
+        let body: CommandBody = decode(&request.into_inner().command).map_err(invalid_message)?;
         let executed = self
             .keeper()?
             .send(Execute(body))
@@ -175,7 +178,7 @@
             .map_err(actor_stopped)?;
         let result = match executed {
             CommandOutcome::Reply(reply) => {
-                execute_reply::Result::Reply(encode(&reply).map_err(malformed)?)
+                execute_reply::Result::Reply(encode(&reply).map_err(invalid_message)?)
             }
             CommandOutcome::NotLeader(hint) => {
                 execute_reply::Result::NotLeaderHint(hint_text(hint))
@@ -201,7 +204,7 @@
             .map_err(actor_stopped)?;
         let result = match watched {
             WatchOutcome::Delta(delta) => {
-                watch_reply::Result::Delta(encode(&delta).map_err(malformed)?)
+                watch_reply::Result::Delta(encode(&delta).map_err(invalid_message)?)
             }
             WatchOutcome::NotLeader(hint) => watch_reply::Result::NotLeaderHint(hint_text(hint)),
         };
@@ -209,7 +212,7 @@
     }
 
     async fn introduce(&self, request: Request<IntroduceRequest>) -> RpcResult<IntroduceReply> {
-        let replica: ReplicaId = decode(&request.into_inner().replica).map_err(malformed)?;
+        let replica: ReplicaId = decode(&request.into_inner().replica).map_err(invalid_message)?;
         if let Some(keepers) = &self.keepers {
             keepers.add_keepers([HostId::new(replica.host.clone())]);
         }
@@ -218,7 +221,7 @@
                 let introduced = keeper.send(Introduce(replica)).await.map_err(actor_stopped)?;
                 let introduced =
                     introduced.ok_or_else(|| Status::unavailable("the keeper is busy"))?;
-                encode(&introduced).map_err(malformed)?
+                encode(&introduced).map_err(invalid_message)?
             }
             None => Vec::new(),
         };
@@ -240,9 +243,9 @@
 
     async fn inspect(&self, _: Request<InspectRequest>) -> RpcResult<InspectReply> {
         let result = match self.keeper()?.send(Inspect).await.map_err(actor_stopped)? {
-            Ok(status) => {
-                inspect_reply::Result::Json(serde_json::to_string(&status).map_err(malformed)?)
-            }
+            Ok(status) => inspect_reply::Result::Json(
+                serde_json::to_string(&status).map_err(invalid_message)?,
+            ),
             Err(hint) => inspect_reply::Result::NotLeaderHint(hint_text(hint)),
         };
         Ok(Response::new(InspectReply { result: Some(result) }))
@@ -250,11 +253,11 @@
 
     async fn probe(&self, request: Request<ProbeRequest>) -> RpcResult<ProbeReply> {
         let request = request.into_inner();
-        let rumours: Vec<MemberUpdate> = decode(&request.gossip).map_err(malformed)?;
+        let rumours: Vec<MemberUpdate> = decode(&request.gossip).map_err(invalid_message)?;
         let membership = self.membership.as_ref();
         let membership = membership.ok_or_else(|| Status::unimplemented("no membership here"))?;
         let local_rumours = membership.send(Gossip(rumours)).await.map_err(actor_stopped)?;
-        let gossip = encode(&local_rumours).map_err(malformed)?;
+        let gossip = encode(&local_rumours).map_err(invalid_message)?;
         let reached = request.via_target.is_empty() || self.probe_for_another(&request).await;
         Ok(Response::new(ProbeReply { reached, gossip }))
     }
@@ -290,17 +293,17 @@
 
     async fn place(&self, request: Request<PlaceRequest>) -> RpcResult<PlaceReply> {
         let placement_request: PlacementRequest =
-            decode(&request.into_inner().ask).map_err(malformed)?;
+            decode(&request.into_inner().ask).map_err(invalid_message)?;
         let placed = self
             .fleet()?
             .place(&placement_request)
             .ok_or_else(|| Status::unavailable("not ready"))?;
-        Ok(Response::new(PlaceReply { placed: encode(&placed).map_err(malformed)? }))
+        Ok(Response::new(PlaceReply { placed: encode(&placed).map_err(invalid_message)? }))
     }
 
     async fn take_turn(&self, request: Request<TakeTurnRequest>) -> RpcResult<TakeTurnReply> {
         let request = request.into_inner();
-        let limit: AgedLimit = decode(&request.limit).map_err(malformed)?;
+        let limit: AgedLimit = decode(&request.limit).map_err(invalid_message)?;
         let taken = self.fleet()?.take_turn(limit, request.patience_ms);
         let (is_taken, wait_ms) = match taken {
             Ok(wait_ms) => (true, wait_ms),
@@ -312,10 +315,10 @@
     async fn report(&self, request: Request<ReportRequest>) -> RpcResult<ReportReply> {
         let request = request.into_inner();
         if !request.placed.is_empty() {
-            let placed: Vec<RunningPlacement> = decode(&request.placed).map_err(malformed)?;
+            let placed: Vec<RunningPlacement> = decode(&request.placed).map_err(invalid_message)?;
             self.fleet()?.take_over(placed);
         }
-        let events: Vec<(PlacementId, Event)> = decode(&request.events).map_err(malformed)?;
+        let events: Vec<(PlacementId, Event)> = decode(&request.events).map_err(invalid_message)?;
         self.fleet()?.note(&events);
         for limit in self.fleet()?.note_limits(decode_limits(&request.limits)?) {
             if let Some(spread) = &self.spread {
@@ -327,7 +330,7 @@
 
     async fn spread(&self, request: Request<SpreadRequest>) -> RpcResult<SpreadReply> {
         let request = request.into_inner();
-        let heartbeats: Vec<Heartbeat> = decode(&request.heartbeats).map_err(malformed)?;
+        let heartbeats: Vec<Heartbeat> = decode(&request.heartbeats).map_err(invalid_message)?;
         self.fleet()?.apply(&heartbeats);
         self.fleet()?.note_limits(decode_limits(&request.limits)?);
         if let Some(spread) = self.spread.as_ref().filter(|_| request.passes_on) {
@@ -353,8 +356,8 @@
 }
 
 fn reserve_from_wire(request: ReserveRequest) -> Result<Reserve, Status> {
-    let account = request.account.parse().map_err(malformed)?;
-    let attempt_id: AttemptId = request.attempt_id.parse().map_err(malformed)?;
+    let account = request.account.parse().map_err(invalid_message)?;
+    let attempt_id: AttemptId = request.attempt_id.parse().map_err(invalid_message)?;
     // The deadline is by the owner's clock: only the remaining time is sent.
     let deadline_ms = now_ms() + request.deadline_in_ms;
     let mut ask = clayplank_schedule::ReservationRequest::new(
@@ -398,12 +401,12 @@
 }
 
 fn renew_from_wire(request: RenewRequest) -> Result<Renew, Status> {
-    let mut held: BTreeMap<PoolId, Vec<HeldGrant>> = BTreeMap::new();
+    let mut held: BTreeMap<PoolId, Vec<RenewedGrant>> = BTreeMap::new();
     for grant in request.grants {
-        let held_grant = HeldGrant {
+        let held_grant = RenewedGrant {
             grant_id: GrantId(grant.grant_id),
             owner: Incarnation(grant.owner_incarnation),
-            attempt_id: grant.attempt_id.parse().map_err(malformed)?,
+            attempt_id: grant.attempt_id.parse().map_err(invalid_message)?,
             parts: grant.engines.into_iter().map(part_from_wire).collect(),
         };
         held.entry(PoolId::new(grant.pool)).or_default().push(held_grant);
--- a/clayplankd/src/process/run_seeded.rs
+++ b/clayplankd/src/process/run_seeded.rs
@@ -9,7 +9,7 @@
 
 use crate::doors::contract::SharedContract;
 use crate::process::daemon::StartError;
-use crate::process::logging::{LogFormat, part, start_logging};
+use crate::process::logging::{LogFormat, log_target, start_logging};
 use crate::process::seeded::SeededDaemon;
 
 /// Interval of the check of the settings file, which may change without a signal.
@@ -43,7 +43,7 @@
             Ok(None) => {}
             // The host keeps the former settings: serving matters more than a reload.
             Err(error) => {
-                log::error!(target: part::DAEMON, "Changed settings were not taken: {error:?}");
+                log::error!(target: log_target::DAEMON, "Changed settings were not taken: {error:?}");
             }
         }
     }
--- a/clayplankd/src/process/seeded.rs
+++ b/clayplankd/src/process/seeded.rs
@@ -25,7 +25,7 @@
 use crate::keepers::leader_search::run_leader_search;
 use crate::keepers::planned_stop::release_vote;
 use crate::process::daemon::{StartError, bind};
-use crate::process::logging::{part, set_log_level};
+use crate::process::logging::{log_target, set_log_level};
 use crate::process::peers::Peers;
 use crate::process::seeded_entry::EntryHost;
 use crate::process::seeded_keeper::run_keeper_start;
@@ -112,7 +112,7 @@
             let keeper_text = fleet.as_deref().map(FleetKeeper::to_text).unwrap_or_default();
             entry_text + &keeper_text + &suspension_metrics()
         });
-        log::info!(target: part::DAEMON,
+        log::info!(target: log_target::DAEMON,
             name = settings.name, role:? = settings.role, keeper = settings.is_keeper(),
             is_first_start = settings.is_first_start,
             seeds = bootstrap_hosts(&settings).map(|host| host.to_string()).collect::<Vec<_>>().join(" ");
@@ -140,7 +140,7 @@
         self.settings.seeds = settings.seeds;
         self.settings.bounds = settings.bounds;
         self.settings.log = settings.log;
-        log::info!(target: part::DAEMON,
+        log::info!(target: log_target::DAEMON,
             seeds = self.settings.seeds.len(), for_next_start = deferred.join(",");
             "Took in changed settings");
     }
@@ -179,7 +179,7 @@
         };
         tokio::join!(release_vote, drain);
         let cut_off = self.entry.as_ref().map_or(0, |entry| entry.gate.in_progress());
-        log::info!(target: part::DAEMON, cut_off = cut_off; "Stopped");
+        log::info!(target: log_target::DAEMON, cut_off = cut_off; "Stopped");
     }
 
     /// Fails the readiness check, then rejects new requests, and waits for those in progress until
@@ -187,7 +187,7 @@
     async fn drain(&self, gate: &Gate) {
         let end =
             Instant::now() + Duration::from_secs_f64(self.settings.bounds.grace_s) - GRACE_MARGIN;
-        log::info!(target: part::DAEMON, in_progress = gate.in_progress(); "Shutting down; draining requests");
+        log::info!(target: log_target::DAEMON, in_progress = gate.in_progress(); "Shutting down; draining requests");
         gate.start_shutdown();
         clayplank_clock::sleep(BALANCER_DELAY).await;
         gate.close();
--- a/clayplankd/src/process/seeded_entry.rs
+++ b/clayplankd/src/process/seeded_entry.rs
@@ -20,7 +20,7 @@
 use crate::follow::follow_metrics::FollowMetrics;
 use crate::follow::follow_task::{FollowTask, run_following};
 use crate::process::daemon::{StartError, bind, serve_inner};
-use crate::process::inner::InnerService;
+use crate::process::peer_service::InnerService;
 use crate::process::seeded::{StartContext, plain_text};
 
 /// Length of the lease of a confirmation, as a share of the time within which a revoked key, or a
--- a/clayplankd/src/process/seeded_keeper.rs
+++ b/clayplankd/src/process/seeded_keeper.rs
@@ -21,7 +21,7 @@
 use crate::keepers::keeper::{Keeper, KeeperOptions};
 use crate::keepers::keeper_tasks::{JoinSources, run_join, run_outbox, run_ticks};
 use crate::process::daemon::{MAILBOX_CAPACITY, StartError, bind, serve_inner};
-use crate::process::inner::InnerService;
+use crate::process::peer_service::InnerService;
 use crate::process::seeded::{StartContext, bootstrap_hosts};
 
 /// Election time-out, in ms: an election starts once the leader was unresponsive for between one
--- a/clayplankd/src/process/suspension.rs
+++ b/clayplankd/src/process/suspension.rs
@@ -4,7 +4,7 @@
 
 use clayplank_clock::{Suspensions, sleep, subscribe};
 
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Interval of the check for suspensions. Each read of the clock detects a suspension too, and
 /// most tasks read it more often. A wait that nothing else ends lasts at most this long after the
@@ -20,7 +20,7 @@
         sleep(CHECK_INTERVAL).await;
         let now = *suspensions.borrow_and_update();
         if now.count > reported.count {
-            log::warn!(target: part::DAEMON,
+            log::warn!(target: log_target::DAEMON,
                 span_ms = now.total.saturating_sub(reported.total).as_millis() as u64,
                 times = now.count - reported.count;
                 "The machine was suspended");
