--- a/clayplank-settings/src/account.rs
+++ b/clayplank-settings/src/account.rs
@@ -112,7 +112,7 @@
 
 /// Values in force for one request: the account's where it sets them, else the template's.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Effective {
+pub struct EffectiveSettings {
     /// Scheduling priority.
     pub priority: Priority,
     /// Time from the request's arrival to its deadline, in ms.
@@ -127,7 +127,7 @@
     pub repeatable: bool,
 }
 
-impl Effective {
+impl EffectiveSettings {
     /// Merges an account with a template; the account's values take precedence.
     pub fn of(account: &ClientAccount, template: &Template) -> Self {
         Self {
--- a/clayplank-settings/src/host.rs
+++ b/clayplank-settings/src/host.rs
@@ -54,7 +54,7 @@
     pub bytes_per_token: TokenRatio,
     /// Limits on connections and requests of callers.
     #[serde(default)]
-    pub doors: Doors,
+    pub doors: CallerEndpointLimits,
     /// Intervals and time-outs of the protocols between hosts and with engines.
     #[serde(default)]
     pub timing: Timing,
@@ -199,7 +199,7 @@
 /// Limits on connections and requests of callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Doors {
+pub struct CallerEndpointLimits {
     /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
     /// Maximum size of a request head, in bytes.
@@ -212,7 +212,7 @@
     pub read_timeout_ms: u64,
 }
 
-impl Default for Doors {
+impl Default for CallerEndpointLimits {
     fn default() -> Self {
         Self {
             max_body_bytes: 16 << 20,
@@ -310,7 +310,7 @@
 
 impl HostSettings {
     /// Returns the entry of the local host in `hosts`.
-    pub fn own_entry(&self) -> Option<&HostEntry> {
+    pub fn local_entry(&self) -> Option<&HostEntry> {
         self.hosts.iter().find(|entry| entry.host == self.host)
     }
 
@@ -359,7 +359,7 @@
             &format!("{at}/hosts"),
             "an odd number of hosts must be keepers",
         );
-        let local_entry = self.own_entry();
+        let local_entry = self.local_entry();
         faults.require(
             local_entry.is_some(),
             &format!("{at}/host"),
--- a/clayplank-settings/src/lib.rs
+++ b/clayplank-settings/src/lib.rs
@@ -18,12 +18,12 @@
 mod key;
 mod seeded;
 
-pub use account::{ClientAccount, Effective, Template};
+pub use account::{ClientAccount, EffectiveSettings, Template};
 pub use bounds::Bounds;
 pub use check::{Check, Fault, Faults, parse, parse_value};
 pub use host::{
-    Doors, EngineSettings, FenceCheck, HostEntry, HostSettings, Listen, LogLevel, LogSettings,
-    Operator, PlatformSource, Role, ServiceSettings, Timing, Upstream,
+    CallerEndpointLimits, EngineSettings, FenceCheck, HostEntry, HostSettings, Listen, LogLevel,
+    LogSettings, Operator, PlatformSource, Role, ServiceSettings, Timing, Upstream,
 };
 pub use key::{KeyDigest, MalformedDigest};
 pub use seeded::{SeededListen, SeededSettings};
--- a/clayplank-settings/tests/faults.rs
+++ b/clayplank-settings/tests/faults.rs
@@ -65,7 +65,7 @@
         parse(r#"{ "deadline_ms": 9, "priority": "low", "model": "a" }"#).unwrap();
     let account = json!({ "key_sha256": String::from(KeyDigest::of("k")), "template": "t", "deadline_ms": 5 });
     let account: ClientAccount = parse(&account.to_string()).unwrap();
-    let effective = clayplank_settings::Effective::of(&account, &template);
+    let effective = clayplank_settings::EffectiveSettings::of(&account, &template);
     assert_eq!((effective.deadline_ms, effective.model.as_deref()), (5, Some("a")));
 }
 
--- a/clayplank-state/src/view.rs
+++ b/clayplank-state/src/view.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use clayplank_settings::{ClientAccount, Effective, KeyDigest, Template};
+use clayplank_settings::{ClientAccount, EffectiveSettings, KeyDigest, Template};
 use clayplank_types::{AccountId, Partner};
 
 use crate::settings::{Delta, SettingKey, SettingValue, Versioned};
@@ -105,9 +105,13 @@
 
     /// Effective settings of a request: those of the account, combined with the template that the
     /// request names or else the default template of the account. `None` if either does not exist.
-    pub fn effective_settings(&self, id: &AccountId, template: Option<&str>) -> Option<Effective> {
+    pub fn effective_settings(
+        &self,
+        id: &AccountId,
+        template: Option<&str>,
+    ) -> Option<EffectiveSettings> {
         let account = self.account(id)?;
         let template = self.template(&id.partner, template.unwrap_or(&account.template))?;
-        Some(Effective::of(account, template))
+        Some(EffectiveSettings::of(account, template))
     }
 }
--- a/clayplank-upstream/src/answer.rs
+++ b/clayplank-upstream/src/answer.rs
@@ -16,24 +16,24 @@
 use serde::Deserialize;
 
 use crate::assemble::{Assembler, Chunk, ChunkOrderError, Finish};
-use crate::client::EdgeError;
-use crate::engine::EngineEdge;
+use crate::client::UpstreamError;
+use crate::engine::EngineClient;
 
 /// Data of the event that follows the last chunk.
 const DONE: &str = "[DONE]";
 
 /// Options for reading an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RelayOptions {
+pub struct AnswerOptions {
     /// Maximum number of times that a broken stream is resumed.
     pub max_resumes: u32,
     /// Maximum time to wait for the next event of the engine.
-    pub silence: Duration,
+    pub event_timeout: Duration,
 }
 
-impl Default for RelayOptions {
+impl Default for AnswerOptions {
     fn default() -> Self {
-        Self { max_resumes: 3, silence: Duration::from_secs(5) }
+        Self { max_resumes: 3, event_timeout: Duration::from_secs(5) }
     }
 }
 
@@ -46,7 +46,7 @@
         /// Offset of the first missing chunk.
         offset: u64,
         /// Reason for which the stream was not resumed.
-        source: EdgeError,
+        source: UpstreamError,
     },
     /// The offsets of the chunks are not those of one answer.
     #[error("the chunks do not make one answer")]
@@ -92,10 +92,10 @@
 
 /// The streamed answer of one attempt, as a sequence of chunks.
 pub struct AnswerStream {
-    edge: Arc<dyn EngineEdge>,
+    edge: Arc<dyn EngineClient>,
     engine: SocketAddr,
     attempt_id: AttemptId,
-    options: RelayOptions,
+    options: AnswerOptions,
     events: Events,
     assembler: Assembler,
     ready: VecDeque<Chunk>,
@@ -114,11 +114,11 @@
 impl AnswerStream {
     /// Creates a stream that reads from the response to a dispatched attempt.
     pub fn new(
-        edge: Arc<dyn EngineEdge>,
+        edge: Arc<dyn EngineClient>,
         engine: SocketAddr,
         attempt_id: AttemptId,
         response: Response<Incoming>,
-        options: RelayOptions,
+        options: AnswerOptions,
     ) -> Self {
         let (events, assembler) = (read_events(response), Assembler::default());
         Self {
@@ -145,7 +145,7 @@
             if self.assembler.is_complete() {
                 return Ok(None);
             }
-            match clayplank_clock::timeout(self.options.silence, self.events.next()).await {
+            match clayplank_clock::timeout(self.options.event_timeout, self.events.next()).await {
                 Ok(Some(Ok(event))) if event.data == DONE => {}
                 Ok(Some(Ok(event))) => {
                     let chunk = self.read_chunk(&event.data)?;
@@ -184,12 +184,14 @@
     async fn resume(&mut self) -> Result<(), RelayError> {
         let offset = self.assembler.next_offset();
         if self.resumes >= self.options.max_resumes {
-            let source = EdgeError::NoAnswer { address: self.engine };
+            let source = UpstreamError::NoAnswer { address: self.engine };
             return Err(RelayError::Broken { offset, source });
         }
         self.resumes += 1;
-        let resumed =
-            self.edge.resume(self.engine, self.attempt_id, offset, self.options.silence).await;
+        let resumed = self
+            .edge
+            .resume(self.engine, self.attempt_id, offset, self.options.event_timeout)
+            .await;
         let response = resumed.map_err(|source| RelayError::Broken { offset, source })?;
         self.assembler.discard_buffered();
         self.events = read_events(response);
--- a/clayplank-upstream/src/client.rs
+++ b/clayplank-upstream/src/client.rs
@@ -22,7 +22,7 @@
 /// Reason for which an upstream gave no usable answer. It tells whether the request may have been
 /// executed.
 #[derive(Debug, thiserror::Error)]
-pub enum EdgeError {
+pub enum UpstreamError {
     /// No connection could be opened, so no byte of the request was sent.
     #[error("{address} cannot be reached")]
     NotSent {
@@ -31,7 +31,7 @@
     },
     /// The upstream rejected the request and reported that it started nothing.
     #[error("{address} refused, and began nothing")]
-    NotBegun {
+    NotStarted {
         /// Address of the upstream.
         address: SocketAddr,
     },
@@ -65,11 +65,11 @@
     },
 }
 
-impl EdgeError {
+impl UpstreamError {
     /// Whether the upstream has certainly not started the request.
-    pub fn proves_not_begun(&self) -> bool {
+    pub fn proves_not_started(&self) -> bool {
         match self {
-            Self::NotSent { .. } | Self::NotBegun { .. } | Self::Malformed { .. } => true,
+            Self::NotSent { .. } | Self::NotStarted { .. } | Self::Malformed { .. } => true,
             Self::NoAnswer { .. } | Self::Status { .. } | Self::TooLarge { .. } => false,
         }
     }
@@ -101,14 +101,14 @@
         request: http::request::Builder,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<Response<Incoming>, EdgeError> {
+    ) -> Result<Response<Incoming>, UpstreamError> {
         let request = request
             .body(BoxBody::new(Full::new(body)))
-            .map_err(|_| EdgeError::Malformed { address })?;
+            .map_err(|_| UpstreamError::Malformed { address })?;
         match clayplank_clock::timeout(timeout, self.client.request(request)).await {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(error)) if error.is_connect() => Err(EdgeError::NotSent { address }),
-            Ok(Err(_)) | Err(_) => Err(EdgeError::NoAnswer { address }),
+            Ok(Err(error)) if error.is_connect() => Err(UpstreamError::NotSent { address }),
+            Ok(Err(_)) | Err(_) => Err(UpstreamError::NoAnswer { address }),
         }
     }
 
@@ -121,7 +121,7 @@
         body: Bytes,
         timeout: Duration,
         limit_bytes: usize,
-    ) -> Result<Response<Bytes>, EdgeError> {
+    ) -> Result<Response<Bytes>, UpstreamError> {
         let started_at = clayplank_clock::Instant::now();
         let response = self.send(address, request, body, timeout).await?;
         let (head, body) = response.into_parts();
@@ -129,9 +129,9 @@
         match clayplank_clock::timeout(remaining, Limited::new(body, limit_bytes).collect()).await {
             Ok(Ok(collected)) => Ok(Response::from_parts(head, collected.to_bytes())),
             Ok(Err(error)) if error.is::<LengthLimitError>() => {
-                Err(EdgeError::TooLarge { address, limit_bytes })
+                Err(UpstreamError::TooLarge { address, limit_bytes })
             }
-            Ok(Err(_)) | Err(_) => Err(EdgeError::NoAnswer { address }),
+            Ok(Err(_)) | Err(_) => Err(UpstreamError::NoAnswer { address }),
         }
     }
 }
--- a/clayplank-upstream/src/engine.rs
+++ b/clayplank-upstream/src/engine.rs
@@ -12,7 +12,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::client::{EdgeError, HttpClient, request_to};
+use crate::client::{HttpClient, UpstreamError, request_to};
 
 /// Time-out of a control request to an engine, such as one for its load.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -27,7 +27,7 @@
 
 /// A completion request to an engine, or a prefill request for a part of a prompt.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct CompletionRef<'a> {
+pub struct CompletionRequest<'a> {
     /// Id of the attempt, sent as a header.
     #[serde(skip)]
     pub attempt_id: AttemptId,
@@ -89,7 +89,7 @@
 /// A command to an engine, sent with a fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "order")]
-pub enum Order {
+pub enum EngineCommand {
     /// Load a model.
     LoadModel {
         /// Name of the model.
@@ -108,14 +108,14 @@
 }
 
 /// The operations of an engine that the serving layer uses.
-pub trait EngineEdge: Send + Sync + std::fmt::Debug {
+pub trait EngineClient: Send + Sync + std::fmt::Debug {
     /// Starts an attempt; the body of the response is the stream of its answer.
     fn complete<'a>(
         &'a self,
         engine: SocketAddr,
-        completion: CompletionRef<'a>,
+        completion: CompletionRequest<'a>,
         timeout: Duration,
-    ) -> BoxFuture<'a, Result<Response<Incoming>, EdgeError>>;
+    ) -> BoxFuture<'a, Result<Response<Incoming>, UpstreamError>>;
 
     /// Resumes the answer of an attempt at a chunk offset, without running the attempt again.
     fn resume(
@@ -124,17 +124,17 @@
         attempt_id: AttemptId,
         offset: u64,
         timeout: Duration,
-    ) -> BoxFuture<'_, Result<Response<Incoming>, EdgeError>>;
+    ) -> BoxFuture<'_, Result<Response<Incoming>, UpstreamError>>;
 
     /// Cancels an attempt. Once this returns `Ok`, the engine no longer runs it.
     fn cancel(
         &self,
         engine: SocketAddr,
         attempt_id: AttemptId,
-    ) -> BoxFuture<'_, Result<(), EdgeError>>;
+    ) -> BoxFuture<'_, Result<(), UpstreamError>>;
 
     /// Requests a load report, which may be outdated.
-    fn load(&self, engine: SocketAddr) -> BoxFuture<'_, Result<LoadReport, EdgeError>>;
+    fn load(&self, engine: SocketAddr) -> BoxFuture<'_, Result<LoadReport, UpstreamError>>;
 
     /// Requests the cache events with a sequence number above `after`. Events may be late, and
     /// some may be missing.
@@ -142,28 +142,28 @@
         &self,
         engine: SocketAddr,
         after: u64,
-    ) -> BoxFuture<'_, Result<Vec<CacheEvent>, EdgeError>>;
+    ) -> BoxFuture<'_, Result<Vec<CacheEvent>, UpstreamError>>;
 
     /// Prefills a part of a prompt; the engine keeps its KV cache for another engine to import.
     fn prefill<'a>(
         &'a self,
         engine: SocketAddr,
-        part: CompletionRef<'a>,
+        part: CompletionRequest<'a>,
         timeout: Duration,
-    ) -> BoxFuture<'a, Result<(), EdgeError>>;
+    ) -> BoxFuture<'a, Result<(), UpstreamError>>;
 
     /// Sends a command with a fencing token.
-    fn order<'a>(
+    fn send_command<'a>(
         &'a self,
         engine: SocketAddr,
         fence: u64,
-        command: &'a Order,
-    ) -> BoxFuture<'a, Result<(), EdgeError>>;
+        command: &'a EngineCommand,
+    ) -> BoxFuture<'a, Result<(), UpstreamError>>;
 }
 
 /// Client of engines that implement the HTTP interface of `docs/ENGINES.md`.
 #[derive(Clone, Debug, Default)]
-pub struct HttpEngines {
+pub struct HttpEngineClient {
     client: HttpClient,
 }
 
@@ -171,19 +171,19 @@
 struct FencedCommand<'a> {
     fence: u64,
     #[serde(flatten)]
-    order: &'a Order,
+    order: &'a EngineCommand,
 }
 
-impl HttpEngines {
+impl HttpEngineClient {
     async fn send_attempt(
         &self,
         engine: SocketAddr,
         path: &str,
-        completion: CompletionRef<'_>,
+        completion: CompletionRequest<'_>,
         timeout: Duration,
-    ) -> Result<Response<Incoming>, EdgeError> {
+    ) -> Result<Response<Incoming>, UpstreamError> {
         let body = serde_json::to_vec(&completion)
-            .map_err(|_| EdgeError::Malformed { address: engine })?;
+            .map_err(|_| UpstreamError::Malformed { address: engine })?;
         let request = request_to(Method::POST, engine, path)
             .header(ATTEMPT_HEADER, completion.attempt_id.to_string())
             .header(http::header::CONTENT_TYPE, "application/json");
@@ -195,7 +195,7 @@
         &self,
         engine: SocketAddr,
         path: &str,
-    ) -> Result<T, EdgeError> {
+    ) -> Result<T, UpstreamError> {
         let request = request_to(Method::GET, engine, path);
         let response = self
             .client
@@ -203,9 +203,10 @@
             .await?;
         let status = response.status();
         if status != StatusCode::OK {
-            return Err(EdgeError::Status { address: engine, status: status.as_u16() });
+            return Err(UpstreamError::Status { address: engine, status: status.as_u16() });
         }
-        serde_json::from_slice(response.body()).map_err(|_| EdgeError::NoAnswer { address: engine })
+        serde_json::from_slice(response.body())
+            .map_err(|_| UpstreamError::NoAnswer { address: engine })
     }
 
     async fn send_control(
@@ -214,7 +215,7 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<(), EdgeError> {
+    ) -> Result<(), UpstreamError> {
         let request = request_to(method, engine, path);
         let response = self
             .client
@@ -222,7 +223,7 @@
             .await?;
         match response.status() {
             StatusCode::OK => Ok(()),
-            status => Err(EdgeError::Status { address: engine, status: status.as_u16() }),
+            status => Err(UpstreamError::Status { address: engine, status: status.as_u16() }),
         }
     }
 }
@@ -231,23 +232,23 @@
 fn check_accepted(
     engine: SocketAddr,
     response: Response<Incoming>,
-) -> Result<Response<Incoming>, EdgeError> {
+) -> Result<Response<Incoming>, UpstreamError> {
     if response.status() == StatusCode::OK {
         return Ok(response);
     }
     match response.headers().contains_key(NOT_BEGUN_HEADER) {
-        true => Err(EdgeError::NotBegun { address: engine }),
-        false => Err(EdgeError::Status { address: engine, status: response.status().as_u16() }),
+        true => Err(UpstreamError::NotStarted { address: engine }),
+        false => Err(UpstreamError::Status { address: engine, status: response.status().as_u16() }),
     }
 }
 
-impl EngineEdge for HttpEngines {
+impl EngineClient for HttpEngineClient {
     fn complete<'a>(
         &'a self,
         engine: SocketAddr,
-        completion: CompletionRef<'a>,
+        completion: CompletionRequest<'a>,
         timeout: Duration,
-    ) -> BoxFuture<'a, Result<Response<Incoming>, EdgeError>> {
+    ) -> BoxFuture<'a, Result<Response<Incoming>, UpstreamError>> {
         Box::pin(self.send_attempt(engine, "/v1/completions", completion, timeout))
     }
 
@@ -257,7 +258,7 @@
         attempt_id: AttemptId,
         offset: u64,
         timeout: Duration,
-    ) -> BoxFuture<'_, Result<Response<Incoming>, EdgeError>> {
+    ) -> BoxFuture<'_, Result<Response<Incoming>, UpstreamError>> {
         Box::pin(async move {
             let path = format!("/attempts/{attempt_id}?offset={offset}");
             let request = request_to(Method::GET, engine, &path);
@@ -270,14 +271,14 @@
         &self,
         engine: SocketAddr,
         attempt_id: AttemptId,
-    ) -> BoxFuture<'_, Result<(), EdgeError>> {
+    ) -> BoxFuture<'_, Result<(), UpstreamError>> {
         Box::pin(async move {
             let path = format!("/attempts/{attempt_id}");
             self.send_control(engine, Method::DELETE, &path, Bytes::new()).await
         })
     }
 
-    fn load(&self, engine: SocketAddr) -> BoxFuture<'_, Result<LoadReport, EdgeError>> {
+    fn load(&self, engine: SocketAddr) -> BoxFuture<'_, Result<LoadReport, UpstreamError>> {
         Box::pin(self.fetch(engine, "/load"))
     }
 
@@ -285,30 +286,30 @@
         &self,
         engine: SocketAddr,
         after: u64,
-    ) -> BoxFuture<'_, Result<Vec<CacheEvent>, EdgeError>> {
+    ) -> BoxFuture<'_, Result<Vec<CacheEvent>, UpstreamError>> {
         Box::pin(async move { self.fetch(engine, &format!("/cache/events?after={after}")).await })
     }
 
     fn prefill<'a>(
         &'a self,
         engine: SocketAddr,
-        part: CompletionRef<'a>,
+        part: CompletionRequest<'a>,
         timeout: Duration,
-    ) -> BoxFuture<'a, Result<(), EdgeError>> {
+    ) -> BoxFuture<'a, Result<(), UpstreamError>> {
         Box::pin(
             async move { self.send_attempt(engine, "/kv/prefill", part, timeout).await.map(drop) },
         )
     }
 
-    fn order<'a>(
+    fn send_command<'a>(
         &'a self,
         engine: SocketAddr,
         fence: u64,
-        command: &'a Order,
-    ) -> BoxFuture<'a, Result<(), EdgeError>> {
+        command: &'a EngineCommand,
+    ) -> BoxFuture<'a, Result<(), UpstreamError>> {
         Box::pin(async move {
             let body = serde_json::to_vec(&FencedCommand { fence, order: command });
-            let body = body.map_err(|_| EdgeError::Malformed { address: engine })?;
+            let body = body.map_err(|_| UpstreamError::Malformed { address: engine })?;
             self.send_control(engine, Method::POST, "/orders", Bytes::from(body)).await
         })
     }
--- a/clayplank-upstream/src/lib.rs
+++ b/clayplank-upstream/src/lib.rs
@@ -1,6 +1,6 @@
 //! Clients of engines, plain services and the platform's host list.
 //!
-//! [`EngineEdge`] is the only interface to engines that the other packages use; an engine with
+//! [`EngineClient`] is the only interface to engines that the other packages use; an engine with
 //! another protocol needs only another implementation of it.
 //! [`Assembler`] puts the chunks of an answer in order and detects gaps.
 //!
@@ -23,9 +23,12 @@
 mod platform;
 mod service;
 
-pub use answer::{AnswerStream, RelayError, RelayOptions};
+pub use answer::{AnswerOptions, AnswerStream, RelayError};
 pub use assemble::{Assembler, Chunk, ChunkOrderError, Finish};
-pub use client::{EdgeError, HttpClient};
-pub use engine::{CacheEvent, CompletionRef, EngineEdge, HttpEngines, KvHandle, LoadReport, Order};
+pub use client::{HttpClient, UpstreamError};
+pub use engine::{
+    CacheEvent, CompletionRequest, EngineClient, EngineCommand, HttpEngineClient, KvHandle,
+    LoadReport,
+};
 pub use platform::{HostState, fetch_platform_hosts};
 pub use service::{ServiceAnswer, ServiceRequest, forward};
--- a/clayplank-upstream/src/platform.rs
+++ b/clayplank-upstream/src/platform.rs
@@ -8,7 +8,7 @@
 use http::{Method, StatusCode};
 use serde::Deserialize;
 
-use crate::client::{EdgeError, HttpClient, request_to};
+use crate::client::{HttpClient, UpstreamError, request_to};
 
 /// Time-out of a request for the list.
 const TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -33,12 +33,16 @@
 pub async fn fetch_platform_hosts(
     client: &HttpClient,
     platform: SocketAddr,
-) -> Result<BTreeMap<String, HostState>, EdgeError> {
+) -> Result<BTreeMap<String, HostState>, UpstreamError> {
     let request = request_to(Method::GET, platform, "/hosts");
     let response =
         client.exchange(platform, request, Bytes::new(), TIMEOUT, MAX_LIST_BYTES).await?;
     if response.status() != StatusCode::OK {
-        return Err(EdgeError::Status { address: platform, status: response.status().as_u16() });
+        return Err(UpstreamError::Status {
+            address: platform,
+            status: response.status().as_u16(),
+        });
     }
-    serde_json::from_slice(response.body()).map_err(|_| EdgeError::NoAnswer { address: platform })
+    serde_json::from_slice(response.body())
+        .map_err(|_| UpstreamError::NoAnswer { address: platform })
 }
--- a/clayplank-upstream/src/service.rs
+++ b/clayplank-upstream/src/service.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, Method};
 
-use crate::client::{EdgeError, HttpClient, request_to};
+use crate::client::{HttpClient, UpstreamError, request_to};
 
 /// Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1), and `host` and
 /// `authorization`, which are meant for this system.
@@ -57,7 +57,7 @@
     request: &ServiceRequest,
     timeout: Duration,
     limit_bytes: usize,
-) -> Result<ServiceAnswer, EdgeError> {
+) -> Result<ServiceAnswer, UpstreamError> {
     let mut builder = request_to(request.method.clone(), service, &request.path);
     if let Some(headers) = builder.headers_mut() {
         headers.extend(end_to_end_headers(&request.headers));
--- a/clayplankd/src/doors/callers.rs
+++ b/clayplankd/src/doors/callers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use clayplank_clock::Instant;
-use clayplank_settings::Effective;
+use clayplank_settings::EffectiveSettings;
 use clayplank_state::SettingsView;
 use clayplank_types::{AccountId, Refusal, RefusalReason, RequestFingerprint, RequestIdentity};
 use clayplank_upstream::ServiceRequest;
@@ -127,7 +127,10 @@
 
 impl Caller {
     /// The effective settings of the request, and its deadline.
-    fn settings_and_deadline(&self, headers: &HeaderMap) -> Result<(Effective, Instant), Problem> {
+    fn settings_and_deadline(
+        &self,
+        headers: &HeaderMap,
+    ) -> Result<(EffectiveSettings, Instant), Problem> {
         let template = header(headers, TEMPLATE_HEADER)?;
         let effective = self.view.effective_settings(&self.account, template);
         let effective = effective.ok_or_else(|| {
--- a/clayplankd/src/doors/dispatch.rs
+++ b/clayplankd/src/doors/dispatch.rs
@@ -6,10 +6,10 @@
 
 use clayplank_clock::Instant;
 use clayplank_schedule::{ReservationRequest, Usage};
-use clayplank_settings::Effective;
+use clayplank_settings::EffectiveSettings;
 use clayplank_types::{AccountId, AttemptId, PREFIX_BLOCK_TOKENS, UpstreamId, prefix_hashes};
 use clayplank_upstream::{
-    AnswerStream, Chunk, CompletionRef, EdgeError, Finish, KvHandle, RelayOptions,
+    AnswerOptions, AnswerStream, Chunk, CompletionRequest, Finish, KvHandle, UpstreamError,
 };
 use tokio::sync::mpsc;
 
@@ -30,7 +30,7 @@
 pub(crate) struct PromptJob {
     pub(crate) account: AccountId,
     pub(crate) share: u64,
-    pub(crate) effective: Effective,
+    pub(crate) effective: EffectiveSettings,
     pub(crate) model: String,
     pub(crate) prompt: String,
     pub(crate) prompt_tokens: u64,
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 enum AttemptError {
     /// Provably, no engine has started the attempt.
-    NotBegun,
+    NotStarted,
     /// The attempt broke off after it started, or may have started.
     Broken(String),
     /// The caller disconnected.
@@ -131,13 +131,13 @@
         }
         excluded.extend(reservation.grant.parts.iter().map(|part| part.engine.clone()));
         let is_safe = match &error {
-            AttemptError::NotBegun => true,
+            AttemptError::NotStarted => true,
             AttemptError::Broken(_) => {
                 job.effective.repeatable && sink.reset(progress.output_tokens > 0)
             }
             AttemptError::CallerLeft | AttemptError::DeadlineOver => false,
         };
-        may_have_run |= !matches!(error, AttemptError::NotBegun);
+        may_have_run |= !matches!(error, AttemptError::NotStarted);
         if !is_safe || attempt_count >= MAX_ATTEMPTS || !permit.spend_retry() {
             return Err(to_problem(error, may_have_run));
         }
@@ -160,8 +160,8 @@
 
 fn to_problem(error: AttemptError, may_have_run: bool) -> Problem {
     match error {
-        AttemptError::NotBegun if may_have_run => Problem::Failed("an engine failed".to_owned()),
-        AttemptError::NotBegun => {
+        AttemptError::NotStarted if may_have_run => Problem::Failed("an engine failed".to_owned()),
+        AttemptError::NotStarted => {
             let reason = clayplank_types::RefusalReason::UpstreamRefused;
             Problem::Refused(clayplank_types::Refusal::new(reason, 500))
         }
@@ -213,13 +213,13 @@
         Err(_) => Err(AttemptError::DeadlineOver),
     };
     let engine_ended = match (&result, reservation.grant.parts.len()) {
-        (Ok(_), 1) | (Err(AttemptError::NotBegun), 1) => true,
+        (Ok(_), 1) | (Err(AttemptError::NotStarted), 1) => true,
         // The other engines of a gang keep their part of the prompt until it is cancelled.
         _ => cancel_parts(host, reservation).await,
     };
     let (first, last) = (progress.first_token, progress.last_token);
     let decode_ms = first.zip(last).map_or(0, |(first, last)| (last - first).as_millis() as u64);
-    let engine_failed = matches!(result, Err(AttemptError::Broken(_) | AttemptError::NotBegun));
+    let engine_failed = matches!(result, Err(AttemptError::Broken(_) | AttemptError::NotStarted));
     let usage =
         Usage { engine_ended, engine_failed, output_tokens: progress.output_tokens, decode_ms };
     finish(host, reservation, usage).await;
@@ -315,7 +315,7 @@
     let mut last_address = None;
     for (position, part) in reservation.grant.parts.iter().enumerate() {
         let address = engine_address(host, &part.engine)?;
-        let completion = CompletionRef {
+        let completion = CompletionRequest {
             attempt_id,
             model: &job.model,
             adapter: job.effective.adapter.as_deref(),
@@ -341,21 +341,21 @@
                 .map_err(|error| classify(&error))?,
         ));
     }
-    let (address, response) = last_address.ok_or(AttemptError::NotBegun)?;
-    let options = RelayOptions {
-        silence: millis(host.settings.timing.upstream_silence_ms),
-        ..RelayOptions::default()
+    let (address, response) = last_address.ok_or(AttemptError::NotStarted)?;
+    let options = AnswerOptions {
+        event_timeout: millis(host.settings.timing.upstream_silence_ms),
+        ..AnswerOptions::default()
     };
     Ok(AnswerStream::new(Arc::clone(&host.engines), address, attempt_id, response, options))
 }
 
 fn engine_address(host: &Host, engine: &UpstreamId) -> Result<SocketAddr, AttemptError> {
-    host.addresses.get(engine).copied().ok_or(AttemptError::NotBegun)
+    host.addresses.get(engine).copied().ok_or(AttemptError::NotStarted)
 }
 
-fn classify(error: &EdgeError) -> AttemptError {
-    if error.proves_not_begun() {
-        AttemptError::NotBegun
+fn classify(error: &UpstreamError) -> AttemptError {
+    if error.proves_not_started() {
+        AttemptError::NotStarted
     } else {
         AttemptError::Broken(error.to_string())
     }
--- a/clayplankd/src/doors/services.rs
+++ b/clayplankd/src/doors/services.rs
@@ -10,7 +10,7 @@
 use clayplank_settings::ServiceSettings;
 use clayplank_state::StoredAnswer;
 use clayplank_types::{AccountId, AttemptId, Outcome, Refusal, RefusalReason, UpstreamId};
-use clayplank_upstream::{EdgeError, ServiceAnswer, ServiceRequest, forward};
+use clayplank_upstream::{ServiceAnswer, ServiceRequest, UpstreamError, forward};
 use http::header::{CONTENT_TYPE, HeaderValue};
 use http::{Response, StatusCode};
 use siphasher::sip128::{Hasher128, SipHasher13};
@@ -141,13 +141,13 @@
                 }
                 Err(error) => error,
             };
-        if !error.proves_not_begun() {
+        if !error.proves_not_started() {
             let attempt_id = AttemptId::random().to_string();
             host.record_break(&call.identity, &service.id, service.address, &attempt_id);
         }
         excluded.push(service.id.clone());
-        may_have_run |= !error.proves_not_begun();
-        let is_safe = error.proves_not_begun() || call.is_repeatable;
+        may_have_run |= !error.proves_not_started();
+        let is_safe = error.proves_not_started() || call.is_repeatable;
         let in_time = Instant::now() < call.deadline;
         if !is_safe || !in_time || attempt_count == MAX_ATTEMPTS || !permit.spend_retry() {
             return Err(to_problem(&error, may_have_run));
@@ -156,7 +156,7 @@
     Err(Problem::Unknown("no service gave an answer".to_owned()))
 }
 
-fn to_problem(error: &EdgeError, may_have_run: bool) -> Problem {
+fn to_problem(error: &UpstreamError, may_have_run: bool) -> Problem {
     match may_have_run {
         true => Problem::Unknown(error.to_string()),
         false => Problem::Refused(Refusal::new(RefusalReason::UpstreamRefused, BUSY_RETRY_MS)),
--- a/clayplankd/src/owners/commands.rs
+++ b/clayplankd/src/owners/commands.rs
@@ -7,7 +7,7 @@
 use clayplank_settings::{FenceCheck, HostSettings};
 use clayplank_state::{CommandBody, Reply};
 use clayplank_types::{HostId, Refusal, RefusalReason, UpstreamId};
-use clayplank_upstream::{EngineEdge, Order};
+use clayplank_upstream::{EngineClient, EngineCommand};
 
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::millis;
@@ -37,7 +37,7 @@
     targets: Vec<CommandTarget>,
     host: HostId,
     keepers: KeeperClient,
-    edge: Arc<dyn EngineEdge>,
+    edge: Arc<dyn EngineClient>,
 }
 
 impl AdapterLoadPlan {
@@ -45,7 +45,7 @@
         settings: &HostSettings,
         grant: &Grant,
         keepers: &KeeperClient,
-        edge: &Arc<dyn EngineEdge>,
+        edge: &Arc<dyn EngineClient>,
     ) -> Self {
         let is_granted =
             |engine: &UpstreamId| grant.parts.iter().any(|part| part.engine == *engine);
@@ -79,8 +79,8 @@
 pub(crate) async fn load_adapter(plan: &AdapterLoadPlan) -> Result<(), Refusal> {
     for target in &plan.targets {
         let token = acquire_token(plan, target).await?;
-        let command = Order::LoadAdapter { adapter: plan.adapter.clone() };
-        if let Err(error) = plan.edge.order(target.address, token, &command).await {
+        let command = EngineCommand::LoadAdapter { adapter: plan.adapter.clone() };
+        if let Err(error) = plan.edge.send_command(target.address, token, &command).await {
             log::warn!(target: log_target::OWNER, "Engine {} failed to load adapter {}: {error}.", target.engine, plan.adapter);
             return Err(Refusal::new(RefusalReason::UpstreamRefused, COMMAND_RETRY_MS));
         }
--- a/clayplankd/src/owners/owner.rs
+++ b/clayplankd/src/owners/owner.rs
@@ -16,7 +16,7 @@
 };
 use clayplank_settings::HostSettings;
 use clayplank_types::{AttemptId, HostId, Incarnation, PoolId, Refusal, RequestId, UpstreamId};
-use clayplank_upstream::{CacheEvent, EngineEdge, LoadReport};
+use clayplank_upstream::{CacheEvent, EngineClient, LoadReport};
 use tokio::sync::oneshot;
 use xtra::{Address, Context, Handler};
 
@@ -88,7 +88,7 @@
     members: Arc<MembersView>,
     directory: Arc<PoolDirectory>,
     upstreams: UpstreamStates,
-    engines: Arc<dyn EngineEdge>,
+    engines: Arc<dyn EngineClient>,
     keepers: KeeperClient,
     pools: BTreeMap<PoolId, OwnedPool>,
     waiters: HashMap<RequestId, Waiter>,
@@ -104,7 +104,7 @@
         members: Arc<MembersView>,
         directory: Arc<PoolDirectory>,
         upstreams: UpstreamStates,
-        engines: Arc<dyn EngineEdge>,
+        engines: Arc<dyn EngineClient>,
         keepers: KeeperClient,
     ) -> Self {
         Self {
--- a/clayplankd/src/owners/owner/engine_poll.rs
+++ b/clayplankd/src/owners/owner/engine_poll.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clayplank_types::{PoolId, UpstreamId};
-use clayplank_upstream::EngineEdge;
+use clayplank_upstream::EngineClient;
 use xtra::Address;
 
 use super::{CacheChanged, LoadReported, Owner};
@@ -19,7 +19,7 @@
 /// Polls one engine for its load and its cache events.
 pub(super) struct EnginePoll {
     pub(super) owner: Address<Owner>,
-    pub(super) edge: Arc<dyn EngineEdge>,
+    pub(super) edge: Arc<dyn EngineClient>,
     pub(super) pool: PoolId,
     pub(super) engine: UpstreamId,
     pub(super) address: SocketAddr,
--- a/clayplankd/src/owners/reserve.rs
+++ b/clayplankd/src/owners/reserve.rs
@@ -125,7 +125,7 @@
 }
 
 fn pool_load(host: &Host, pool: &PoolId) -> PoolLoad {
-    let local_data_centre = host.settings.own_entry().map(|entry| &entry.data_centre);
+    let local_data_centre = host.settings.local_entry().map(|entry| &entry.data_centre);
     let is_local = host.pools.data_centre(pool) == local_data_centre;
     let distance_ms = if is_local { 0 } else { REMOTE_POOL_DISTANCE_MS };
     PoolLoad {
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -9,7 +9,7 @@
 use clayplank_forward::RequestQuarantine;
 use clayplank_settings::{Faults, HostSettings, Role};
 use clayplank_types::{HostId, Incarnation};
-use clayplank_upstream::{EngineEdge, HttpClient, HttpEngines};
+use clayplank_upstream::{EngineClient, HttpClient, HttpEngineClient};
 use clayplank_wire::inner_server::InnerServer;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto;
@@ -186,7 +186,7 @@
     members: Arc<MembersView>,
     pools: Arc<PoolDirectory>,
 ) -> Arc<Host> {
-    let engines: Arc<dyn EngineEdge> = Arc::new(HttpEngines::default());
+    let engines: Arc<dyn EngineClient> = Arc::new(HttpEngineClient::default());
     let keepers = KeeperClient::new(settings, peers.clone());
     let (sighting_link, sightings) = SightingLink::new(keepers.clone());
     tokio::spawn(run_sightings(keepers.clone(), sightings));
--- a/clayplankd/src/process/host_state.rs
+++ b/clayplankd/src/process/host_state.rs
@@ -8,7 +8,7 @@
 use clayplank_forward::RequestQuarantine;
 use clayplank_settings::HostSettings;
 use clayplank_types::{Incarnation, UpstreamId};
-use clayplank_upstream::{EngineEdge, HttpClient};
+use clayplank_upstream::{EngineClient, HttpClient};
 
 use crate::doors::account_limits::AccountLimits;
 use crate::doors::services::ServiceLoads;
@@ -33,7 +33,7 @@
     /// Replicated settings, with the lease for which they are confirmed.
     pub(crate) replicated_settings: Arc<CurrentSettings>,
     pub(crate) members: Arc<MembersView>,
-    pub(crate) engines: Arc<dyn EngineEdge>,
+    pub(crate) engines: Arc<dyn EngineClient>,
     pub(crate) http: HttpClient,
     /// Addresses of the engines in the settings.
     pub(crate) addresses: HashMap<UpstreamId, SocketAddr>,
