--- a/clayplankd/src/doors/control_endpoint.rs
+++ b/clayplankd/src/doors/control_endpoint.rs
@@ -21,7 +21,7 @@
 
 use crate::doors::contract::{ControlCall, ControlError, SharedContract};
 use crate::fleet::fleet_keeper::FleetKeeper;
-use crate::fleet::spread::Spread;
+use crate::fleet::heartbeat_relay::HeartbeatRelay;
 use crate::keepers::keeper::Keeper;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::keepers::keeper_messages::GetLeader;
@@ -68,7 +68,7 @@
     pub(crate) contract: SharedContract,
     pub(crate) keepers: KeeperClient,
     pub(crate) registry: RegistryAccess,
-    pub(crate) spread: Spread,
+    pub(crate) spread: HeartbeatRelay,
     /// Data centres of the deployment; empty if the settings do not name them.
     pub(crate) data_centres: Arc<[DataCentre]>,
 }
@@ -178,7 +178,7 @@
         if !accepts_requests {
             return self.notify_leader(&heartbeat).await;
         }
-        self.spread.push(heartbeat);
+        self.spread.queue_heartbeat(heartbeat);
         match self.leader().await {
             Some(_) => empty(StatusCode::OK),
             // This host may be partitioned from the keepers: the upstream should try another host.
@@ -199,7 +199,7 @@
 
     async fn apply_departure(&self, departed: Heartbeat) -> Answer {
         let departed = match &self.registry {
-            RegistryAccess::Local { fleet, .. } => fleet.leave(&departed),
+            RegistryAccess::Local { fleet, .. } => fleet.record_departure(&departed),
             // The keepers determine the incarnation.
             RegistryAccess::Remote => departed,
         };
@@ -210,7 +210,7 @@
     /// once the leader has received it.
     async fn notify_leader(&self, heartbeat: &Heartbeat) -> Answer {
         let leader = self.leader().await;
-        if self.spread.push_urgent(heartbeat, leader.as_ref()).await {
+        if self.spread.relay_now(heartbeat, leader.as_ref()).await {
             empty(StatusCode::OK)
         } else {
             fault(StatusCode::SERVICE_UNAVAILABLE, "the leading keeper does not know yet")
--- a/clayplankd/src/doors/dispatch.rs
+++ b/clayplankd/src/doors/dispatch.rs
@@ -16,7 +16,9 @@
 use crate::doors::account_limits::AccountPermit;
 use crate::doors::quarantine::Identity;
 use crate::doors::replies::Problem;
-use crate::owners::reserve::{Held, finish, new_ask, reserve, tell_first_token};
+use crate::owners::reservations::{
+    OwnedGrant, finish_grant, new_request, notify_first_token, reserve,
+};
 use crate::process::clock::millis;
 use crate::process::host_state::Host;
 use crate::process::logging::log_target;
@@ -149,7 +151,7 @@
 
 /// Records that an attempt broke off at the last engine of its grant, the one that generates the
 /// answer.
-fn record_break(host: &Host, job: &PromptJob, reservation: &Held) {
+fn record_break(host: &Host, job: &PromptJob, reservation: &OwnedGrant) {
     let engine = reservation.grant.parts.last().map(|part| &part.engine);
     let address = engine.and_then(|engine| host.addresses.get(engine));
     if let (Some(engine), Some(&address)) = (engine, address) {
@@ -185,7 +187,7 @@
         .bytes(PREFIX_BLOCK_TOKENS)
         .min(bytes_per_block.max(1) as usize);
     let mut request =
-        new_ask(AttemptId::random(), job.account.clone(), &job.model, job.prompt_tokens);
+        new_request(AttemptId::random(), job.account.clone(), &job.model, job.prompt_tokens);
     request.weight = job.share;
     request.priority = job.effective.priority;
     request.adapter = job.effective.adapter.clone();
@@ -199,7 +201,7 @@
 async fn run_attempt(
     host: &Host,
     job: &PromptJob,
-    reservation: &Held,
+    reservation: &OwnedGrant,
     sink: &mut Sink,
     progress: &mut Progress,
 ) -> Result<Finish, AttemptError> {
@@ -222,7 +224,7 @@
     let engine_failed = matches!(result, Err(AttemptError::Broken(_) | AttemptError::NotStarted));
     let usage =
         Usage { engine_ended, engine_failed, output_tokens: progress.output_tokens, decode_ms };
-    finish(host, reservation, usage).await;
+    finish_grant(host, reservation, usage).await;
     if result.is_ok() {
         host.metrics.record(
             &job.account,
@@ -235,7 +237,7 @@
 }
 
 /// Cancels the attempt at every engine; true if each of them confirmed it.
-async fn cancel_parts(host: &Host, reservation: &Held) -> bool {
+async fn cancel_parts(host: &Host, reservation: &OwnedGrant) -> bool {
     let mut all_ended = true;
     for part in &reservation.grant.parts {
         let Some(&address) = host.addresses.get(&part.engine) else {
@@ -249,7 +251,7 @@
 async fn relay(
     host: &Host,
     job: &PromptJob,
-    reservation: &Held,
+    reservation: &OwnedGrant,
     sink: &mut Sink,
     progress: &mut Progress,
 ) -> Result<Finish, AttemptError> {
@@ -274,7 +276,7 @@
     }
 }
 
-fn record_token(host: &Host, job: &PromptJob, reservation: &Held, progress: &mut Progress) {
+fn record_token(host: &Host, job: &PromptJob, reservation: &OwnedGrant, progress: &mut Progress) {
     let now = Instant::now();
     match progress.last_token {
         None => {
@@ -293,10 +295,10 @@
 }
 
 impl Host {
-    fn report_first_token_in_background(&self, reservation: &Held) {
+    fn report_first_token_in_background(&self, reservation: &OwnedGrant) {
         if let Some(host) = self.shared() {
             let reservation = reservation.clone();
-            tokio::spawn(async move { tell_first_token(&host, &reservation).await });
+            tokio::spawn(async move { notify_first_token(&host, &reservation).await });
         }
     }
 }
@@ -306,7 +308,7 @@
 async fn start(
     host: &Host,
     job: &PromptJob,
-    reservation: &Held,
+    reservation: &OwnedGrant,
 ) -> Result<AnswerStream, AttemptError> {
     let attempt_id = reservation.grant.attempt_id;
     let remaining = job.deadline.saturating_duration_since(Instant::now());
@@ -362,7 +364,7 @@
 }
 
 /// Splits the prompt, at character boundaries, into the parts that the engines of a gang prefill.
-fn split_prompt<'a>(prompt: &'a str, reservation: &Held) -> Vec<&'a str> {
+fn split_prompt<'a>(prompt: &'a str, reservation: &OwnedGrant) -> Vec<&'a str> {
     let total_tokens: u64 = reservation.grant.parts.iter().map(|part| part.prompt_tokens).sum();
     let mut remainder = prompt;
     let mut parts = Vec::new();
--- a/clayplankd/src/fleet/fleet_keeper.rs
+++ b/clayplankd/src/fleet/fleet_keeper.rs
@@ -25,7 +25,7 @@
 use crate::doors::contract::{EngineLoadReport, SharedContract};
 use crate::fleet::fleet_engines::{set_cordoned, set_engines, update_engines};
 use crate::fleet::host_counts::HostCounts;
-use crate::fleet::mirror::{PlacementMirror, PlacementUpdates};
+use crate::fleet::placement_replication::{PlacementMirror, PlacementUpdates};
 use crate::follow::leader_confirmation::RenewalsByIncarnation;
 use crate::follow::packed_changes::PackedChanges;
 use crate::follow::plan_edits::PlanEdits;
@@ -50,22 +50,22 @@
 
 /// Update about upstreams for one follower.
 #[derive(Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct UpstreamUpdate {
     /// Packed [`Changes`] that the follower does not have yet.
     pub(crate) changes: Vec<u8>,
     /// Whether the follower must first send a digest of the upstreams it knows.
-    pub(crate) asks_digest: bool,
+    pub(crate) needs_digest: bool,
     /// Digest buckets in which the follower may know more than this keeper; it is to send its
     /// records.
-    pub(crate) asks_known: Buckets,
+    pub(crate) requested_buckets: Buckets,
 }
 
-impl News {
+impl UpstreamUpdate {
     /// An update without changes. A follower that already knows upstreams is told to send a digest
     /// with its next request.
-    pub(crate) fn later(cursor: Cursor) -> Result<Self, PackError> {
+    pub(crate) fn without_changes(cursor: Cursor) -> Result<Self, PackError> {
         let changes = pack(&Changes { cursor, records: Vec::new() })?;
-        Ok(Self { changes, asks_digest: cursor.life != 0, ..Self::default() })
+        Ok(Self { changes, needs_digest: cursor.life != 0, ..Self::default() })
     }
 }
 
@@ -155,7 +155,7 @@
     }
 
     /// Restores the upstreams that this keeper knew before its restart.
-    pub(crate) fn remember(&self, known: &[Heartbeat]) {
+    pub(crate) fn restore(&self, known: &[Heartbeat]) {
         lock_ignoring_poison(&self.registry).restore(now_ms(), known);
         self.notify_followers();
     }
@@ -174,7 +174,7 @@
     }
 
     /// Applies the upstreams that an entry host sent because this keeper knows fewer.
-    pub(crate) fn learn(&self, known: &[Heartbeat]) {
+    pub(crate) fn apply_follower_records(&self, known: &[Heartbeat]) {
         if !known.is_empty() {
             self.apply(known);
             self.has_received_follower_records.store(true, Ordering::SeqCst);
@@ -182,7 +182,7 @@
     }
 
     /// Records that an upstream has departed. Returns the heartbeat to relay to the other keepers.
-    pub(crate) fn leave(&self, departed: &Heartbeat) -> Heartbeat {
+    pub(crate) fn record_departure(&self, departed: &Heartbeat) -> Heartbeat {
         let departed = lock_ignoring_poison(&self.registry).apply_departure(now_ms(), departed);
         log_status(&departed);
         self.notify_followers();
@@ -314,7 +314,7 @@
     }
 
     /// Records events of placements.
-    pub(crate) fn note(&self, events: &[(PlacementId, Event)]) {
+    pub(crate) fn record_events(&self, events: &[(PlacementId, Event)]) {
         lock_ignoring_poison(&self.mirror).record_events(events);
         let mut fleet = lock_ignoring_poison(&self.fleet);
         for (id, event) in events {
@@ -323,7 +323,7 @@
     }
 
     /// Records the limits that upstreams named. Returns them with timestamps of the local clock.
-    pub(crate) fn note_limits(&self, limits: Vec<AgedLimit>) -> Vec<LimitObservation> {
+    pub(crate) fn record_limits(&self, limits: Vec<AgedLimit>) -> Vec<LimitObservation> {
         let now_ms = now_ms();
         let named: Vec<_> =
             limits.into_iter().map(|limit| limit.into_observation(now_ms)).collect();
@@ -358,10 +358,10 @@
     ///
     /// # Errors
     /// No permit becomes available in time: the time until there is one, in ms.
-    pub(crate) fn take_turn(&self, limit: AgedLimit, max_wait_ms: u64) -> Result<u64, u64> {
+    pub(crate) fn take_permit(&self, limit: AgedLimit, max_wait_ms: u64) -> Result<u64, u64> {
         let id = limit.upstream.clone();
         // The host that requests the permit may have learned of the limit before this keeper.
-        self.note_limits(vec![limit]);
+        self.record_limits(vec![limit]);
         let limit_per_s = lock_ignoring_poison(&self.limits).limit_per_s(&id);
         let mut permits = lock_ignoring_poison(&self.permits);
         let permit = permits.entry(id).or_default();
@@ -379,7 +379,7 @@
     }
 
     /// Adds placements that another keeper made.
-    pub(crate) fn take_over(&self, placed: Vec<RunningPlacement>) {
+    pub(crate) fn add_placements(&self, placed: Vec<RunningPlacement>) {
         lock_ignoring_poison(&self.fleet).take_over(monotonic_now_ms(), &placed);
         lock_ignoring_poison(&self.mirror).take_over(placed);
     }
@@ -447,29 +447,29 @@
     ///
     /// # Errors
     /// Packing the update failed.
-    pub(crate) fn news_for(
+    pub(crate) fn update_for(
         &self,
         cursor: Cursor,
         digest: Option<&Digest>,
-    ) -> Result<News, PackError> {
+    ) -> Result<UpstreamUpdate, PackError> {
         let registry = lock_ignoring_poison(&self.registry);
         let newest = registry.cursor();
         if cursor.life == 0 || cursor.life == newest.life {
             let read = || registry.changes_after(cursor);
             let changes =
                 lock_ignoring_poison(&self.update_pages).get_or_pack(newest, cursor, read)?;
-            return Ok(News { changes, ..News::default() });
+            return Ok(UpstreamUpdate { changes, ..UpstreamUpdate::default() });
         }
         let Some(digest) = digest else {
-            return News::later(cursor);
+            return UpstreamUpdate::without_changes(cursor);
         };
         let (changes, buckets) = registry.changes_for_digest(digest);
         let changes = pack(&changes)?;
         if buckets.is_empty() || !self.may_query_host() {
-            return Ok(News { changes, ..News::default() });
+            return Ok(UpstreamUpdate { changes, ..UpstreamUpdate::default() });
         }
         self.has_better_informed_follower.store(true, Ordering::SeqCst);
-        Ok(News { changes, asks_known: buckets, ..News::default() })
+        Ok(UpstreamUpdate { changes, requested_buckets: buckets, ..UpstreamUpdate::default() })
     }
 
     /// Whether one more host should be queried for the upstreams it knows. Hosts know nearly the
@@ -505,7 +505,7 @@
     /// `plan_version`, which the follower has, or complete if that version is no longer known here.
     /// Returns an empty vector and leaves `delta` unchanged if it has no plan or its plan is not
     /// the newest.
-    pub(crate) fn take_edit(&self, delta: &mut Delta, plan_version: u64) -> Vec<u8> {
+    pub(crate) fn take_plan_edit(&self, delta: &mut Delta, plan_version: u64) -> Vec<u8> {
         let Some(document) = &delta.plan else {
             return Vec::new();
         };
@@ -519,22 +519,22 @@
     }
 
     /// Records a follow request of an entry host.
-    pub(crate) fn note_entry_host(&self, host: HostId) {
+    pub(crate) fn record_follower(&self, host: HostId) {
         lock_ignoring_poison(&self.entry_hosts).record_local(now_ms(), host);
     }
 
     /// Records the number of entry hosts that follow another keeper, as that keeper reported it.
-    pub(crate) fn note_relayed_hosts(&self, keeper: HostId, hosts: u64) {
+    pub(crate) fn record_peer_host_count(&self, keeper: HostId, hosts: u64) {
         lock_ignoring_poison(&self.entry_hosts).record_peer(now_ms(), keeper, hosts);
     }
 
     /// Records the total number of entry hosts that the leader reported.
-    pub(crate) fn set_told_hosts(&self, hosts: u64) {
+    pub(crate) fn record_leader_host_count(&self, hosts: u64) {
         lock_ignoring_poison(&self.entry_hosts).record_leader_count(now_ms(), hosts);
     }
 
     /// Number of entry hosts that follow this keeper.
-    pub(crate) fn count_own_hosts(&self) -> u64 {
+    pub(crate) fn count_local_followers(&self) -> u64 {
         lock_ignoring_poison(&self.entry_hosts).count_local(now_ms())
     }
 
--- a/clayplankd/src/fleet/spread.rs
+++ b/clayplankd/src/fleet/heartbeat_relay.rs
@@ -34,7 +34,7 @@
 
 /// Queue of heartbeats and limits for the other keepers.
 #[derive(Clone, Debug)]
-pub(crate) struct Spread {
+pub(crate) struct HeartbeatRelay {
     local_host: HostId,
     peers: Peers,
     keepers: KeeperClient,
@@ -42,7 +42,7 @@
     pending_limits: Arc<Mutex<BTreeMap<UpstreamId, LimitObservation>>>,
 }
 
-impl Spread {
+impl HeartbeatRelay {
     pub(crate) fn new(local_host: HostId, peers: Peers, keepers: KeeperClient) -> Self {
         Self { local_host, peers, keepers, pending: Arc::default(), pending_limits: Arc::default() }
     }
@@ -70,12 +70,12 @@
     }
 
     /// Queues a heartbeat for the next call.
-    pub(crate) fn push(&self, heartbeat: Heartbeat) {
+    pub(crate) fn queue_heartbeat(&self, heartbeat: Heartbeat) {
         lock_ignoring_poison(&self.pending).push(heartbeat);
     }
 
     /// Queues a limit for the next call. It replaces an earlier one of the same upstream.
-    pub(crate) fn push_limit(&self, limit: LimitObservation) {
+    pub(crate) fn queue_limit(&self, limit: LimitObservation) {
         lock_ignoring_poison(&self.pending_limits).insert(limit.upstream.clone(), limit);
     }
 
@@ -86,7 +86,7 @@
 
     /// Relays immediately that an upstream accepts no new work. Returns whether the leader knows
     /// it, from which the entry hosts learn it.
-    pub(crate) async fn push_urgent(&self, heartbeat: &Heartbeat, leader: Option<&HostId>) -> bool {
+    pub(crate) async fn relay_now(&self, heartbeat: &Heartbeat, leader: Option<&HostId>) -> bool {
         let hosts: Vec<_> =
             self.peer_keepers().into_iter().filter(|host| Some(host) != leader).collect();
         for host in hosts {
@@ -134,7 +134,7 @@
 }
 
 /// Relays what a keeper collected to all other keepers, at a fixed interval.
-pub(crate) async fn run_spread(spread: Spread) {
+pub(crate) async fn run_heartbeat_relay(spread: HeartbeatRelay) {
     loop {
         clayplank_clock::sleep(BATCH_INTERVAL).await;
         let (heartbeats, limits) = (spread.take_pending(), spread.take_pending_limits());
@@ -154,7 +154,7 @@
 }
 
 /// Sends what a host without a disk collected to one keeper, which relays it to the others.
-pub(crate) async fn run_spread_to_one(spread: Spread) {
+pub(crate) async fn run_diskless_heartbeat_relay(spread: HeartbeatRelay) {
     loop {
         clayplank_clock::sleep(DISKLESS_BATCH_INTERVAL).await;
         let collected = spread.take_pending();
--- a/clayplankd/src/fleet/limit_reports.rs
+++ b/clayplankd/src/fleet/limit_reports.rs
@@ -11,7 +11,7 @@
 use clayplank_wire::ReportRequest;
 use tokio::sync::mpsc;
 
-use crate::fleet::fleet_link::FleetLink;
+use crate::fleet::placement_client::PlacementClient;
 use crate::process::clock::now_ms;
 use crate::process::logging::log_target;
 
@@ -30,7 +30,7 @@
 /// Reports limits, and repeats them until a keeper accepts them: a single answer of the upstream
 /// may be the only one that shows that a limit was lifted.
 pub(crate) async fn run_limit_reports(
-    link: Arc<FleetLink>,
+    link: Arc<PlacementClient>,
     mut observed: mpsc::UnboundedReceiver<LimitObservation>,
 ) {
     let mut pending = PendingLimits::new();
@@ -54,7 +54,7 @@
 }
 
 /// Sends the limits to the keeper that places prompts. Returns whether it accepted them.
-async fn report(link: &FleetLink, pending: &PendingLimits) -> bool {
+async fn report(link: &PlacementClient, pending: &PendingLimits) -> bool {
     let now_ms = now_ms();
     let limits: Vec<AgedLimit> = pending.values().map(|one| one.to_aged(now_ms)).collect();
     let no_events: Vec<(PlacementId, Event)> = Vec::new();
--- a/clayplankd/src/fleet/fleet_link.rs
+++ b/clayplankd/src/fleet/placement_client.rs
@@ -47,7 +47,7 @@
 }
 
 /// Link of an entry host to the keepers that place its prompts, shared by all its requests.
-pub(crate) struct FleetLink {
+pub(crate) struct PlacementClient {
     /// Incarnation of the host in the ids of its placements: a random number chosen at its start.
     incarnation: u64,
     next_number: AtomicU64,
@@ -64,7 +64,7 @@
     unreachable: Mutex<Unreachable>,
 }
 
-impl FleetLink {
+impl PlacementClient {
     pub(crate) fn new(peers: Peers, keepers: KeeperClient) -> (Self, Reports) {
         let (events, event_receiver) = mpsc::unbounded_channel();
         let (limits, limit_receiver) = mpsc::unbounded_channel();
@@ -195,17 +195,17 @@
     }
 
     /// Incarnation of this host in the ids of its placements.
-    pub(crate) fn life(&self) -> u64 {
+    pub(crate) fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
     /// Placements that are still running, for the periodic renewal at the leader.
-    pub(crate) fn renewed(&self) -> Vec<RunningPlacement> {
+    pub(crate) fn running_placements(&self) -> Vec<RunningPlacement> {
         lock_ignoring_poison(&self.active).values().cloned().collect()
     }
 
     /// Adds or updates some of the engines for local placement.
-    pub(crate) fn change_engines(&self, plan: &PlanIndex, records: &[Record]) {
+    pub(crate) fn update_engines(&self, plan: &PlanIndex, records: &[Record]) {
         update_engines(&mut lock_ignoring_poison(&self.local_fleet), plan, records);
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Queues a limit for the report to the keeper that places prompts.
-    pub(crate) fn tell_limit(&self, observed: LimitObservation) {
+    pub(crate) fn report_limit(&self, observed: LimitObservation) {
         self.limits.send(observed).ok();
     }
 
@@ -230,7 +230,7 @@
     }
 
     /// Sets the number of hosts that may place locally at the same time.
-    pub(crate) fn set_hosts(&self, hosts: u64) {
+    pub(crate) fn set_host_count(&self, hosts: u64) {
         lock_ignoring_poison(&self.local_fleet).set_hosts(hosts);
     }
 
@@ -240,7 +240,7 @@
     }
 }
 
-impl Placer for FleetLink {
+impl Placer for PlacementClient {
     fn place<'a>(&'a self, ask: &'a PlacementRequest) -> BoxFuture<'a, PlacementOutcome> {
         Box::pin(async move {
             let ask = self.without_unreachable(ask);
@@ -249,7 +249,7 @@
                 None => self.place_locally(&ask),
             };
             self.record_placement(&ask, &placed);
-            let running = self.renewed();
+            let running = self.running_placements();
             lock_ignoring_poison(&self.local_fleet).sync_host(
                 monotonic_now_ms(),
                 self.incarnation,
@@ -287,7 +287,7 @@
 
     fn record_limit(&self, observed: &LimitObservation) {
         self.set_declared_limit(observed);
-        self.tell_limit(observed.clone());
+        self.report_limit(observed.clone());
     }
 
     fn request_permit<'a>(
@@ -320,7 +320,7 @@
 }
 
 /// Ends the backoff of both keepers as soon as another leader is found.
-pub(crate) async fn run_return_to_leader(link: Arc<FleetLink>) {
+pub(crate) async fn run_backoff_reset(link: Arc<PlacementClient>) {
     let mut leader_changes = link.keepers.subscribe_leader();
     while leader_changes.changed().await.is_ok() {
         link.leader_unresponsive_until_ms.store(0, Ordering::SeqCst);
@@ -329,8 +329,8 @@
 }
 
 /// Reports events of placements to the keeper that places prompts.
-pub(crate) async fn run_reports(
-    link: Arc<FleetLink>,
+pub(crate) async fn run_event_reports(
+    link: Arc<PlacementClient>,
     mut events: mpsc::UnboundedReceiver<(PlacementId, Event)>,
 ) {
     while let Some(first) = events.recv().await {
--- a/clayplankd/src/fleet/mirror.rs
+++ b/clayplankd/src/fleet/placement_replication.rs
@@ -170,7 +170,7 @@
 }
 
 /// Sends updates to the deputy while this keeper leads, and all known placements to a new leader.
-pub(crate) async fn run_mirror(
+pub(crate) async fn run_placement_replication(
     local_host: HostId,
     keeper: Address<Keeper>,
     fleet: Arc<FleetKeeper>,
--- a/clayplankd/src/fleet/upstream_memory.rs
+++ b/clayplankd/src/fleet/saved_upstreams.rs
@@ -24,11 +24,11 @@
 const SAVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Restores the upstreams that an earlier process saved.
-pub(crate) fn recall_upstreams(fleet: &FleetKeeper, notes: &SideFiles) {
+pub(crate) fn restore_upstreams(fleet: &FleetKeeper, notes: &SideFiles) {
     match notes.load::<Vec<Heartbeat>>(NOTE_NAME) {
         Ok(Some(known)) => {
             log::info!(target: log_target::KEEPER, upstreams = known.len(); "Restored the saved upstreams");
-            fleet.remember(&known);
+            fleet.restore(&known);
         }
         Ok(None) => {}
         // Not fatal: heartbeats rebuild the registry.
@@ -39,7 +39,7 @@
 }
 
 /// Saves the registered upstreams whenever one has changed.
-pub(crate) async fn run_upstream_memory(fleet: Arc<FleetKeeper>, notes: SideFiles) {
+pub(crate) async fn run_upstream_saves(fleet: Arc<FleetKeeper>, notes: SideFiles) {
     let mut saved = Cursor::default();
     loop {
         clayplank_clock::sleep(SAVE_INTERVAL).await;
--- a/clayplankd/src/fleet/sightings.rs
+++ b/clayplankd/src/fleet/termination_reports.rs
@@ -35,20 +35,20 @@
 const MAX_QUEUED_OBSERVATIONS: usize = 4_096;
 
 /// Connects the requests of a host to the keepers: queues their observations and claims trials.
-pub(crate) struct SightingLink {
+pub(crate) struct TerminationReporter {
     keepers: KeeperClient,
     observations: mpsc::Sender<Observation>,
 }
 
-impl SightingLink {
-    /// Returns the link and the receiving end of its queue, for [`run_sightings`].
+impl TerminationReporter {
+    /// Returns the link and the receiving end of its queue, for [`run_termination_reports`].
     pub(crate) fn new(keepers: KeeperClient) -> (Self, mpsc::Receiver<Observation>) {
         let (observations, receiver) = mpsc::channel(MAX_QUEUED_OBSERVATIONS);
         (Self { keepers, observations }, receiver)
     }
 }
 
-impl QuarantineAuthority for SightingLink {
+impl QuarantineAuthority for TerminationReporter {
     fn report(&self, observation: Observation) {
         if let Err(error) = self.observations.try_send(observation) {
             log::warn!(target: log_target::KEEPER, cause:% = error; "Discarded an observation of a request before it was reported to the keepers");
@@ -70,7 +70,7 @@
 }
 
 /// Reports observations to the keepers until the host stops.
-pub(crate) async fn run_sightings(
+pub(crate) async fn run_termination_reports(
     keepers: KeeperClient,
     mut observations: mpsc::Receiver<Observation>,
 ) {
--- a/clayplankd/src/follow/follow_responder.rs
+++ b/clayplankd/src/follow/follow_responder.rs
@@ -8,7 +8,7 @@
 use tonic::Status;
 use xtra::Address;
 
-use crate::fleet::fleet_keeper::{FleetKeeper, News};
+use crate::fleet::fleet_keeper::{FleetKeeper, UpstreamUpdate};
 use crate::follow::leader_confirmation::{Relay, RenewalsByIncarnation};
 use crate::keepers::keeper::Keeper;
 use crate::keepers::keeper_messages::{GetDelta, Watch, WatchOutcome};
@@ -52,7 +52,7 @@
             limits_cursor: decode(&request.limits_cursor).map_err(invalid_message)?,
             is_hedge: request.is_hedge,
         };
-        self.fleet.learn(&known);
+        self.fleet.apply_follower_records(&known);
         match request.keeper {
             Some(keeper_part) => self.answer_keeper(&decoded, &keeper_part).await,
             None => {
@@ -68,7 +68,7 @@
     /// includes all that was acknowledged before the request came.
     async fn answer_host(self, request: &DecodedRequest) -> Result<follow_reply::Result, Status> {
         let newest_round = self.relay.newest_round();
-        self.fleet.note_entry_host(request.host.clone());
+        self.fleet.record_follower(request.host.clone());
         self.relay.wait_for_updates(request.revision, request.cursor).await;
         let Some(leader) = self.relay.confirm_after(newest_round).await else {
             return Ok(follow_reply::Result::NotLeaderHint(String::new()));
@@ -97,7 +97,7 @@
             }
         };
         self.fleet.renew_all(&renewals);
-        self.fleet.note_relayed_hosts(request.host.clone(), keeper_part.entry_hosts);
+        self.fleet.record_peer_host_count(request.host.clone(), keeper_part.entry_hosts);
         // The keeper receives the rest of the state with the replicated log.
         let delta = Delta { revision: delta.revision, ..Delta::default() };
         self.reply(request, delta, self.relay.local_host())
@@ -112,18 +112,18 @@
     ) -> Result<follow_reply::Result, Status> {
         let fleet = self.fleet;
         let updates = match request.is_hedge {
-            true => News::later(request.cursor),
-            false => fleet.news_for(request.cursor, request.digest.as_ref()),
+            true => UpstreamUpdate::without_changes(request.cursor),
+            false => fleet.update_for(request.cursor, request.digest.as_ref()),
         };
         let updates = updates.map_err(invalid_message)?;
-        let plan_edit = fleet.take_edit(&mut delta, request.plan_version);
+        let plan_edit = fleet.take_plan_edit(&mut delta, request.plan_version);
         Ok(follow_reply::Result::Followed(Followed {
             delta: encode(&delta).map_err(invalid_message)?,
             plan_edit,
             changes: updates.changes,
             entry_hosts: fleet.count_entry_hosts(),
-            asks_digest: updates.asks_digest,
-            asks_known: updates.asks_known.0,
+            asks_digest: updates.needs_digest,
+            asks_known: updates.requested_buckets.0,
             keepers: fleet.keepers().keepers().iter().map(ToString::to_string).collect(),
             deputy: fleet.keepers().deputy().map_or_else(String::new, |host| host.to_string()),
             leader: leader.to_string(),
--- a/clayplankd/src/follow/follow_task.rs
+++ b/clayplankd/src/follow/follow_task.rs
@@ -18,7 +18,7 @@
 use tokio::task::JoinSet;
 
 use crate::doors::contract::SharedContract;
-use crate::fleet::fleet_link::FleetLink;
+use crate::fleet::placement_client::PlacementClient;
 use crate::follow::exchange::Failure;
 use crate::follow::follow_metrics::{ExchangeOutcome, FollowLog, FollowMetrics};
 use crate::keepers::keeper_client::KeeperClient;
@@ -37,7 +37,7 @@
     pub(crate) host: HostId,
     pub(crate) contract: SharedContract,
     pub(crate) keepers: KeeperClient,
-    pub(crate) link: Arc<FleetLink>,
+    pub(crate) link: Arc<PlacementClient>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) directory: Arc<Directory>,
     pub(crate) entry: Arc<Entry>,
@@ -188,11 +188,11 @@
         let known = self.directory.heartbeats_in(buckets);
         Some(FollowRequest {
             from_host: self.host.to_string(),
-            life: self.link.life(),
+            life: self.link.incarnation(),
             applied_revision: position.revision,
             plan_version: position.plan.version,
             cursor: encode(&position.cursor).ok()?,
-            renewed: encode(&self.link.renewed()).ok()?,
+            renewed: encode(&self.link.running_placements()).ok()?,
             known: encode(&known).ok()?,
             digest,
             keeper: None,
@@ -251,7 +251,7 @@
             self.gate.confirm(requested_ms);
         }
         self.entry.set_hosts(followed.entry_hosts);
-        self.link.set_hosts(followed.entry_hosts);
+        self.link.set_host_count(followed.entry_hosts);
         self.directory.set_hosts(followed.entry_hosts);
         self.keepers.set_keepers(followed.keepers.iter().map(HostId::new));
         let deputy = Some(&followed.deputy).filter(|host| !host.is_empty());
@@ -287,7 +287,7 @@
             match self.directory.apply_reported_limit(&observed) {
                 LimitUpdateResult::Changed => self.link.set_declared_limit(&observed),
                 LimitUpdateResult::Unchanged => {}
-                LimitUpdateResult::Outdated(local_limit) => self.link.tell_limit(local_limit),
+                LimitUpdateResult::Outdated(local_limit) => self.link.report_limit(local_limit),
             }
         }
         position.limits_cursor = changes.cursor;
@@ -331,7 +331,7 @@
     /// Updates the engines whose records changed.
     fn update_engines(&self, changed: &[Record]) {
         if let Some(plan) = self.gate.plan() {
-            self.link.change_engines(&plan, changed);
+            self.link.update_engines(&plan, changed);
         }
     }
 }
--- a/clayplankd/src/follow/leader_confirmation.rs
+++ b/clayplankd/src/follow/leader_confirmation.rs
@@ -298,7 +298,7 @@
             Vec::new()
         };
         let keeper = KeeperFollow {
-            entry_hosts: self.fleet.count_own_hosts(),
+            entry_hosts: self.fleet.count_local_followers(),
             renewals: encode(&self.take_renewals())?,
         };
         Ok(FollowRequest {
@@ -321,10 +321,10 @@
         self.fleet.apply(&heartbeats);
         if !followed.limits.is_empty() {
             let changes: LimitChanges = decode(&followed.limits)?;
-            self.fleet.note_limits(changes.limits);
+            self.fleet.record_limits(changes.limits);
             position.limits_cursor = changes.cursor;
         }
-        self.fleet.set_told_hosts(followed.entry_hosts);
+        self.fleet.record_leader_host_count(followed.entry_hosts);
         let keepers = self.fleet.keepers();
         keepers.set_keepers(followed.keepers.iter().map(HostId::new));
         let deputy = Some(&followed.deputy).filter(|host| !host.is_empty());
--- a/clayplankd/src/owners.rs
+++ b/clayplankd/src/owners.rs
@@ -2,7 +2,7 @@
 //! request from it.
 
 pub(crate) mod commands;
+pub(crate) mod leaving_upstreams;
 pub(crate) mod owner;
-pub(crate) mod pools;
-pub(crate) mod reserve;
-pub(crate) mod upstreams;
+pub(crate) mod pool_directory;
+pub(crate) mod reservations;
--- a/clayplankd/src/owners/upstreams.rs
+++ b/clayplankd/src/owners/leaving_upstreams.rs
@@ -8,18 +8,18 @@
 
 /// Set of upstreams that are shutting down and get no new work from this host.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct UpstreamStates {
+pub(crate) struct LeavingUpstreams {
     leaving: Arc<RwLock<BTreeSet<UpstreamId>>>,
 }
 
-impl UpstreamStates {
+impl LeavingUpstreams {
     pub(crate) fn is_leaving(&self, id: &UpstreamId) -> bool {
         self.leaving.read().is_ok_and(|leaving| leaving.contains(id))
     }
 
     /// Replaces the set by the platform's newest list. An upstream that is no longer listed gets
     /// work again.
-    pub(crate) fn set_leaving(&self, ids: BTreeSet<UpstreamId>) {
+    pub(crate) fn replace(&self, ids: BTreeSet<UpstreamId>) {
         if let Ok(mut leaving) = self.leaving.write() {
             *leaving = ids;
         }
--- a/clayplankd/src/owners/owner.rs
+++ b/clayplankd/src/owners/owner.rs
@@ -23,8 +23,8 @@
 use self::engine_poll::EnginePoll;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::owners::commands::{AdapterLoadPlan, load_adapter};
-use crate::owners::pools::PoolDirectory;
-use crate::owners::upstreams::UpstreamStates;
+use crate::owners::leaving_upstreams::LeavingUpstreams;
+use crate::owners::pool_directory::PoolDirectory;
 use crate::process::clock::{millis, now_ms};
 use crate::process::logging::log_target;
 use crate::process::membership::MembersView;
@@ -38,7 +38,7 @@
 
 /// Result of a reservation request.
 #[derive(Clone, Debug)]
-pub(crate) enum Reserved {
+pub(crate) enum ReserveResult {
     /// The request may run on the engines of the grant.
     Granted { grant: Grant, owner: Incarnation },
     /// The request is refused.
@@ -49,8 +49,8 @@
 
 /// Reply to a reservation request, with the current wait in the pool in ms.
 #[derive(Clone, Debug)]
-pub(crate) struct ReserveAnswer {
-    pub(crate) reserved: Reserved,
+pub(crate) struct ReserveResponse {
+    pub(crate) reserved: ReserveResult,
     pub(crate) pool_wait_ms: u64,
 }
 
@@ -77,7 +77,7 @@
 struct Waiter {
     pool: PoolId,
     attempt_id: AttemptId,
-    reply: oneshot::Sender<ReserveAnswer>,
+    reply: oneshot::Sender<ReserveResponse>,
 }
 
 /// Actor that owns pools and answers reservation requests for them.
@@ -87,7 +87,7 @@
     incarnation: Incarnation,
     members: Arc<MembersView>,
     directory: Arc<PoolDirectory>,
-    upstreams: UpstreamStates,
+    upstreams: LeavingUpstreams,
     engines: Arc<dyn EngineClient>,
     keepers: KeeperClient,
     pools: BTreeMap<PoolId, OwnedPool>,
@@ -103,7 +103,7 @@
         incarnation: Incarnation,
         members: Arc<MembersView>,
         directory: Arc<PoolDirectory>,
-        upstreams: UpstreamStates,
+        upstreams: LeavingUpstreams,
         engines: Arc<dyn EngineClient>,
         keepers: KeeperClient,
     ) -> Self {
@@ -164,15 +164,15 @@
         self.pools.insert(pool, OwnedPool { scheduler, acquired_at_ms: now_ms(), poll_tasks });
     }
 
-    /// Releases a pool. Waiting requests get the reply [`Reserved::NotOwner`] and are then sent to
+    /// Releases a pool. Waiting requests get the reply [`ReserveResult::NotOwner`] and are then sent to
     /// the new owner. It learns of existing grants from their holders.
     fn release(&mut self, pool: &PoolId) {
         log::info!(target: log_target::OWNER, "No longer owns pool {pool}.");
         self.pools.remove(pool);
         let owner = self.members.owner_of(pool);
         for (_, waiter) in self.waiters.extract_if(|_, waiter| waiter.pool == *pool) {
-            let reserved = Reserved::NotOwner(owner.clone());
-            waiter.reply.send(ReserveAnswer { reserved, pool_wait_ms: 0 }).ok();
+            let reserved = ReserveResult::NotOwner(owner.clone());
+            waiter.reply.send(ReserveResponse { reserved, pool_wait_ms: 0 }).ok();
         }
     }
 
@@ -193,8 +193,8 @@
                     Decision::Granted(grant) => {
                         let request_id = grant.request_id;
                         let grant_id = grant.grant_id;
-                        let reply = ReserveAnswer {
-                            reserved: Reserved::Granted { grant, owner },
+                        let reply = ReserveResponse {
+                            reserved: ReserveResult::Granted { grant, owner },
                             pool_wait_ms,
                         };
                         if !self.reply(request_id, reply) {
@@ -202,8 +202,10 @@
                         }
                     }
                     Decision::Refused(request_id, refusal) => {
-                        let reply =
-                            ReserveAnswer { reserved: Reserved::Refused(refusal), pool_wait_ms };
+                        let reply = ReserveResponse {
+                            reserved: ReserveResult::Refused(refusal),
+                            pool_wait_ms,
+                        };
                         self.reply(request_id, reply);
                     }
                     Decision::Cancel(engine, attempt_id) => self.start_cancel(&engine, attempt_id),
@@ -232,10 +234,10 @@
             let loaded = load_adapter(&plan).await;
             let (is_loaded, grant_id) = (loaded.is_ok(), grant.grant_id);
             let reserved = match loaded {
-                Ok(()) => Reserved::Granted { grant, owner },
-                Err(refusal) => Reserved::Refused(refusal),
+                Ok(()) => ReserveResult::Granted { grant, owner },
+                Err(refusal) => ReserveResult::Refused(refusal),
             };
-            let is_received = waiter.reply.send(ReserveAnswer { reserved, pool_wait_ms }).is_ok();
+            let is_received = waiter.reply.send(ReserveResponse { reserved, pool_wait_ms }).is_ok();
             let loaded = AdapterLoaded {
                 pool,
                 plan,
@@ -247,7 +249,7 @@
     }
 
     /// Replies to a waiting request. Returns whether its sender still waited.
-    fn reply(&mut self, request_id: RequestId, reply: ReserveAnswer) -> bool {
+    fn reply(&mut self, request_id: RequestId, reply: ReserveResponse) -> bool {
         self.waiters.remove(&request_id).is_some_and(|waiter| waiter.reply.send(reply).is_ok())
     }
 
@@ -329,7 +331,7 @@
 }
 
 impl Handler<Reserve> for Owner {
-    type Return = oneshot::Receiver<ReserveAnswer>;
+    type Return = oneshot::Receiver<ReserveResponse>;
 
     async fn handle(&mut self, reserve: Reserve, _: &mut Context<Self>) -> Self::Return {
         let Reserve { pool, holder, mut ask } = reserve;
@@ -337,8 +339,8 @@
         // A request that arrives too soon after the acquisition is repeated by its sender, as after
         // a change of the owner.
         if self.pools.get(&pool).is_none_or(|owned| owned.awaits_reports(&ask.model)) {
-            let reserved = Reserved::NotOwner(self.members.owner_of(&pool));
-            reply.send(ReserveAnswer { reserved, pool_wait_ms: 0 }).ok();
+            let reserved = ReserveResult::NotOwner(self.members.owner_of(&pool));
+            reply.send(ReserveResponse { reserved, pool_wait_ms: 0 }).ok();
             return receiver;
         }
         self.next_request += 1;
--- a/clayplankd/src/owners/reserve.rs
+++ b/clayplankd/src/owners/reservations.rs
@@ -37,7 +37,7 @@
 
 /// A grant that this entry host holds.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct OwnedGrant {
     pub(crate) pool: PoolId,
     pub(crate) account: String,
     pub(crate) grant: RenewedGrant,
@@ -47,11 +47,11 @@
 /// All grants that this host holds, by attempt.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OwnedGrants {
-    grants: Arc<Mutex<HashMap<AttemptId, Held>>>,
+    grants: Arc<Mutex<HashMap<AttemptId, OwnedGrant>>>,
 }
 
 impl OwnedGrants {
-    fn insert(&self, held: Held) {
+    fn insert(&self, held: OwnedGrant) {
         self.grants
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -62,7 +62,7 @@
         self.grants.lock().unwrap_or_else(PoisonError::into_inner).remove(&attempt_id);
     }
 
-    fn all(&self) -> Vec<Held> {
+    fn all(&self) -> Vec<OwnedGrant> {
         self.grants.lock().unwrap_or_else(PoisonError::into_inner).values().cloned().collect()
     }
 }
@@ -88,7 +88,7 @@
     host: &Host,
     ask: &ReservationRequest,
     deadline: Instant,
-) -> Result<Held, Refusal> {
+) -> Result<OwnedGrant, Refusal> {
     let pools = host.pools.of_model(&ask.model);
     let loads: Vec<_> = pools.iter().map(|pool| pool_load(host, pool)).collect();
     let Some(chosen) = choose_pool(&loads, &mut rand::rng()) else {
@@ -137,7 +137,7 @@
 
 /// Result of one reservation request to an owner.
 enum ReserveOutcome {
-    Granted(Held),
+    Granted(OwnedGrant),
     Refused(Refusal),
     NotOwner,
 }
@@ -203,7 +203,7 @@
     };
     let engine_priority =
         EnginePriority(u8::try_from(granted.engine_priority_rank).unwrap_or(u8::MAX));
-    ReserveOutcome::Granted(Held {
+    ReserveOutcome::Granted(OwnedGrant {
         pool: pool.clone(),
         account: ask.account.to_string(),
         grant,
@@ -234,7 +234,7 @@
 }
 
 /// Notifies the owner that the first token arrived, which means that the prefill is complete.
-pub(crate) async fn tell_first_token(host: &Host, held: &Held) {
+pub(crate) async fn notify_first_token(host: &Host, held: &OwnedGrant) {
     let request = FirstTokenRequest {
         pool: held.pool.to_string(),
         grant_id: held.grant.grant_id.0,
@@ -253,7 +253,7 @@
 
 /// Ends a grant and notifies the owner. If the notification is lost, the grant expires at the
 /// owner.
-pub(crate) async fn finish(host: &Host, held: &Held, usage: Usage) {
+pub(crate) async fn finish_grant(host: &Host, held: &OwnedGrant, usage: Usage) {
     host.grants.remove(held.grant.attempt_id);
     let request = FinishRequest {
         grant_id: held.grant.grant_id.0,
@@ -320,7 +320,7 @@
 
 /// Creates a reservation request. The owner assigns the request id, and the caller sets the
 /// deadline.
-pub(crate) fn new_ask(
+pub(crate) fn new_request(
     attempt_id: AttemptId,
     account: clayplank_types::AccountId,
     model: &str,
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -21,16 +21,16 @@
 use crate::doors::callers;
 use crate::doors::operators::{self, OperatorsEndpoint};
 use crate::doors::serve::{ListenerLimits, serve};
-use crate::fleet::sightings::{SightingLink, run_sightings};
+use crate::fleet::termination_reports::{TerminationReporter, run_termination_reports};
 use crate::follow::current_settings::{CurrentSettings, run_settings_watch};
 use crate::keepers::keeper::{Keeper, KeeperAddress, KeeperOptions};
 use crate::keepers::keeper_client::KeeperClient;
 use crate::keepers::keeper_tasks::{JoinSources, run_join, run_outbox, run_ticks};
 use crate::keepers::leader_search::run_leader_search;
+use crate::owners::leaving_upstreams::LeavingUpstreams;
 use crate::owners::owner::{Owner, run_owner};
-use crate::owners::pools::PoolDirectory;
-use crate::owners::reserve::run_renewals;
-use crate::owners::upstreams::UpstreamStates;
+use crate::owners::pool_directory::PoolDirectory;
+use crate::owners::reservations::run_renewals;
 use crate::process::clock::{millis, new_incarnation};
 use crate::process::host_state::{Host, InProgress};
 use crate::process::logging::log_target;
@@ -188,8 +188,8 @@
 ) -> Arc<Host> {
     let engines: Arc<dyn EngineClient> = Arc::new(HttpEngineClient::default());
     let keepers = KeeperClient::new(settings, peers.clone());
-    let (sighting_link, sightings) = SightingLink::new(keepers.clone());
-    tokio::spawn(run_sightings(keepers.clone(), sightings));
+    let (sighting_link, sightings) = TerminationReporter::new(keepers.clone());
+    tokio::spawn(run_termination_reports(keepers.clone(), sightings));
     Arc::new_cyclic(|weak_self| Host {
         weak_self: weak_self.clone(),
         settings: Arc::clone(settings),
@@ -202,7 +202,7 @@
         http: HttpClient::default(),
         addresses: settings.engines().map(|engine| (engine.id.clone(), engine.address)).collect(),
         pools,
-        upstreams: UpstreamStates::default(),
+        upstreams: LeavingUpstreams::default(),
         grants: Default::default(),
         pool_wait_estimates: Default::default(),
         account_limits: Default::default(),
--- a/clayplankd/src/process/host_state.rs
+++ b/clayplankd/src/process/host_state.rs
@@ -14,9 +14,9 @@
 use crate::doors::services::ServiceLoads;
 use crate::follow::current_settings::CurrentSettings;
 use crate::keepers::keeper_client::KeeperClient;
-use crate::owners::pools::PoolDirectory;
-use crate::owners::reserve::{OwnedGrants, PoolWaits};
-use crate::owners::upstreams::UpstreamStates;
+use crate::owners::leaving_upstreams::LeavingUpstreams;
+use crate::owners::pool_directory::PoolDirectory;
+use crate::owners::reservations::{OwnedGrants, PoolWaits};
 use crate::process::membership::MembersView;
 use crate::process::metrics::Metrics;
 use crate::process::peers::Peers;
@@ -38,7 +38,7 @@
     /// Addresses of the engines in the settings.
     pub(crate) addresses: HashMap<UpstreamId, SocketAddr>,
     pub(crate) pools: Arc<PoolDirectory>,
-    pub(crate) upstreams: UpstreamStates,
+    pub(crate) upstreams: LeavingUpstreams,
     /// Grants that this host holds and renews at their owners.
     pub(crate) grants: OwnedGrants,
     pub(crate) pool_wait_estimates: PoolWaits,
--- a/clayplankd/src/process/membership.rs
+++ b/clayplankd/src/process/membership.rs
@@ -13,8 +13,8 @@
 use clayplank_wire::ProbeRequest;
 use xtra::{Address, Context, Handler};
 
-use crate::owners::pools::PoolDirectory;
-use crate::owners::upstreams::UpstreamStates;
+use crate::owners::leaving_upstreams::LeavingUpstreams;
+use crate::owners::pool_directory::PoolDirectory;
 use crate::process::clock::{millis, now_ms};
 use crate::process::logging::log_target;
 use crate::process::peers::Peers;
@@ -250,7 +250,7 @@
 pub(crate) async fn run_platform_poll(
     settings: Arc<HostSettings>,
     membership: Address<Membership>,
-    upstreams: UpstreamStates,
+    upstreams: LeavingUpstreams,
     client: HttpClient,
 ) {
     let Some(platform) = &settings.platform else {
@@ -268,7 +268,7 @@
                 let names: BTreeSet<_> = leaving.cloned().collect();
                 let leaving_upstreams =
                     upstream_ids.iter().filter(|id| names.contains(id.as_str())).cloned();
-                upstreams.set_leaving(leaving_upstreams.collect());
+                upstreams.replace(leaving_upstreams.collect());
                 let hosts = settings.hosts.iter().map(|entry| &entry.host);
                 let leaving_hosts =
                     hosts.filter(|host| names.contains(host.as_str())).cloned().collect();
--- a/clayplankd/src/process/peer_service.rs
+++ b/clayplankd/src/process/peer_service.rs
@@ -25,7 +25,7 @@
 use xtra::Address;
 
 use crate::fleet::fleet_keeper::FleetKeeper;
-use crate::fleet::spread::Spread;
+use crate::fleet::heartbeat_relay::HeartbeatRelay;
 use crate::follow::follow_responder::FollowResponder;
 use crate::follow::leader_confirmation::Relay;
 use crate::keepers::keeper::{Keeper, KeeperAddress};
@@ -34,8 +34,10 @@
     AnnounceStop, CommandOutcome, Execute, FindLeader, Inspect, Introduce, Step, StopReply,
     WATCH_HOLD_MS, Watch, WatchOutcome,
 };
-use crate::owners::owner::{Finish, FirstToken, Owner, Renew, Reserve, ReserveAnswer, Reserved};
-use crate::owners::reserve::{part_from_wire, part_to_wire};
+use crate::owners::owner::{
+    Finish, FirstToken, Owner, Renew, Reserve, ReserveResponse, ReserveResult,
+};
+use crate::owners::reservations::{part_from_wire, part_to_wire};
 use crate::process::clock::now_ms;
 use crate::process::membership::{Gossip, Membership};
 use crate::process::peers::Peers;
@@ -58,7 +60,7 @@
     /// Confirms the state of a seeded keeper to its followers.
     pub(crate) relay: Option<Arc<Relay>>,
     /// Forwards heartbeats from a seeded keeper to its peers.
-    pub(crate) spread: Option<Spread>,
+    pub(crate) spread: Option<HeartbeatRelay>,
 }
 
 type RpcResult<T> = Result<Response<T>, Status>;
@@ -304,7 +306,7 @@
     async fn take_turn(&self, request: Request<TakeTurnRequest>) -> RpcResult<TakeTurnReply> {
         let request = request.into_inner();
         let limit: AgedLimit = decode(&request.limit).map_err(invalid_message)?;
-        let taken = self.fleet()?.take_turn(limit, request.patience_ms);
+        let taken = self.fleet()?.take_permit(limit, request.patience_ms);
         let (is_taken, wait_ms) = match taken {
             Ok(wait_ms) => (true, wait_ms),
             Err(wait_ms) => (false, wait_ms),
@@ -316,13 +318,13 @@
         let request = request.into_inner();
         if !request.placed.is_empty() {
             let placed: Vec<RunningPlacement> = decode(&request.placed).map_err(invalid_message)?;
-            self.fleet()?.take_over(placed);
+            self.fleet()?.add_placements(placed);
         }
         let events: Vec<(PlacementId, Event)> = decode(&request.events).map_err(invalid_message)?;
-        self.fleet()?.note(&events);
-        for limit in self.fleet()?.note_limits(decode_limits(&request.limits)?) {
+        self.fleet()?.record_events(&events);
+        for limit in self.fleet()?.record_limits(decode_limits(&request.limits)?) {
             if let Some(spread) = &self.spread {
-                spread.push_limit(limit);
+                spread.queue_limit(limit);
             }
         }
         Ok(Response::new(ReportReply {}))
@@ -332,9 +334,9 @@
         let request = request.into_inner();
         let heartbeats: Vec<Heartbeat> = decode(&request.heartbeats).map_err(invalid_message)?;
         self.fleet()?.apply(&heartbeats);
-        self.fleet()?.note_limits(decode_limits(&request.limits)?);
+        self.fleet()?.record_limits(decode_limits(&request.limits)?);
         if let Some(spread) = self.spread.as_ref().filter(|_| request.passes_on) {
-            heartbeats.into_iter().for_each(|heartbeat| spread.push(heartbeat));
+            heartbeats.into_iter().for_each(|heartbeat| spread.queue_heartbeat(heartbeat));
         }
         Ok(Response::new(SpreadReply {}))
     }
@@ -381,19 +383,19 @@
     Ok(Reserve { pool: PoolId::new(request.pool), holder, ask })
 }
 
-fn reserve_to_wire(answer: ReserveAnswer) -> ReserveReply {
+fn reserve_to_wire(answer: ReserveResponse) -> ReserveReply {
     let result = match answer.reserved {
-        Reserved::Granted { grant, owner } => reserve_reply::Result::Granted(Granted {
+        ReserveResult::Granted { grant, owner } => reserve_reply::Result::Granted(Granted {
             grant_id: grant.grant_id.0,
             owner_incarnation: owner.0,
             engines: grant.parts.iter().map(part_to_wire).collect(),
             engine_priority_rank: u32::from(grant.engine_priority.0),
         }),
-        Reserved::Refused(refusal) => reserve_reply::Result::Refused(Refused {
+        ReserveResult::Refused(refusal) => reserve_reply::Result::Refused(Refused {
             reason: refusal.reason.as_str().to_owned(),
             retry_after_ms: refusal.retry_after_ms,
         }),
-        Reserved::NotOwner(owner) => {
+        ReserveResult::NotOwner(owner) => {
             reserve_reply::Result::NotOwner(NotOwner { owner: hint_text(owner) })
         }
     };
--- a/clayplankd/src/process/seeded_entry.rs
+++ b/clayplankd/src/process/seeded_entry.rs
@@ -14,9 +14,9 @@
 use tokio::sync::watch;
 
 use crate::doors::contract::SharedContract;
-use crate::fleet::fleet_link::{FleetLink, run_reports, run_return_to_leader};
 use crate::fleet::limit_reports::run_limit_reports;
-use crate::fleet::sightings::{SightingLink, run_sightings};
+use crate::fleet::placement_client::{PlacementClient, run_backoff_reset, run_event_reports};
+use crate::fleet::termination_reports::{TerminationReporter, run_termination_reports};
 use crate::follow::follow_metrics::FollowMetrics;
 use crate::follow::follow_task::{FollowTask, run_following};
 use crate::process::daemon::{StartError, bind, serve_inner};
@@ -80,10 +80,10 @@
         let bounds = &self.settings.bounds;
         let gate = Arc::new(Gate::new(lease_ms(bounds)));
         let directory = Arc::new(Directory::default());
-        let (link, reports) = FleetLink::new(self.peers.clone(), self.keepers.clone());
+        let (link, reports) = PlacementClient::new(self.peers.clone(), self.keepers.clone());
         let link = Arc::new(link);
-        let (sighting_link, sightings) = SightingLink::new(self.keepers.clone());
-        tokio::spawn(run_sightings(self.keepers.clone(), sightings));
+        let (sighting_link, sightings) = TerminationReporter::new(self.keepers.clone());
+        tokio::spawn(run_termination_reports(self.keepers.clone(), sightings));
         let entry = EntryBuilder::default()
             .names(self.contract.header_names())
             .budget(RetryBudget::new(budget_limits(bounds)))
@@ -92,9 +92,9 @@
             .data_centre(self.settings.data_centre.clone())
             .build(Arc::clone(&gate), Arc::clone(&directory), link.clone());
         let entry = Arc::new(entry);
-        tokio::spawn(run_reports(Arc::clone(&link), reports.events));
+        tokio::spawn(run_event_reports(Arc::clone(&link), reports.events));
         tokio::spawn(run_limit_reports(Arc::clone(&link), reports.limits));
-        tokio::spawn(run_return_to_leader(Arc::clone(&link)));
+        tokio::spawn(run_backoff_reset(Arc::clone(&link)));
         let metrics = Arc::new(FollowMetrics::default());
         let apply_ms = Arc::new(AtomicU64::new(bounds.apply_ms));
         tokio::spawn(run_following(FollowTask {
--- a/clayplankd/src/process/seeded_keeper.rs
+++ b/clayplankd/src/process/seeded_keeper.rs
@@ -10,11 +10,13 @@
 use xtra::Mailbox;
 
 use crate::doors::control_endpoint::{ControlEndpoint, RegistryAccess};
-use crate::fleet::engine_watch::run_engine_watch;
 use crate::fleet::fleet_keeper::{FleetKeeper, run_fleet};
-use crate::fleet::mirror::run_mirror;
-use crate::fleet::spread::{Spread, run_spread, run_spread_to_one};
-use crate::fleet::upstream_memory::{recall_upstreams, run_upstream_memory};
+use crate::fleet::heartbeat_relay::{
+    HeartbeatRelay, run_diskless_heartbeat_relay, run_heartbeat_relay,
+};
+use crate::fleet::placement_replication::run_placement_replication;
+use crate::fleet::saved_upstreams::{restore_upstreams, run_upstream_saves};
+use crate::fleet::suspect_probe::run_engine_watch;
 use crate::follow::leader_confirmation::{Relay, run_relay};
 use crate::keepers::first_start::load_or_save_first_start;
 use crate::keepers::full_disk::FullDiskRetry;
@@ -84,8 +86,8 @@
     }
 
     /// Creates the forwarder of heartbeats from this host to the keepers.
-    pub(crate) fn new_spread(&self) -> Spread {
-        Spread::new(self.local_host.clone(), self.peers.clone(), self.keepers.clone())
+    pub(crate) fn new_spread(&self) -> HeartbeatRelay {
+        HeartbeatRelay::new(self.local_host.clone(), self.peers.clone(), self.keepers.clone())
     }
 
     /// Starts the control endpoint, for operators and heartbeats of upstreams.
@@ -93,11 +95,11 @@
         self,
         control: TcpListener,
         registry: RegistryAccess,
-        spread: Spread,
+        spread: HeartbeatRelay,
     ) {
         match &registry {
-            RegistryAccess::Local { .. } => tokio::spawn(run_spread(spread.clone())),
-            RegistryAccess::Remote => tokio::spawn(run_spread_to_one(spread.clone())),
+            RegistryAccess::Local { .. } => tokio::spawn(run_heartbeat_relay(spread.clone())),
+            RegistryAccess::Remote => tokio::spawn(run_diskless_heartbeat_relay(spread.clone())),
         };
         let endpoint = ControlEndpoint {
             local_host: self.local_host,
@@ -153,8 +155,8 @@
         let inner = bind(listen.inner).await?;
         let sizing = KeeperOptions::for_plans(self.settings.tolerated_losses);
         let notes = store.side_files();
-        recall_upstreams(&fleet, &notes);
-        tokio::spawn(run_upstream_memory(Arc::clone(&fleet), notes));
+        restore_upstreams(&fleet, &notes);
+        tokio::spawn(run_upstream_saves(Arc::clone(&fleet), notes));
         let (outbox, outbox_receiver) = mpsc::unbounded_channel();
         let (disk_failed, disk_failed_receiver) = mpsc::channel(1);
         let options = agreement_options(self.settings.tolerated_losses);
@@ -176,7 +178,7 @@
         ));
         tokio::spawn(run_relay(Arc::clone(&relay)));
         tokio::spawn(run_engine_watch(Arc::clone(&fleet)));
-        tokio::spawn(run_mirror(
+        tokio::spawn(run_placement_replication(
             self.local_host.clone(),
             keeper.clone(),
             Arc::clone(&fleet),
