--- a/bench/src/members.rs
+++ b/bench/src/members.rs
@@ -82,17 +82,17 @@
 
     /// A probe and its reply, both with piggybacked gossip; `false` if the target has failed.
     fn exchange(&mut self, now_ms: u64, from: &HostId, target: &HostId) -> bool {
-        let rumours = self.views.get_mut(from).map(|view| {
-            let mut rumours = view.take_updates();
-            rumours.extend(view.refutable_update_for(target));
-            rumours
+        let updates = self.views.get_mut(from).map(|view| {
+            let mut updates = view.take_updates();
+            updates.extend(view.refutable_update_for(target));
+            updates
         });
-        self.count(rumours.as_ref());
+        self.count(updates.as_ref());
         if Some(target) == self.failed.as_ref() {
             return false;
         }
         let reply = self.views.get_mut(target).map(|view| {
-            view.apply_updates(now_ms, &rumours.unwrap_or_default());
+            view.apply_updates(now_ms, &updates.unwrap_or_default());
             view.take_updates()
         });
         self.count(reply.as_ref());
--- a/bench/src/mix.rs
+++ b/bench/src/mix.rs
@@ -83,12 +83,12 @@
 
 impl Arrival {
     /// Copies the properties that the scheduler may know into its request.
-    pub(crate) fn fill(&self, ask: &mut ReservationRequest) {
-        ask.weight = ACCOUNT_SHARES[self.account];
-        ask.priority = self.priority;
+    pub(crate) fn fill(&self, request: &mut ReservationRequest) {
+        request.weight = ACCOUNT_SHARES[self.account];
+        request.priority = self.priority;
         // Callers give an upper bound, which most answers stay below.
-        ask.max_output_tokens = self.output_tokens * 5 / 4;
-        ask.prefix_hashes = self.prefix_hashes.clone();
+        request.max_output_tokens = self.output_tokens * 5 / 4;
+        request.prefix_hashes = self.prefix_hashes.clone();
     }
 
     pub(crate) fn tokens(&self) -> u64 {
--- a/clayplank-forward/src/answer.rs
+++ b/clayplank-forward/src/answer.rs
@@ -41,10 +41,10 @@
     Verdict::Valid
 }
 
-/// Rate limit that a response states for its upstream, over all hosts together.
+/// Rate limit that a response declares for its upstream, over all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum StatedLimit {
-    /// No limit is stated.
+pub(crate) enum DeclaredLimit {
+    /// No limit is declared.
     None,
     /// Maximum number of requests per second.
     PerSecond(f64),
@@ -52,15 +52,15 @@
     Unreadable,
 }
 
-/// Parses the rate limit that a response states.
-pub(crate) fn parse_limit(headers: &HeaderMap, names: &HeaderNames) -> StatedLimit {
+/// Parses the rate limit that a response declares.
+pub(crate) fn parse_limit(headers: &HeaderMap, names: &HeaderNames) -> DeclaredLimit {
     let Some(value) = headers.get(&names.limit) else {
-        return StatedLimit::None;
+        return DeclaredLimit::None;
     };
     let rate = value.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok());
     match rate {
-        Some(rate) if rate.is_finite() && rate >= 0.0 => StatedLimit::PerSecond(rate),
-        Some(_) | None => StatedLimit::Unreadable,
+        Some(rate) if rate.is_finite() && rate >= 0.0 => DeclaredLimit::PerSecond(rate),
+        Some(_) | None => DeclaredLimit::Unreadable,
     }
 }
 
--- a/clayplank-forward/src/attempt.rs
+++ b/clayplank-forward/src/attempt.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 
-use crate::answer::{StatedLimit, Verdict, classify_head, parse_limit, parse_load};
+use crate::answer::{DeclaredLimit, Verdict, classify_head, parse_limit, parse_load};
 use crate::call::Call;
 use crate::choice::Chosen;
 use crate::clock::now_ms;
@@ -137,13 +137,13 @@
         }
     }
 
-    /// Records the rate limit that the upstream stated in the response to a request sent at
+    /// Records the rate limit that the upstream declared in the response to a request sent at
     /// `sent_ms`.
-    fn record_limit(&self, upstream: &UpstreamId, limit: StatedLimit, sent_ms: u64) {
+    fn record_limit(&self, upstream: &UpstreamId, limit: DeclaredLimit, sent_ms: u64) {
         let (requests_per_s, at_ms) = match limit {
-            StatedLimit::None => (None, sent_ms),
-            StatedLimit::PerSecond(per_s) => (Some(per_s), now_ms()),
-            StatedLimit::Unreadable => {
+            DeclaredLimit::None => (None, sent_ms),
+            DeclaredLimit::PerSecond(per_s) => (Some(per_s), now_ms()),
+            DeclaredLimit::Unreadable => {
                 log::warn!(target: "forward",
                     upstream = upstream.as_str();
                     "Ignored an invalid rate limit in a response");
--- a/clayplank-forward/src/directory.rs
+++ b/clayplank-forward/src/directory.rs
@@ -57,7 +57,7 @@
     cordoned: BTreeSet<DataCentre>,
     /// Limits on requests to cold upstreams (those that have just started), by service.
     cold_starts: HashMap<String, ColdStart>,
-    /// Rate limits that upstreams have stated.
+    /// Rate limits that upstreams have declared.
     limits: Limits,
     /// Share of this host in the requests that upstreams accept while they are cold or
     /// rate-limited.
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Rate limit of an upstream, which applies while it is cold or has stated a limit.
+    /// Rate limit of an upstream, which applies while it is cold or has declared a limit.
     fn rate_limit(&self, heartbeat: &Heartbeat) -> RateLimit {
         let stats = self.stats.get(&heartbeat.id);
         let mut rate_limit = stats.map(|stats| stats.rate_limit).unwrap_or_default();
@@ -195,7 +195,7 @@
         )
     }
 
-    /// Whether a request needs a permit for an upstream: the upstream has stated a limit and is not
+    /// Whether a request needs a permit for an upstream: the upstream has declared a limit and is not
     /// cold. The leader grants permits to all hosts; while an upstream is cold, each host uses its
     /// share of the limit instead.
     fn needs_permit(&self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
@@ -499,7 +499,7 @@
         self.lock().limits.apply_remote(observed)
     }
 
-    /// Limit of an upstream, if it has stated one.
+    /// Limit of an upstream, if it has declared one.
     pub fn limit(&self, id: &UpstreamId) -> Option<LimitObservation> {
         self.lock().limits.observation_of(id)
     }
--- a/clayplank-forward/src/entry.rs
+++ b/clayplank-forward/src/entry.rs
@@ -93,8 +93,8 @@
     }
 
     /// Sets the authority that decides which requests are quarantined; without one, none are.
-    pub fn quarantine_authority(mut self, judge: Arc<dyn QuarantineAuthority>) -> Self {
-        self.quarantine_authority = Some(judge);
+    pub fn quarantine_authority(mut self, authority: Arc<dyn QuarantineAuthority>) -> Self {
+        self.quarantine_authority = Some(authority);
         self
     }
 
--- a/clayplank-forward/src/placer.rs
+++ b/clayplank-forward/src/placer.rs
@@ -29,7 +29,7 @@
     /// Records an event in the life of a placement, such as its end.
     fn record_event(&self, id: PlacementId, event: Event);
 
-    /// Reports the limit that an upstream stated to the keepers, and to the placement at this host.
+    /// Reports the limit that an upstream declared to the keepers, and to the placement at this host.
     fn record_limit(&self, observed: &LimitObservation);
 
     /// Requests a permit for an upstream with a rate limit; `timeout` bounds the wait for it.
--- a/clayplank-forward/src/quarantine.rs
+++ b/clayplank-forward/src/quarantine.rs
@@ -77,7 +77,7 @@
 
 /// This host's knowledge of requests under which upstreams terminate.
 pub struct RequestQuarantine {
-    judge: Arc<dyn QuarantineAuthority>,
+    authority: Arc<dyn QuarantineAuthority>,
     /// Time of the next permitted trial of each quarantined request.
     quarantined: ArcSwap<HashMap<RequestFingerprint, Instant>>,
     outcomes: Mutex<LocalOutcomes>,
@@ -91,8 +91,8 @@
 
 impl RequestQuarantine {
     /// Creates an empty state; `quarantine_authority` decides for all hosts.
-    pub fn new(judge: Arc<dyn QuarantineAuthority>) -> Self {
-        Self { judge, quarantined: ArcSwap::default(), outcomes: Mutex::default() }
+    pub fn new(authority: Arc<dyn QuarantineAuthority>) -> Self {
+        Self { authority, quarantined: ArcSwap::default(), outcomes: Mutex::default() }
     }
 
     fn lock(&self) -> MutexGuard<'_, LocalOutcomes> {
@@ -119,7 +119,7 @@
         let Some(wait) = self.time_to_trial(fingerprint) else {
             return Ok(Admission::NotQuarantined);
         };
-        if wait.is_zero() && self.judge.claim_trial(fingerprint).await {
+        if wait.is_zero() && self.authority.claim_trial(fingerprint).await {
             log::info!(target: "forward",
                 fingerprint:% = fingerprint; "Sends a quarantined request as a trial");
             return Ok(Admission::Trial);
@@ -144,7 +144,7 @@
                 "A request is held back");
             if let Some(at) = self.answered_at(fingerprint) {
                 let outcome = ObservedOutcome::Survived;
-                self.judge.report(Observation { fingerprint, caller, outcome, at });
+                self.authority.report(Observation { fingerprint, caller, outcome, at });
             }
         }
         for fingerprint in former.keys().filter(|known| !next.contains_key(known)) {
@@ -173,7 +173,7 @@
         drop(outcomes);
         if is_suspect || self.quarantined.load().contains_key(&fingerprint) {
             let (caller, outcome) = (caller.to_owned(), ObservedOutcome::Survived);
-            self.judge.report(Observation { fingerprint, caller, outcome, at });
+            self.authority.report(Observation { fingerprint, caller, outcome, at });
         }
     }
 
@@ -192,6 +192,6 @@
         }
         outcomes.terminated.insert(observation.fingerprint);
         drop(outcomes);
-        self.judge.report(observation);
+        self.authority.report(observation);
     }
 }
--- a/clayplank-forward/tests/entry/quarantine.rs
+++ b/clayplank-forward/tests/entry/quarantine.rs
@@ -24,12 +24,12 @@
 
 /// Records the reported observations, and grants the first trial only.
 #[derive(Default)]
-struct RecordingJudge {
+struct RecordingAuthority {
     observations: Mutex<Vec<Observation>>,
     trial_claims: AtomicUsize,
 }
 
-impl QuarantineAuthority for RecordingJudge {
+impl QuarantineAuthority for RecordingAuthority {
     fn report(&self, observation: Observation) {
         self.observations.lock().unwrap().push(observation);
     }
@@ -88,7 +88,7 @@
 struct Fixture {
     host: Host,
     directory: Arc<Directory>,
-    judge: Arc<RecordingJudge>,
+    authority: Arc<RecordingAuthority>,
     /// Number of requests that upstreams received.
     requests: Arc<AtomicUsize>,
 }
@@ -101,16 +101,16 @@
             let address = upstream(*behaviour, Arc::clone(&requests)).await;
             directory.apply(vec![record(&format!("u{number}"), address)]);
         }
-        let judge = Arc::<RecordingJudge>::default();
+        let authority = Arc::<RecordingAuthority>::default();
         let host = Host::start(
-            EntryBuilder::default().quarantine_authority(judge.clone()),
+            EntryBuilder::default().quarantine_authority(authority.clone()),
             Route { time_limit_ms: 5_000, ..route(RequestKind::Repeatable) },
             plain_service(),
             Arc::clone(&directory),
             Arc::new(NoPlacer),
         )
         .await;
-        Self { host, directory, judge, requests }
+        Self { host, directory, authority, requests }
     }
 
     /// Sends a request; returns the complete answer as text.
@@ -130,7 +130,7 @@
     /// Outcomes reported so far, after a wait that covers the probe of one connection.
     async fn reported_outcomes(&self) -> Vec<ObservedOutcome> {
         tokio::time::sleep(Duration::from_millis(150)).await;
-        self.judge.observations.lock().unwrap().iter().map(|one| one.outcome.clone()).collect()
+        self.authority.observations.lock().unwrap().iter().map(|one| one.outcome.clone()).collect()
     }
 
     fn requests(&self) -> usize {
@@ -149,7 +149,7 @@
 
     /// Quarantines the request that the host reported first.
     fn quarantine_reported(&self, next_trial_in: Duration) {
-        let fingerprint = self.judge.observations.lock().unwrap()[0].fingerprint;
+        let fingerprint = self.authority.observations.lock().unwrap()[0].fingerprint;
         self.quarantine(fingerprint, next_trial_in);
     }
 }
@@ -168,7 +168,7 @@
     let reported = fixture.reported_outcomes().await;
     let count = reported.iter().filter(|one| matches!(one, ObservedOutcome::Ended(_))).count();
     assert_eq!((count, reported.len()), (terminations, terminations), "{reported:?}");
-    let reported = fixture.judge.observations.lock().unwrap();
+    let reported = fixture.authority.observations.lock().unwrap();
     assert!(
         reported.iter().all(|one| !one.caller.contains(API_KEY)),
         "an observation contains the API key"
--- a/clayplank-placement/src/fleet.rs
+++ b/clayplank-placement/src/fleet.rs
@@ -238,24 +238,24 @@
     /// refused.
     pub fn pool_summary(&self, now_ms: f64, pool: &str) -> PoolSummary {
         let open = self.engines.values().filter(|one| one.takes_work() && one.spec.pool == pool);
-        let mut outlook = PoolSummary::default();
+        let mut summary = PoolSummary::default();
         for engine in open {
             if engine.reachability.is_unreachable() {
-                outlook.unreached += 1;
+                summary.unreached += 1;
                 continue;
             }
-            outlook.engines += 1;
-            outlook.taken_slots += engine.primaries();
-            outlook.helped_parts += engine.helper_parts();
-            outlook.queued_ms += engine.queued().prefill_ms;
-            outlook.slowness += engine.health.slowness(now_ms);
-            outlook.avoided += usize::from(engine.health.is_avoided(now_ms));
-            outlook.doubtful += usize::from(engine.is_doubtful(now_ms));
+            summary.engines += 1;
+            summary.taken_slots += engine.primaries();
+            summary.helped_parts += engine.helper_parts();
+            summary.queued_ms += engine.queued().prefill_ms;
+            summary.slowness += engine.health.slowness(now_ms);
+            summary.avoided += usize::from(engine.health.is_avoided(now_ms));
+            summary.doubtful += usize::from(engine.is_doubtful(now_ms));
         }
-        let engines = outlook.engines.max(1) as f64;
-        outlook.queued_ms /= engines;
-        outlook.slowness /= engines;
-        outlook
+        let engines = summary.engines.max(1) as f64;
+        summary.queued_ms /= engines;
+        summary.slowness /= engines;
+        summary
     }
 
     /// Number of current placements.
--- a/clayplank-placement/tests/decisions.rs
+++ b/clayplank-placement/tests/decisions.rs
@@ -428,8 +428,8 @@
         assert!(fleet.pool_summary(0.0, "main").taken_slots > 0, "{placed:?}");
         fleet.apply_event(1.0, short(number).id, Event::Unreached);
     }
-    let outlook = fleet.pool_summary(1.0, "main");
-    assert_eq!((outlook.engines, outlook.unreached, outlook.avoided), (7, 6, 0));
+    let summary = fleet.pool_summary(1.0, "main");
+    assert_eq!((summary.engines, summary.unreached, summary.avoided), (7, 6, 0));
 }
 
 /// A hundred streams broke off and would be prefilled again by the one engine that is left. It must
@@ -459,8 +459,8 @@
         assigned(fleet.place(0.0, &short(number)));
     }
     fleet.forget_placements();
-    let outlook = fleet.pool_summary(0.0, "main");
-    assert_eq!((fleet.placed_count(), outlook.taken_slots, outlook.queued_ms), (0, 0, 0.0));
+    let summary = fleet.pool_summary(0.0, "main");
+    assert_eq!((fleet.placed_count(), summary.taken_slots, summary.queued_ms), (0, 0, 0.0));
     fleet.apply_event(1.0, short(3).id, Event::Ended);
 }
 
--- a/clayplank-schedule/src/admission.rs
+++ b/clayplank-schedule/src/admission.rs
@@ -35,14 +35,14 @@
 /// policy. `rates` are the prefill and decode times per token, in ms.
 pub(crate) fn estimate_service_ms(
     policy: &Policy,
-    ask: &ReservationRequest,
+    request: &ReservationRequest,
     lane: Lane,
     rates: (f64, f64),
 ) -> f64 {
     let (prefill_ms_per_token, decode_ms_per_token) = rates;
     let prefill_factor = if lane.is_heavy() { HEAVY_PREFILL_FACTOR } else { 1.0 };
-    let prefill_ms = ask.prompt_tokens as f64 * prefill_ms_per_token * prefill_factor;
-    let decode_ms = ask.max_output_tokens as f64 * decode_ms_per_token;
+    let prefill_ms = request.prompt_tokens as f64 * prefill_ms_per_token * prefill_factor;
+    let decode_ms = request.max_output_tokens as f64 * decode_ms_per_token;
     (prefill_ms + decode_ms) * policy.finish_margin
 }
 
--- a/clayplank-schedule/src/choose.rs
+++ b/clayplank-schedule/src/choose.rs
@@ -48,8 +48,8 @@
 
 impl SchedulerView<'_> {
     /// Selects the engine with the earliest predicted first token for a brief or short prompt.
-    pub(crate) fn choose_light(&self, ask: &ReservationRequest, lane: Lane) -> Option<Choice> {
-        let model = self.fleet.model(&ask.model)?;
+    pub(crate) fn choose_light(&self, request: &ReservationRequest, lane: Lane) -> Option<Choice> {
+        let model = self.fleet.model(&request.model)?;
         let by_wait = model.by_wait.iter().map(|&(_, _, engine)| engine).take(MAX_CANDIDATES);
         let by_free_tokens = model
             .by_free_tokens
@@ -59,13 +59,13 @@
             .take(MAX_FREE_MEMORY_CANDIDATES);
         let uncached =
             by_wait.chain(by_free_tokens).map(|engine| Choice { engine, cached_tokens: 0 });
-        let mut candidates = self.cached_choices(ask);
+        let mut candidates = self.cached_choices(request);
         candidates.extend(uncached);
-        self.choose_soonest(ask, lane, candidates, |engine| {
+        self.choose_soonest(request, lane, candidates, |engine| {
             let wait_ms = engine.wait_ahead_ms(lane);
             let is_below_cap = !self.policy.mechanisms.limit_queued_prefill
                 || wait_ms <= self.policy.max_prefill_ahead_ms;
-            is_below_cap && self.has_room(engine, lane, ask)
+            is_below_cap && self.has_room(engine, lane, request)
         })
     }
 
@@ -74,19 +74,19 @@
     /// only while fewer than `limit` engines prefill heavy prompts.
     pub(crate) fn choose_heavy(
         &self,
-        ask: &ReservationRequest,
+        request: &ReservationRequest,
         lane: Lane,
         limit: usize,
     ) -> Option<Choice> {
-        let model = self.fleet.model(&ask.model)?;
+        let model = self.fleet.model(&request.model)?;
         let fits =
-            |engine: &Engine| engine.prefills_in(lane) == 0 && self.has_room(engine, lane, ask);
+            |engine: &Engine| engine.prefills_in(lane) == 0 && self.has_room(engine, lane, request);
         let heavy = model
             .heavy
             .iter()
             .map(|&engine| Choice { engine, cached_tokens: 0 })
             .take(MAX_CANDIDATES);
-        if let Some(choice) = self.choose_soonest(ask, lane, heavy, fits) {
+        if let Some(choice) = self.choose_soonest(request, lane, heavy, fits) {
             return Some(choice);
         }
         if model.heavy.len() >= limit {
@@ -94,22 +94,23 @@
         }
         let by_free_tokens =
             model.by_free_tokens.iter().rev().map(|&(_, engine)| engine).take(MAX_CANDIDATES);
-        let mut candidates = self.cached_choices(ask);
+        let mut candidates = self.cached_choices(request);
         candidates.extend(by_free_tokens.map(|engine| Choice { engine, cached_tokens: 0 }));
-        self.choose_soonest(ask, lane, candidates, fits)
+        self.choose_soonest(request, lane, candidates, fits)
     }
 
     /// Selects the engine with the fewest tokens to prefill, for the baseline disciplines.
     /// `ShortestFirst` gives an engine one prompt at a time: otherwise the order by length
     /// would not hold at the engine.
-    pub(crate) fn choose_least_loaded(&self, ask: &ReservationRequest) -> Option<Choice> {
-        let model = self.fleet.model(&ask.model)?;
+    pub(crate) fn choose_least_loaded(&self, request: &ReservationRequest) -> Option<Choice> {
+        let model = self.fleet.model(&request.model)?;
         let accepts_prompt = |engine: &Engine| match self.policy.discipline {
             Discipline::ShortestFirst => engine.total_prefill_tokens() == 0,
             Discipline::FirstCome | Discipline::Current => true,
         };
-        let fits =
-            |engine: &Engine| accepts_prompt(engine) && engine.free_tokens() >= ask.memory_tokens();
+        let fits = |engine: &Engine| {
+            accepts_prompt(engine) && engine.free_tokens() >= request.memory_tokens()
+        };
         let mut by_wait = model.by_wait.iter().map(|&(_, _, engine)| engine);
         by_wait
             .find(|&engine| fits(self.fleet.engine(engine)))
@@ -118,14 +119,16 @@
 
     /// Selects the engines with the most free memory that together can hold the request once
     /// their heavy memory is free. Each member is counted with room for the whole output.
-    pub(crate) fn choose_gang(&self, ask: &ReservationRequest) -> Option<Vec<EngineIndex>> {
-        let model = self.fleet.model(&ask.model)?;
+    pub(crate) fn choose_gang(&self, request: &ReservationRequest) -> Option<Vec<EngineIndex>> {
+        let model = self.fleet.model(&request.model)?;
         let mut members = Vec::new();
         let mut capacity_tokens = 0;
         for &(_, index) in model.by_free_tokens.iter().rev() {
             members.push(index);
             capacity_tokens += self.heavy_memory_tokens(index);
-            if capacity_tokens >= ask.prompt_tokens + ask.max_output_tokens * members.len() as u64 {
+            if capacity_tokens
+                >= request.prompt_tokens + request.max_output_tokens * members.len() as u64
+            {
                 return Some(members);
             }
         }
@@ -133,29 +136,30 @@
     }
 
     /// Whether all live engines of the model together could hold the request when idle.
-    pub(crate) fn fits_any_gang(&self, ask: &ReservationRequest, model: &ModelIndex) -> bool {
+    pub(crate) fn fits_any_gang(&self, request: &ReservationRequest, model: &ModelIndex) -> bool {
         let heavy_tokens =
             model.total_memory_tokens * (100 - self.policy.short_reserve_percent) / 100;
-        heavy_tokens >= ask.prompt_tokens + ask.max_output_tokens * model.count() as u64
+        heavy_tokens >= request.prompt_tokens + request.max_output_tokens * model.count() as u64
     }
 
     /// Splits the prompt among the members of a gang in proportion to their memory. The last
     /// member gets the remainder and the memory for the output.
     pub(crate) fn plan_parts(
         &self,
-        ask: &ReservationRequest,
+        request: &ReservationRequest,
         members: &[EngineIndex],
     ) -> Vec<PlannedPart> {
         let total: u64 = members.iter().map(|&index| self.heavy_memory_tokens(index)).sum();
         let part = |&engine: &EngineIndex| {
-            let prompt_tokens = ask.prompt_tokens * self.heavy_memory_tokens(engine) / total.max(1);
+            let prompt_tokens =
+                request.prompt_tokens * self.heavy_memory_tokens(engine) / total.max(1);
             PlannedPart { engine, prompt_tokens, reserved_tokens: prompt_tokens }
         };
         let mut parts: Vec<PlannedPart> = members.iter().map(part).collect();
-        let rest = ask.prompt_tokens - parts.iter().map(|part| part.prompt_tokens).sum::<u64>();
+        let rest = request.prompt_tokens - parts.iter().map(|part| part.prompt_tokens).sum::<u64>();
         if let Some(last) = parts.last_mut() {
             last.prompt_tokens += rest;
-            last.reserved_tokens += rest + ask.max_output_tokens;
+            last.reserved_tokens += rest + request.max_output_tokens;
         }
         parts
     }
@@ -164,23 +168,23 @@
         self.fleet.engine(index).heavy_memory_tokens(self.policy.short_reserve_percent)
     }
 
-    fn has_room(&self, engine: &Engine, lane: Lane, ask: &ReservationRequest) -> bool {
-        engine.has_room(lane, ask.memory_tokens(), self.policy.short_reserve_percent)
+    fn has_room(&self, engine: &Engine, lane: Lane, request: &ReservationRequest) -> bool {
+        engine.has_room(lane, request.memory_tokens(), self.policy.short_reserve_percent)
     }
 
     /// Live engines of the model that have a prefix of the prompt cached. At least one token
     /// always counts as uncached.
-    fn cached_choices(&self, ask: &ReservationRequest) -> Vec<Choice> {
+    fn cached_choices(&self, request: &ReservationRequest) -> Vec<Choice> {
         if !self.policy.mechanisms.prefix_reuse {
             return Vec::new();
         }
         let serves = |engine: EngineIndex| {
             let engine = self.fleet.engine(engine);
-            engine.is_live() && engine.models.contains(&ask.model)
+            engine.is_live() && engine.models.contains(&request.model)
         };
-        let found = self.prefixes.matches(&ask.prefix_hashes).into_iter();
+        let found = self.prefixes.matches(&request.prefix_hashes).into_iter();
         let usable = found.filter(|&(engine, _)| serves(engine));
-        let max_cached_tokens = ask.prompt_tokens.saturating_sub(1);
+        let max_cached_tokens = request.prompt_tokens.saturating_sub(1);
         let choice = |(engine, blocks): (EngineIndex, u64)| Choice {
             engine,
             cached_tokens: (blocks * PREFIX_BLOCK_TOKENS).min(max_cached_tokens),
@@ -190,25 +194,27 @@
 
     fn choose_soonest(
         &self,
-        ask: &ReservationRequest,
+        request: &ReservationRequest,
         lane: Lane,
         candidates: impl IntoIterator<Item = Choice>,
         fits: impl Fn(&Engine) -> bool,
     ) -> Option<Choice> {
         let usable = candidates.into_iter().filter(|choice| fits(self.fleet.engine(choice.engine)));
-        let scored = usable.map(|choice| (self.first_token_ms(ask, lane, choice), choice));
+        let scored = usable.map(|choice| (self.first_token_ms(request, lane, choice), choice));
         scored.min_by(|left, right| left.0.total_cmp(&right.0)).map(|(_, choice)| choice)
     }
 
     /// Predicted time to the first token in ms, with penalties for engines to avoid and for
     /// loading an adapter.
-    fn first_token_ms(&self, ask: &ReservationRequest, lane: Lane, choice: Choice) -> f64 {
+    fn first_token_ms(&self, request: &ReservationRequest, lane: Lane, choice: Choice) -> f64 {
         let engine = self.fleet.engine(choice.engine);
-        let uncached_tokens = ask.prompt_tokens - choice.cached_tokens.min(ask.prompt_tokens);
+        let uncached_tokens =
+            request.prompt_tokens - choice.cached_tokens.min(request.prompt_tokens);
         let prefill_ms = engine.predicted_prefill_ms(lane, uncached_tokens);
         let avoid_ms =
-            if ask.avoided_engines.contains(&engine.id) { AVOID_PENALTY_MS } else { 0.0 };
-        let load_ms = if engine.has_adapter(ask.adapter.as_ref()) { 0.0 } else { ADAPTER_LOAD_MS };
+            if request.avoided_engines.contains(&engine.id) { AVOID_PENALTY_MS } else { 0.0 };
+        let load_ms =
+            if engine.has_adapter(request.adapter.as_ref()) { 0.0 } else { ADAPTER_LOAD_MS };
         engine.predicted_wait_ms(lane) + prefill_ms + avoid_ms + load_ms
     }
 }
--- a/clayplank-schedule/src/dispatch.rs
+++ b/clayplank-schedule/src/dispatch.rs
@@ -49,20 +49,20 @@
         let view = self.view();
         let choice = match (self.policy.discipline, lane) {
             (Discipline::Current, Lane::Brief | Lane::Short) => {
-                view.choose_light(&pending.ask, lane)
+                view.choose_light(&pending.request, lane)
             }
             (Discipline::Current, Lane::Medium | Lane::Long | Lane::Gang) => {
-                view.choose_heavy(&pending.ask, lane, limit)
+                view.choose_heavy(&pending.request, lane, limit)
             }
             (Discipline::FirstCome | Discipline::ShortestFirst, _) => {
-                view.choose_least_loaded(&pending.ask)
+                view.choose_least_loaded(&pending.request)
             }
         };
         let Some(Choice { engine, cached_tokens }) = choice else {
             return false;
         };
-        let prompt_tokens = pending.ask.prompt_tokens;
-        let reserved_tokens = pending.ask.memory_tokens();
+        let prompt_tokens = pending.request.prompt_tokens;
+        let reserved_tokens = pending.request.memory_tokens();
         let part = PlannedPart { engine, prompt_tokens, reserved_tokens };
         self.grant(now_ms, request_id, &[part], cached_tokens);
         true
@@ -90,12 +90,12 @@
         };
         let members = match pending_gang {
             Some(gang) => gang.members.clone(),
-            None => match self.view().choose_gang(&pending.ask) {
+            None => match self.view().choose_gang(&pending.request) {
                 Some(members) => members,
                 None => return false,
             },
         };
-        let parts = self.view().plan_parts(&pending.ask, &members);
+        let parts = self.view().plan_parts(&pending.request, &members);
         let reserve_percent = self.policy.short_reserve_percent;
         let fits = |part: &PlannedPart| {
             let engine = self.fleet.engine(part.engine);
@@ -165,7 +165,7 @@
                 engine.start_prefill(now_ms, pending.lane, prefill_tokens);
                 (engine.id.clone(), engine.incarnation)
             });
-            self.prefixes.store(index, &pending.ask.prefix_hashes);
+            self.prefixes.store(index, &pending.request.prefix_hashes);
             grant_parts.push(GrantPart { engine, reserved_tokens, prompt_tokens });
             reserved_parts.push(ReservedPart {
                 engine: index,
@@ -179,26 +179,27 @@
         let grant_id = self.record_grant(now_ms, &pending, reserved_parts);
         let engine_priority = self.choose_engine_priority(&pending);
         let lacks_adapter = |part: &PlannedPart| {
-            !self.fleet.engine(part.engine).has_adapter(pending.ask.adapter.as_ref())
+            !self.fleet.engine(part.engine).has_adapter(pending.request.adapter.as_ref())
         };
-        let load_adapter = pending.ask.adapter.clone().filter(|_| parts.iter().any(lacks_adapter));
+        let load_adapter =
+            pending.request.adapter.clone().filter(|_| parts.iter().any(lacks_adapter));
         let grant =
             Grant { grant_id, request_id, engine_priority, load_adapter, parts: grant_parts };
         self.decisions.push(Decision::Granted(grant));
     }
 
     fn dequeue(&mut self, now_ms: u64, pending: &Pending, cached_tokens: u64) {
-        let Some(lanes) = self.models.get_mut(&pending.ask.model) else {
+        let Some(lanes) = self.models.get_mut(&pending.request.model) else {
             return;
         };
-        let prefill_tokens = pending.ask.prompt_tokens.saturating_sub(cached_tokens);
+        let prefill_tokens = pending.request.prompt_tokens.saturating_sub(cached_tokens);
         if !pending.lane.is_heavy() {
             lanes.record_short_prefill(now_ms, prefill_tokens);
         }
         let lane_queue = lanes.lane_mut(pending.lane);
-        lane_queue.queue.take(pending.ask.request_id);
+        lane_queue.queue.take(pending.request.request_id);
         let is_empty = lane_queue.queue.len() == 0;
-        lane_queue.throughput.record_dispatched(now_ms, pending.ask.memory_tokens(), is_empty);
+        lane_queue.throughput.record_dispatched(now_ms, pending.request.memory_tokens(), is_empty);
     }
 
     fn record_grant(
@@ -209,7 +210,7 @@
     ) -> GrantId {
         let until_ms = now_ms + self.policy.grant_lease_ms;
         self.grants.insert(GrantRecord {
-            attempt_id: pending.ask.attempt_id,
+            attempt_id: pending.request.attempt_id,
             holder: pending.holder.clone(),
             lane: pending.lane,
             state: GrantState::Held { until_ms },
--- a/clayplank-schedule/src/scheduler.rs
+++ b/clayplank-schedule/src/scheduler.rs
@@ -35,7 +35,7 @@
 /// A request waiting in a queue.
 #[derive(Debug)]
 pub(crate) struct Pending {
-    pub(crate) ask: ReservationRequest,
+    pub(crate) request: ReservationRequest,
     pub(crate) holder: GrantHolder,
     pub(crate) lane: Lane,
     pub(crate) latest_start_ms: u64,
@@ -125,8 +125,8 @@
     }
 
     /// Submits a reservation request. Its result is among the decisions, now or later.
-    pub fn submit(&mut self, now_ms: u64, holder: GrantHolder, ask: ReservationRequest) {
-        match self.admit(now_ms, holder, ask) {
+    pub fn submit(&mut self, now_ms: u64, holder: GrantHolder, request: ReservationRequest) {
+        match self.admit(now_ms, holder, request) {
             Ok((model, lane)) => self.dispatch_lane(now_ms, &model, lane),
             Err((request_id, refusal)) => {
                 self.decisions.push(Decision::Refused(request_id, refusal))
@@ -153,21 +153,21 @@
     }
 
     /// Predicts the wait and the service time of a request in a lane, as of now.
-    pub fn forecast(&self, ask: &ReservationRequest, lane: Lane) -> Forecast {
-        let Some(lanes) = self.models.get(&ask.model) else {
+    pub fn forecast(&self, request: &ReservationRequest, lane: Lane) -> Forecast {
+        let Some(lanes) = self.models.get(&request.model) else {
             return Forecast { wait_ms: 0.0, service_ms: 0.0 };
         };
-        let rates = self.typical_rates(&ask.model);
-        let service_ms = estimate_service_ms(&self.policy, ask, lane, rates);
+        let rates = self.typical_rates(&request.model);
+        let service_ms = estimate_service_ms(&self.policy, request, lane, rates);
         let lane_queue = lanes.lane(lane);
-        let engines = self.fleet.model(&ask.model).map_or(0, |model| model.count()).max(1);
+        let engines = self.fleet.model(&request.model).map_or(0, |model| model.count()).max(1);
         let initial_tokens_per_ms =
             engines as f64 / rates.0 * if lane.is_heavy() { 0.5 } else { 0.9 };
         let tokens_per_ms = lane_queue.throughput.tokens_per_ms(initial_tokens_per_ms);
-        let account = self.accounts.get(&ask.account).copied().unwrap_or(AccountIndex::MAX);
-        let (account, share) = self.fair_queue_key(account, ask);
+        let account = self.accounts.get(&request.account).copied().unwrap_or(AccountIndex::MAX);
+        let (account, share) = self.fair_queue_key(account, request);
         let ahead_tokens =
-            lane_queue.queue.tokens_ahead(account, share, ask.priority, ask.request_id);
+            lane_queue.queue.tokens_ahead(account, share, request.priority, request.request_id);
         Forecast { wait_ms: ahead_tokens / tokens_per_ms, service_ms }
     }
 
@@ -198,25 +198,25 @@
         &mut self,
         now_ms: u64,
         holder: GrantHolder,
-        ask: ReservationRequest,
+        request: ReservationRequest,
     ) -> Result<(String, Lane), (RequestId, Refusal)> {
-        let request_id = ask.request_id;
+        let request_id = request.request_id;
         let refuse = |reason, retry_ms| Err((request_id, Refusal::new(reason, retry_ms)));
-        let Some(model) = self.fleet.model(&ask.model).filter(|model| model.count() > 0) else {
+        let Some(model) = self.fleet.model(&request.model).filter(|model| model.count() > 0) else {
             return refuse(RefusalReason::NoEngine, NO_ENGINE_RETRY_MS);
         };
         let one_engine_tokens =
             model.largest_memory_tokens() * (100 - self.policy.short_reserve_percent) / 100;
-        let lane = if ask.memory_tokens() > one_engine_tokens {
+        let lane = if request.memory_tokens() > one_engine_tokens {
             Lane::Gang
         } else {
-            self.policy.classify_lane(ask.prompt_tokens)
+            self.policy.classify_lane(request.prompt_tokens)
         };
-        if lane == Lane::Gang && !self.view().fits_any_gang(&ask, model) {
+        if lane == Lane::Gang && !self.view().fits_any_gang(&request, model) {
             return refuse(RefusalReason::PromptTooLarge, MAX_RETRY_MS);
         }
-        let forecast = self.forecast(&ask, lane);
-        let remaining_ms = ask.deadline_ms.saturating_sub(now_ms);
+        let forecast = self.forecast(&request, lane);
+        let remaining_ms = request.deadline_ms.saturating_sub(now_ms);
         if self.pending.len() >= self.policy.max_waiting {
             let retry_ms = self.jittered_retry_ms(forecast.wait_ms as u64);
             return refuse(RefusalReason::QueueFull, retry_ms);
@@ -229,9 +229,9 @@
             let retry_ms = self.jittered_retry_ms(completion_ms - remaining_ms);
             return refuse(RefusalReason::DeadlineOutOfReach, retry_ms);
         }
-        let latest_start_ms = ask.deadline_ms - forecast.service_ms.ceil() as u64;
-        let model = ask.model.clone();
-        self.enqueue(now_ms, Pending { ask, holder, lane, latest_start_ms });
+        let latest_start_ms = request.deadline_ms - forecast.service_ms.ceil() as u64;
+        let model = request.model.clone();
+        self.enqueue(now_ms, Pending { request, holder, lane, latest_start_ms });
         Ok((model, lane))
     }
 
@@ -243,19 +243,20 @@
     }
 
     fn enqueue(&mut self, now_ms: u64, pending: Pending) {
-        let request_id = pending.ask.request_id;
+        let request_id = pending.request.request_id;
         let next_index = self.accounts.len() as AccountIndex;
-        let account_index = *self.accounts.entry(pending.ask.account.clone()).or_insert(next_index);
-        let (account, share) = self.fair_queue_key(account_index, &pending.ask);
+        let account_index =
+            *self.accounts.entry(pending.request.account.clone()).or_insert(next_index);
+        let (account, share) = self.fair_queue_key(account_index, &pending.request);
         let (class, rank) = match self.policy.discipline {
-            Discipline::Current => (pending.ask.priority, pending.ask.deadline_ms),
+            Discipline::Current => (pending.request.priority, pending.request.deadline_ms),
             Discipline::FirstCome => (Priority::Normal, now_ms),
-            Discipline::ShortestFirst => (Priority::Normal, pending.ask.prompt_tokens),
+            Discipline::ShortestFirst => (Priority::Normal, pending.request.prompt_tokens),
         };
-        let cost_tokens = pending.ask.memory_tokens();
+        let cost_tokens = pending.request.memory_tokens();
         let waiting =
             Waiting { request_id, account, share, class, arrived_ms: now_ms, rank, cost_tokens };
-        if let Some(lanes) = self.models.get_mut(&pending.ask.model) {
+        if let Some(lanes) = self.models.get_mut(&pending.request.model) {
             let lane_queue = lanes.lane_mut(pending.lane);
             lane_queue.queue.push(waiting);
             lane_queue.throughput.record_waiting(now_ms);
@@ -269,17 +270,17 @@
     fn fair_queue_key(
         &self,
         account: AccountIndex,
-        ask: &ReservationRequest,
+        request: &ReservationRequest,
     ) -> (AccountIndex, u64) {
         let is_fair =
             self.policy.mechanisms.fair_share && self.policy.discipline == Discipline::Current;
-        if is_fair { (account, ask.weight.max(1)) } else { (0, 1) }
+        if is_fair { (account, request.weight.max(1)) } else { (0, 1) }
     }
 
     fn remove_pending(&mut self, request_id: RequestId) -> Option<Pending> {
         let pending = self.pending.remove(&request_id)?;
         self.expiry.remove(&(pending.latest_start_ms, request_id));
-        if let Some(lanes) = self.models.get_mut(&pending.ask.model) {
+        if let Some(lanes) = self.models.get_mut(&pending.request.model) {
             lanes.lane_mut(pending.lane).queue.discard(request_id);
         }
         Some(pending)
@@ -294,7 +295,7 @@
             let Some(pending) = self.remove_pending(request_id) else {
                 return;
             };
-            let forecast = self.forecast(&pending.ask, pending.lane);
+            let forecast = self.forecast(&pending.request, pending.lane);
             let retry_ms = self.jittered_retry_ms(forecast.wait_ms as u64);
             let refusal = Refusal::new(RefusalReason::DeadlineOutOfReach, retry_ms);
             self.decisions.push(Decision::Refused(request_id, refusal));
@@ -315,7 +316,7 @@
             let Some(pending) = self.pending.get(&request_id) else {
                 continue;
             };
-            let wait_ms = self.forecast(&pending.ask, pending.lane).wait_ms as u64;
+            let wait_ms = self.forecast(&pending.request, pending.lane).wait_ms as u64;
             let late_ms = (now_ms + wait_ms).saturating_sub(pending.latest_start_ms);
             if late_ms > 0 {
                 self.remove_pending(request_id);
--- a/clayplank-schedule/tests/decisions.rs
+++ b/clayplank-schedule/tests/decisions.rs
@@ -25,7 +25,7 @@
     scheduler
 }
 
-fn ask(number: u64, account: &str, prompt_tokens: u64, deadline_ms: u64) -> ReservationRequest {
+fn request(number: u64, account: &str, prompt_tokens: u64, deadline_ms: u64) -> ReservationRequest {
     let account = AccountId::new(Partner::new("dala"), account);
     ReservationRequest::new(
         RequestId(number),
@@ -37,8 +37,8 @@
     )
 }
 
-fn submit(scheduler: &mut Scheduler, now_ms: u64, ask: ReservationRequest) -> Vec<Decision> {
-    scheduler.submit(now_ms, GrantHolder::default(), ask);
+fn submit(scheduler: &mut Scheduler, now_ms: u64, request: ReservationRequest) -> Vec<Decision> {
+    scheduler.submit(now_ms, GrantHolder::default(), request);
     scheduler.take_decisions()
 }
 
@@ -62,22 +62,22 @@
 #[case::medium(40_000, 2)]
 #[case::long(200_000, 3)]
 fn shorter_prompts_get_a_higher_engine_priority(#[case] prompt_tokens: u64, #[case] class: u8) {
-    let decisions = submit(&mut scheduler(2), 0, ask(1, "a", prompt_tokens, 600_000));
+    let decisions = submit(&mut scheduler(2), 0, request(1, "a", prompt_tokens, 600_000));
     assert_eq!(granted(&decisions).engine_priority, EnginePriority(class));
 }
 
 #[test]
 fn short_prompt_avoids_engine_prefilling_a_long_one() {
     let mut scheduler = scheduler(2);
-    let long = submit(&mut scheduler, 0, ask(1, "a", 200_000, 600_000));
+    let long = submit(&mut scheduler, 0, request(1, "a", 200_000, 600_000));
     let long_engine = granted(&long).parts[0].engine.clone();
-    let short = submit(&mut scheduler, 1, ask(2, "b", 1_000, 10_000));
+    let short = submit(&mut scheduler, 1, request(2, "b", 1_000, 10_000));
     assert_ne!(granted(&short).parts[0].engine, long_engine);
 }
 
 #[test]
 fn request_that_cannot_meet_its_deadline_is_refused_immediately() {
-    let decisions = submit(&mut scheduler(1), 0, ask(1, "a", 200_000, 1_000));
+    let decisions = submit(&mut scheduler(1), 0, request(1, "a", 200_000, 1_000));
     let refusal = refusal(&decisions);
     assert_eq!(refusal.reason, RefusalReason::DeadlineOutOfReach);
     assert!(refusal.retry_after_ms > 0);
@@ -87,9 +87,9 @@
 fn gang_request_is_granted_all_engines_or_none() {
     let mut scheduler = scheduler(3);
     // One engine is nearly full, so the three together cannot hold the prompt yet.
-    let first = submit(&mut scheduler, 0, ask(1, "a", 300_000, 3_600_000));
+    let first = submit(&mut scheduler, 0, request(1, "a", 300_000, 3_600_000));
     let blocking = granted(&first).grant_id;
-    assert_eq!(submit(&mut scheduler, 1, ask(2, "b", 1_000_000, 3_600_000)), vec![]);
+    assert_eq!(submit(&mut scheduler, 1, request(2, "b", 1_000_000, 3_600_000)), vec![]);
     assert_eq!(scheduler.totals().grants, 1, "nothing is reserved for the gang");
     scheduler.end_grant(2, blocking, Usage { engine_ended: true, ..Usage::default() });
     let decisions = scheduler.take_decisions();
@@ -100,7 +100,7 @@
 
 #[test]
 fn prompt_larger_than_the_pool_is_refused() {
-    let decisions = submit(&mut scheduler(2), 0, ask(1, "a", 1_000_000, 3_600_000));
+    let decisions = submit(&mut scheduler(2), 0, request(1, "a", 1_000_000, 3_600_000));
     assert_eq!(refusal(&decisions).reason, RefusalReason::PromptTooLarge);
 }
 
@@ -108,7 +108,7 @@
 fn draining_engine_gets_no_new_work_until_it_restarts() {
     let mut scheduler = scheduler(1);
     scheduler.mark_draining(&UpstreamId::new("e0"));
-    let decisions = submit(&mut scheduler, 0, ask(1, "a", 1_000, 10_000));
+    let decisions = submit(&mut scheduler, 0, request(1, "a", 1_000, 10_000));
     assert_eq!(refusal(&decisions).reason, RefusalReason::NoEngine);
     let alive = EngineReport {
         incarnation: Incarnation(1),
@@ -116,7 +116,7 @@
         ..EngineReport::default()
     };
     scheduler.apply_report(10, &UpstreamId::new("e0"), &alive);
-    let decisions = submit(&mut scheduler, 11, ask(2, "a", 1_000, 10_000));
+    let decisions = submit(&mut scheduler, 11, request(2, "a", 1_000, 10_000));
     assert_eq!(
         refusal(&decisions).reason,
         RefusalReason::NoEngine,
@@ -127,14 +127,14 @@
         &UpstreamId::new("e0"),
         &EngineReport { incarnation: Incarnation(2), ..alive },
     );
-    granted(&submit(&mut scheduler, 21, ask(3, "a", 1_000, 10_000)));
+    granted(&submit(&mut scheduler, 21, request(3, "a", 1_000, 10_000)));
 }
 
 #[test]
 fn memory_of_an_expired_grant_is_released_only_once_the_engine_ended_it() {
     let mut scheduler = scheduler(1);
     let engine = UpstreamId::new("e0");
-    granted(&submit(&mut scheduler, 0, ask(1, "a", 1_000, 10_000)));
+    granted(&submit(&mut scheduler, 0, request(1, "a", 1_000, 10_000)));
     scheduler.tick(3_001);
     assert_eq!(
         scheduler.take_decisions(),
@@ -169,7 +169,7 @@
     scheduler.apply_report(0, &UpstreamId::new("e0"), &report);
     assert_eq!(scheduler.totals().foreign_tokens, 250_000);
     assert_eq!(
-        submit(&mut scheduler, 1, ask(1, "a", 200_000, 3_600_000)),
+        submit(&mut scheduler, 1, request(1, "a", 200_000, 3_600_000)),
         vec![],
         "no room is left beside the reported attempt"
     );
@@ -179,10 +179,10 @@
 fn account_with_a_long_queue_does_not_delay_another() {
     let mut scheduler = scheduler(1);
     for number in 0..200 {
-        scheduler.submit(0, GrantHolder::default(), ask(number, "large", 4_000, 600_000));
+        scheduler.submit(0, GrantHolder::default(), request(number, "large", 4_000, 600_000));
     }
     scheduler.take_decisions();
-    scheduler.submit(1, GrantHolder::default(), ask(1_000, "small", 4_000, 600_000));
+    scheduler.submit(1, GrantHolder::default(), request(1_000, "small", 4_000, 600_000));
     let mut order = Vec::new();
     let mut grants = vec![1];
     for step in 0..20 {
@@ -206,15 +206,15 @@
 #[test]
 fn waiting_raises_the_urgency_of_low_priority_requests() {
     let mut scheduler = scheduler(1);
-    let mut low = ask(1, "a", 4_000, 600_000);
+    let mut low = request(1, "a", 4_000, 600_000);
     low.priority = Priority::Low;
     // The engine always has one prompt in prefill.
-    granted(&submit(&mut scheduler, 0, ask(0, "z", 4_000, 600_000)));
+    granted(&submit(&mut scheduler, 0, request(0, "z", 4_000, 600_000)));
     assert_eq!(submit(&mut scheduler, 1, low), vec![]);
     let mut last = 1;
     for number in 2..40 {
         let now_ms = number * 400;
-        let mut high = ask(number, "b", 4_000, now_ms + 60_000);
+        let mut high = request(number, "b", 4_000, now_ms + 60_000);
         high.priority = Priority::High;
         scheduler.submit(now_ms, GrantHolder::default(), high);
         let grant_id = clayplank_schedule::GrantId(last);
@@ -235,10 +235,11 @@
 fn service_time_forecast_adapts_to_measured_rates() {
     let mut scheduler = scheduler(1);
     let before =
-        scheduler.forecast(&ask(0, "a", 100_000, 1), clayplank_schedule::Lane::Long).service_ms;
+        scheduler.forecast(&request(0, "a", 100_000, 1), clayplank_schedule::Lane::Long).service_ms;
     for number in 1..40 {
         let now_ms = number * 1_000;
-        let decisions = submit(&mut scheduler, now_ms, ask(number, "a", 4_000, now_ms + 60_000));
+        let decisions =
+            submit(&mut scheduler, now_ms, request(number, "a", 4_000, now_ms + 60_000));
         let grant_id = granted(&decisions).grant_id;
         // The engine prefills 40 tokens per ms, four times the configured initial rate.
         scheduler.record_first_token(now_ms + 100, grant_id);
@@ -249,7 +250,7 @@
         );
     }
     let after =
-        scheduler.forecast(&ask(0, "a", 100_000, 1), clayplank_schedule::Lane::Long).service_ms;
+        scheduler.forecast(&request(0, "a", 100_000, 1), clayplank_schedule::Lane::Long).service_ms;
     assert!(after < before / 3.0, "before {before}, after {after}");
 }
 
@@ -258,7 +259,7 @@
     let mut scheduler = scheduler(4);
     let mut engines = BTreeMap::new();
     for number in 0..40 {
-        let mut hot = ask(number, "a", 2_000, 60_000);
+        let mut hot = request(number, "a", 2_000, 60_000);
         hot.prefix_hashes = vec![42];
         for decision in submit(&mut scheduler, 0, hot) {
             if let Decision::Granted(grant) = decision {
--- a/clayplank-schedule/tests/random.rs
+++ b/clayplank-schedule/tests/random.rs
@@ -123,7 +123,7 @@
                 let attempt_id = AttemptId::from_bits(u128::from(number));
                 let account = AccountId::new(Partner::new("dala"), format!("a{account}"));
                 let deadline_ms = self.now_ms + deadline_ms;
-                let ask = ReservationRequest::new(
+                let request = ReservationRequest::new(
                     request_id,
                     attempt_id,
                     account,
@@ -133,7 +133,7 @@
                 );
                 self.requested.insert(request_id, (attempt_id, host));
                 self.deadlines.insert(request_id, deadline_ms);
-                scheduler.submit(self.now_ms, self.holder(host), ask);
+                scheduler.submit(self.now_ms, self.holder(host), request);
             }
             Step::FirstToken(ref chosen) if !self.granted.is_empty() => {
                 let grants: Vec<_> = self.granted.keys().copied().collect();
--- a/clayplank-state/src/machine.rs
+++ b/clayplank-state/src/machine.rs
@@ -67,7 +67,7 @@
             CommandBody::Fence { upstream, host, lease_ms } => {
                 self.fence(upstream, host, *lease_ms)
             }
-            CommandBody::NoteSightings(sightings) => self.apply_sightings(sightings),
+            CommandBody::NoteSightings(observations) => self.apply_observations(observations),
             CommandBody::ClaimTrial(fingerprint) => self.claim_trial(*fingerprint),
             CommandBody::Lift(fingerprint) => self.lift(*fingerprint),
             CommandBody::Cordon(data_centre) => self.set_cordon(data_centre, true),
@@ -75,12 +75,12 @@
         }
     }
 
-    fn apply_sightings(&mut self, sightings: &[RequestObservation]) -> Reply {
-        let verdicts = self.suspects.apply(self.now_ms, sightings);
-        if !verdicts.is_empty() {
+    fn apply_observations(&mut self, observations: &[RequestObservation]) -> Reply {
+        let changes = self.suspects.apply(self.now_ms, observations);
+        if !changes.is_empty() {
             self.bump_quarantine_revision();
         }
-        Reply::Noted(verdicts)
+        Reply::Noted(changes)
     }
 
     fn claim_trial(&mut self, fingerprint: RequestFingerprint) -> Reply {
--- a/clayplank-state/src/quarantine.rs
+++ b/clayplank-state/src/quarantine.rs
@@ -194,24 +194,24 @@
     pub(crate) fn apply(
         &mut self,
         now_ms: u64,
-        sightings: &[RequestObservation],
+        observations: &[RequestObservation],
     ) -> QuarantineChanges {
         self.remove_expired(now_ms);
-        let mut verdicts = QuarantineChanges::default();
-        for sighting in sightings {
-            let at_ms = now_ms.saturating_sub(sighting.ago_ms);
-            match &sighting.outcome {
+        let mut changes = QuarantineChanges::default();
+        for observation in observations {
+            let at_ms = now_ms.saturating_sub(observation.ago_ms);
+            match &observation.outcome {
                 ObservedOutcome::Ended(upstream) => {
                     let termination =
-                        Termination { upstream: upstream.clone(), at_ms, seen: sighting.seen };
-                    self.apply_termination(now_ms, sighting, termination, &mut verdicts);
+                        Termination { upstream: upstream.clone(), at_ms, seen: observation.seen };
+                    self.apply_termination(now_ms, observation, termination, &mut changes);
                 }
                 ObservedOutcome::Survived => {
-                    self.apply_survival(at_ms, sighting.fingerprint, &mut verdicts);
+                    self.apply_survival(at_ms, observation.fingerprint, &mut changes);
                 }
             }
         }
-        verdicts
+        changes
     }
 
     /// Records the termination of an upstream, and quarantines the request once
@@ -219,11 +219,11 @@
     fn apply_termination(
         &mut self,
         now_ms: u64,
-        sighting: &RequestObservation,
+        observation: &RequestObservation,
         termination: Termination,
-        verdicts: &mut QuarantineChanges,
+        changes: &mut QuarantineChanges,
     ) {
-        let fingerprint = sighting.fingerprint;
+        let fingerprint = observation.fingerprint;
         let suspect = self.suspects.get_mut(&fingerprint);
         if let Some(suspect) = suspect.filter(|suspect| suspect.held.is_some()) {
             // The request stays quarantined, and this termination is attributed to it.
@@ -235,10 +235,10 @@
             return;
         }
         if !self.suspects.contains_key(&fingerprint) {
-            self.make_room(&sighting.caller);
+            self.make_room(&observation.caller);
         }
         let suspect = self.suspects.entry(fingerprint).or_insert_with(|| Suspect {
-            caller: sighting.caller.clone(),
+            caller: observation.caller.clone(),
             ends: Vec::new(),
             heard_ms: now_ms,
             held: None,
@@ -251,9 +251,9 @@
         let next_trial_ms = now_ms + TRIAL_INTERVALS_MS[0];
         suspect.held = Some(QuarantineState { since_ms: now_ms, trials: 0, next_trial_ms });
         let terminated = suspect.terminated_upstreams();
-        verdicts.held_back.extend(suspect.to_entry(now_ms, fingerprint));
+        changes.held_back.extend(suspect.to_entry(now_ms, fingerprint));
         self.explain(now_ms, fingerprint, terminated);
-        self.limit_quarantined(&sighting.caller, verdicts);
+        self.limit_quarantined(&observation.caller, changes);
     }
 
     /// Attributes the termination of upstreams to the quarantined request `by`, and removes these
@@ -281,7 +281,7 @@
         &mut self,
         at_ms: u64,
         fingerprint: RequestFingerprint,
-        verdicts: &mut QuarantineChanges,
+        changes: &mut QuarantineChanges,
     ) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
@@ -289,7 +289,7 @@
         suspect.ends.retain(|termination| termination.at_ms > at_ms);
         if suspect.held.is_some() && suspect.separate_terminations() < MIN_TERMINATIONS {
             suspect.held = None;
-            verdicts.lifted.push(fingerprint);
+            changes.lifted.push(fingerprint);
         }
         if suspect.held.is_none() && suspect.ends.is_empty() {
             self.suspects.remove(&fingerprint);
@@ -365,7 +365,7 @@
 
     /// Lifts the quarantine that started first, of the caller's requests or of all, if there are
     /// too many.
-    fn limit_quarantined(&mut self, caller: &str, verdicts: &mut QuarantineChanges) {
+    fn limit_quarantined(&mut self, caller: &str, changes: &mut QuarantineChanges) {
         let quarantined = || self.suspects.iter().filter(|(_, suspect)| suspect.held.is_some());
         let of_caller = || quarantined().filter(|(_, suspect)| suspect.caller == caller);
         let since = |suspect: &Suspect| suspect.held.map(|quarantine| quarantine.since_ms);
@@ -378,7 +378,7 @@
         };
         if let Some(oldest) = oldest.map(|(fingerprint, _)| *fingerprint) {
             self.suspects.remove(&oldest);
-            verdicts.lifted.push(oldest);
+            changes.lifted.push(oldest);
         }
     }
 }
--- a/clayplank-state/tests/quarantine.rs
+++ b/clayplank-state/tests/quarantine.rs
@@ -31,9 +31,9 @@
     let mut quarantined = 0;
     for (number, reported_ms) in [(0, 1_090), (1, 1_095), (2, 1_145)] {
         let seen = Some(HostTimestamp { life: 7, at_ms: 500 + 70 * number });
-        let sighting =
+        let observation =
             RequestObservation { seen, ..terminated(CRASHING, "clubs", &format!("u{number}")) };
-        quarantined += report(&mut machine, reported_ms, &[sighting]).held_back.len();
+        quarantined += report(&mut machine, reported_ms, &[observation]).held_back.len();
     }
     assert_eq!(quarantined, 1);
 }
@@ -49,10 +49,10 @@
 fn report(
     machine: &mut Machine,
     at_ms: u64,
-    sightings: &[RequestObservation],
+    observations: &[RequestObservation],
 ) -> QuarantineChanges {
-    match apply(machine, at_ms, CommandBody::NoteSightings(sightings.to_vec())) {
-        Reply::Noted(verdicts) => verdicts,
+    match apply(machine, at_ms, CommandBody::NoteSightings(observations.to_vec())) {
+        Reply::Noted(changes) => changes,
         reply => panic!("{reply:?}"),
     }
 }
@@ -90,8 +90,8 @@
         report(&mut machine, 2_100, &[terminated(CRASHING, "clubs", "u2")]).is_empty(),
         "reported again"
     );
-    let verdicts = report(&mut machine, 3_000, &[terminated(CRASHING, "clubs", "u3")]);
-    let [one] = verdicts.held_back.as_slice() else { panic!("{verdicts:?}") };
+    let changes = report(&mut machine, 3_000, &[terminated(CRASHING, "clubs", "u3")]);
+    let [one] = changes.held_back.as_slice() else { panic!("{changes:?}") };
     assert_eq!(one.fingerprint, RequestFingerprint::new(CRASHING));
     assert_eq!(one.ended, ["u1", "u2", "u3"].map(UpstreamId::new));
 }
@@ -150,8 +150,8 @@
         report(&mut machine, 4_000, &[RequestObservation { ago_ms: 3_500, ..survived(CRASHING) }])
             .is_empty()
     );
-    let verdicts = report(&mut machine, 4_000, &[survived(CRASHING)]);
-    assert_eq!(verdicts.lifted, [RequestFingerprint::new(CRASHING)]);
+    let changes = report(&mut machine, 4_000, &[survived(CRASHING)]);
+    assert_eq!(changes.lifted, [RequestFingerprint::new(CRASHING)]);
     assert_eq!(machine.delta_after(0).held_back, Some(Vec::new()));
 }
 
--- a/clayplank-wire/tests/broken_bytes.rs
+++ b/clayplank-wire/tests/broken_bytes.rs
@@ -49,7 +49,7 @@
     PlanEdit::unpack(bytes).ok();
 }
 
-fn sighting(number: u64) -> RequestObservation {
+fn observation(number: u64) -> RequestObservation {
     RequestObservation {
         fingerprint: RequestFingerprint::new(u128::from(number) << 70),
         caller: "clubs".to_owned(),
@@ -66,7 +66,7 @@
     machine.apply(&Command { at_ms: 9, body: CommandBody::Publish(document) });
     let repeated = (0..3).map(|number| RequestObservation {
         fingerprint: RequestFingerprint::new(1),
-        ..sighting(number)
+        ..observation(number)
     });
     let body = CommandBody::NoteSightings(repeated.collect());
     let command = Command { at_ms: 1_000, body };
@@ -89,7 +89,7 @@
 /// No proper prefix of an encoded value may be decoded as a value.
 #[test]
 fn a_truncated_value_is_rejected() {
-    let body = CommandBody::NoteSightings((0..3).map(sighting).collect());
+    let body = CommandBody::NoteSightings((0..3).map(observation).collect());
     let bytes = encode(&Command { at_ms: 1_000, body }).unwrap();
     for length in 0..bytes.len() {
         assert!(decode::<Command>(&bytes[..length]).is_err(), "{length} of {} bytes", bytes.len());
--- a/clayplankd/src/fleet/fleet_keeper.rs
+++ b/clayplankd/src/fleet/fleet_keeper.rs
@@ -281,22 +281,22 @@
     }
 
     /// Places a prompt on engines. `None` while there is no plan or too few upstreams are known.
-    pub(crate) fn place(&self, ask: &PlacementRequest) -> Option<PlacementOutcome> {
+    pub(crate) fn place(&self, request: &PlacementRequest) -> Option<PlacementOutcome> {
         if self.lacks_upstreams() || self.plan.load().is_none() {
             return None;
         }
         let mut fleet = lock_ignoring_poison(&self.fleet);
-        let placed = fleet.place(monotonic_now_ms(), ask);
+        let placed = fleet.place(monotonic_now_ms(), request);
         if let PlacementOutcome::At(assignment) = &placed {
-            lock_ignoring_poison(&self.mirror).record_placement(ask, assignment);
+            lock_ignoring_poison(&self.mirror).record_placement(request, assignment);
         }
         if let PlacementOutcome::Full { retry_after_ms } = placed {
-            let since_ms = fleet.since_first_try_ms(ask);
+            let since_ms = fleet.since_first_try_ms(request);
             log_rejection(
-                ask,
+                request,
                 since_ms,
                 retry_after_ms,
-                &fleet.pool_summary(monotonic_now_ms(), &ask.pool),
+                &fleet.pool_summary(monotonic_now_ms(), &request.pool),
             );
         }
         Some(placed)
@@ -557,17 +557,17 @@
 }
 
 fn log_rejection(
-    ask: &PlacementRequest,
+    request: &PlacementRequest,
     since_first_try_ms: f64,
     retry_after_ms: u64,
-    outlook: &PoolSummary,
+    summary: &PoolSummary,
 ) {
     log::info!(target: log_target::KEEPER,
-        prompt_tokens = ask.prompt_tokens, since_first_try_ms = since_first_try_ms as u64,
-        retry_after_ms = retry_after_ms, engines = outlook.engines,
-        taken_slots = outlook.taken_slots, helped_parts = outlook.helped_parts,
-        queued_ms = outlook.queued_ms as u64, slowness = outlook.slowness,
-        avoided = outlook.avoided, unreached = outlook.unreached, doubtful = outlook.doubtful;
+        prompt_tokens = request.prompt_tokens, since_first_try_ms = since_first_try_ms as u64,
+        retry_after_ms = retry_after_ms, engines = summary.engines,
+        taken_slots = summary.taken_slots, helped_parts = summary.helped_parts,
+        queued_ms = summary.queued_ms as u64, slowness = summary.slowness,
+        avoided = summary.avoided, unreached = summary.unreached, doubtful = summary.doubtful;
         "Rejected a prompt: the pool has no capacity");
 }
 
--- a/clayplankd/src/fleet/termination_reports.rs
+++ b/clayplankd/src/fleet/termination_reports.rs
@@ -95,10 +95,10 @@
             return;
         }
         // Repeating is safe: for each request, the keepers count a terminated upstream only once.
-        let sightings = batch.iter().map(|one| to_sighting(incarnation, one)).collect();
-        match keepers.execute(&CommandBody::NoteSightings(sightings), COMMAND_TIMEOUT).await {
-            Ok(Reply::Noted(verdicts)) => {
-                log_verdicts(&verdicts);
+        let observations = batch.iter().map(|one| to_observation(incarnation, one)).collect();
+        match keepers.execute(&CommandBody::NoteSightings(observations), COMMAND_TIMEOUT).await {
+            Ok(Reply::Noted(changes)) => {
+                log_quarantine_changes(&changes);
                 return;
             }
             Ok(_) => {
@@ -115,7 +115,7 @@
 }
 
 /// Converts an observation to its form in keeper commands. `incarnation` is that of this task.
-fn to_sighting(incarnation: u64, observation: &Observation) -> RequestObservation {
+fn to_observation(incarnation: u64, observation: &Observation) -> RequestObservation {
     let ago_ms = observation.at.elapsed().as_millis() as u64;
     let observed = HostTimestamp { life: incarnation, at_ms: now_ms().saturating_sub(ago_ms) };
     RequestObservation {
@@ -127,14 +127,14 @@
     }
 }
 
-fn log_verdicts(verdicts: &QuarantineChanges) {
-    for QuarantinedRequest { fingerprint, caller, ended, .. } in &verdicts.held_back {
+fn log_quarantine_changes(changes: &QuarantineChanges) {
+    for QuarantinedRequest { fingerprint, caller, ended, .. } in &changes.held_back {
         let ended: Vec<_> = ended.iter().map(ToString::to_string).collect();
         log::warn!(target: log_target::KEEPER,
             fingerprint:% = fingerprint, caller = caller, ended = ended.join(" ");
             "A request terminated several upstreams in succession and is quarantined");
     }
-    for fingerprint in &verdicts.lifted {
+    for fingerprint in &changes.lifted {
         log::info!(target: log_target::KEEPER,
             fingerprint:% = fingerprint;
             "The quarantine of a request was lifted");
--- a/clayplankd/src/owners/owner.rs
+++ b/clayplankd/src/owners/owner.rs
@@ -327,27 +327,27 @@
     pub(crate) pool: PoolId,
     pub(crate) holder: GrantHolder,
     /// The owner sets its `request_id`. Its deadline is absolute, by the local clock.
-    pub(crate) ask: ReservationRequest,
+    pub(crate) request: ReservationRequest,
 }
 
 impl Handler<Reserve> for Owner {
     type Return = oneshot::Receiver<ReserveResponse>;
 
     async fn handle(&mut self, reserve: Reserve, _: &mut Context<Self>) -> Self::Return {
-        let Reserve { pool, holder, mut ask } = reserve;
+        let Reserve { pool, holder, mut request } = reserve;
         let (reply, receiver) = oneshot::channel();
         // A request that arrives too soon after the acquisition is repeated by its sender, as after
         // a change of the owner.
-        if self.pools.get(&pool).is_none_or(|owned| owned.awaits_reports(&ask.model)) {
+        if self.pools.get(&pool).is_none_or(|owned| owned.awaits_reports(&request.model)) {
             let reserved = ReserveResult::NotOwner(self.members.owner_of(&pool));
             reply.send(ReserveResponse { reserved, pool_wait_ms: 0 }).ok();
             return receiver;
         }
         self.next_request += 1;
-        ask.request_id = RequestId(self.next_request);
-        let waiter = Waiter { pool: pool.clone(), attempt_id: ask.attempt_id, reply };
-        self.waiters.insert(ask.request_id, waiter);
-        self.with_pool(&pool, |scheduler| scheduler.submit(now_ms(), holder, ask));
+        request.request_id = RequestId(self.next_request);
+        let waiter = Waiter { pool: pool.clone(), attempt_id: request.attempt_id, reply };
+        self.waiters.insert(request.request_id, waiter);
+        self.with_pool(&pool, |scheduler| scheduler.submit(now_ms(), holder, request));
         receiver
     }
 }
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -188,8 +188,8 @@
 ) -> Arc<Host> {
     let engines: Arc<dyn EngineClient> = Arc::new(HttpEngineClient::default());
     let keepers = KeeperClient::new(settings, peers.clone());
-    let (sighting_link, sightings) = TerminationReporter::new(keepers.clone());
-    tokio::spawn(run_termination_reports(keepers.clone(), sightings));
+    let (termination_reporter, observations) = TerminationReporter::new(keepers.clone());
+    tokio::spawn(run_termination_reports(keepers.clone(), observations));
     Arc::new_cyclic(|weak_self| Host {
         weak_self: weak_self.clone(),
         settings: Arc::clone(settings),
@@ -209,7 +209,7 @@
         metrics: Default::default(),
         progress: InProgress::default(),
         service_loads: Default::default(),
-        suspicion: Arc::new(RequestQuarantine::new(Arc::new(sighting_link))),
+        suspicion: Arc::new(RequestQuarantine::new(Arc::new(termination_reporter))),
     })
 }
 
--- a/clayplankd/src/process/membership.rs
+++ b/clayplankd/src/process/membership.rs
@@ -87,18 +87,18 @@
             return;
         };
         let (peers, timeout) = (self.peers.clone(), self.probe_timeout);
-        let mut rumours = self.members.take_updates();
+        let mut updates = self.members.take_updates();
         match effect {
             ProbeAction::Probe(target) => {
-                rumours.extend(self.members.refutable_update_for(&target));
-                let request = self.probe_request("", &rumours);
+                updates.extend(self.members.refutable_update_for(&target));
+                let request = self.probe_request("", &updates);
                 tokio::spawn(async move {
                     let answer = probe(&peers, &target, request, timeout).await;
                     address.send(ProbeEnded { target, answer }).await.ok();
                 });
             }
             ProbeAction::ProbeVia { via, target } => {
-                let request = self.probe_request(target.as_str(), &rumours);
+                let request = self.probe_request(target.as_str(), &updates);
                 tokio::spawn(async move {
                     let answer = probe(&peers, &via, request, timeout * 2).await;
                     let is_reached = answer.is_some_and(|(reached, _)| reached);
@@ -108,16 +108,16 @@
         }
     }
 
-    fn probe_request(&self, via_target: &str, rumours: &[MemberUpdate]) -> ProbeRequest {
+    fn probe_request(&self, via_target: &str, updates: &[MemberUpdate]) -> ProbeRequest {
         ProbeRequest {
             from_host: self.local_host.to_string(),
             via_target: via_target.to_owned(),
-            gossip: encode(&rumours).unwrap_or_default(),
+            gossip: encode(&updates).unwrap_or_default(),
         }
     }
 }
 
-/// Sends a probe. Returns whether its target was reached, and the rumours of the answer; `None`
+/// Sends a probe. Returns whether its target was reached, and the updates of the answer; `None`
 /// if there was no answer.
 async fn probe(
     peers: &Peers,
@@ -157,9 +157,9 @@
 
     async fn handle(&mut self, probed: ProbeEnded, context: &mut Context<Self>) {
         match probed.answer {
-            Some((_, rumours)) => {
+            Some((_, updates)) => {
                 self.members.record_ack(&probed.target);
-                self.members.apply_updates(now_ms(), &rumours);
+                self.members.apply_updates(now_ms(), &updates);
             }
             None => {
                 for effect in self.members.record_missed_probe(now_ms(), &probed.target) {
@@ -189,7 +189,7 @@
     }
 }
 
-/// Rumours of a host that probes this one; answered with the local rumours.
+/// Updates of a host that probes this one; answered with the local updates.
 pub(crate) struct Gossip(pub(crate) Vec<MemberUpdate>);
 
 impl Handler<Gossip> for Membership {
--- a/clayplankd/src/process/peer_service.rs
+++ b/clayplankd/src/process/peer_service.rs
@@ -255,11 +255,11 @@
 
     async fn probe(&self, request: Request<ProbeRequest>) -> RpcResult<ProbeReply> {
         let request = request.into_inner();
-        let rumours: Vec<MemberUpdate> = decode(&request.gossip).map_err(invalid_message)?;
+        let updates: Vec<MemberUpdate> = decode(&request.gossip).map_err(invalid_message)?;
         let membership = self.membership.as_ref();
         let membership = membership.ok_or_else(|| Status::unimplemented("no membership here"))?;
-        let local_rumours = membership.send(Gossip(rumours)).await.map_err(actor_stopped)?;
-        let gossip = encode(&local_rumours).map_err(invalid_message)?;
+        let local_updates = membership.send(Gossip(updates)).await.map_err(actor_stopped)?;
+        let gossip = encode(&local_updates).map_err(invalid_message)?;
         let reached = request.via_target.is_empty() || self.probe_for_another(&request).await;
         Ok(Response::new(ProbeReply { reached, gossip }))
     }
@@ -380,7 +380,7 @@
         host: HostId::new(request.from_host),
         incarnation: Incarnation(request.from_incarnation),
     };
-    Ok(Reserve { pool: PoolId::new(request.pool), holder, ask })
+    Ok(Reserve { pool: PoolId::new(request.pool), holder, request: ask })
 }
 
 fn reserve_to_wire(answer: ReserveResponse) -> ReserveReply {
--- a/clayplankd/src/process/seeded_entry.rs
+++ b/clayplankd/src/process/seeded_entry.rs
@@ -82,13 +82,13 @@
         let directory = Arc::new(Directory::default());
         let (link, reports) = PlacementClient::new(self.peers.clone(), self.keepers.clone());
         let link = Arc::new(link);
-        let (sighting_link, sightings) = TerminationReporter::new(self.keepers.clone());
-        tokio::spawn(run_termination_reports(self.keepers.clone(), sightings));
+        let (termination_reporter, observations) = TerminationReporter::new(self.keepers.clone());
+        tokio::spawn(run_termination_reports(self.keepers.clone(), observations));
         let entry = EntryBuilder::default()
             .names(self.contract.header_names())
             .budget(RetryBudget::new(budget_limits(bounds)))
             .command_format(Arc::clone(&self.contract) as Arc<dyn CommandFormat>)
-            .quarantine_authority(Arc::new(sighting_link))
+            .quarantine_authority(Arc::new(termination_reporter))
             .data_centre(self.settings.data_centre.clone())
             .build(Arc::clone(&gate), Arc::clone(&directory), link.clone());
         let entry = Arc::new(entry);
