--- a/clayplank-members/src/follow_timeouts.rs
+++ b/clayplank-members/src/follow_timeouts.rs
@@ -36,10 +36,10 @@
 impl FollowTimeouts {
     /// Computes the time-outs for changes that must be in force within `apply_ms`.
     pub fn for_bound(apply_ms: u64) -> Self {
-        let hold_ms = (apply_ms as f64 * LONG_POLL_SHARE).min(MAX_LONG_POLL_MS);
-        let scale = hold_ms / LONG_POLL_SHARE;
+        let long_poll_ms = (apply_ms as f64 * LONG_POLL_SHARE).min(MAX_LONG_POLL_MS);
+        let scale = long_poll_ms / LONG_POLL_SHARE;
         Self {
-            long_poll_ms: hold_ms as u64,
+            long_poll_ms: long_poll_ms as u64,
             hedge_delay_ms: (scale * HEDGE_DELAY_SHARE) as u64,
             hedge_interval_ms: (scale * HEDGE_INTERVAL_SHARE) as u64,
         }
--- a/clayplank-upstream/src/answer.rs
+++ b/clayplank-upstream/src/answer.rs
@@ -92,7 +92,7 @@
 
 /// The streamed answer of one attempt, as a sequence of chunks.
 pub struct AnswerStream {
-    edge: Arc<dyn EngineClient>,
+    client: Arc<dyn EngineClient>,
     engine: SocketAddr,
     attempt_id: AttemptId,
     options: AnswerOptions,
@@ -114,7 +114,7 @@
 impl AnswerStream {
     /// Creates a stream that reads from the response to a dispatched attempt.
     pub fn new(
-        edge: Arc<dyn EngineClient>,
+        client: Arc<dyn EngineClient>,
         engine: SocketAddr,
         attempt_id: AttemptId,
         response: Response<Incoming>,
@@ -122,7 +122,7 @@
     ) -> Self {
         let (events, assembler) = (read_events(response), Assembler::default());
         Self {
-            edge,
+            client,
             engine,
             attempt_id,
             options,
@@ -189,7 +189,7 @@
         }
         self.resumes += 1;
         let resumed = self
-            .edge
+            .client
             .resume(self.engine, self.attempt_id, offset, self.options.event_timeout)
             .await;
         let response = resumed.map_err(|source| RelayError::Broken { offset, source })?;
--- a/clayplankd/src/doors/control_endpoint.rs
+++ b/clayplankd/src/doors/control_endpoint.rs
@@ -68,7 +68,7 @@
     pub(crate) contract: SharedContract,
     pub(crate) keepers: KeeperClient,
     pub(crate) registry: RegistryAccess,
-    pub(crate) spread: HeartbeatRelay,
+    pub(crate) heartbeat_relay: HeartbeatRelay,
     /// Data centres of the deployment; empty if the settings do not name them.
     pub(crate) data_centres: Arc<[DataCentre]>,
 }
@@ -178,7 +178,7 @@
         if !accepts_requests {
             return self.notify_leader(&heartbeat).await;
         }
-        self.spread.queue_heartbeat(heartbeat);
+        self.heartbeat_relay.queue_heartbeat(heartbeat);
         match self.leader().await {
             Some(_) => empty(StatusCode::OK),
             // This host may be partitioned from the keepers: the upstream should try another host.
@@ -210,7 +210,7 @@
     /// once the leader has received it.
     async fn notify_leader(&self, heartbeat: &Heartbeat) -> Answer {
         let leader = self.leader().await;
-        if self.spread.relay_now(heartbeat, leader.as_ref()).await {
+        if self.heartbeat_relay.relay_now(heartbeat, leader.as_ref()).await {
             empty(StatusCode::OK)
         } else {
             fault(StatusCode::SERVICE_UNAVAILABLE, "the leading keeper does not know yet")
--- a/clayplankd/src/doors/quarantine.rs
+++ b/clayplankd/src/doors/quarantine.rs
@@ -30,8 +30,8 @@
     ) -> Result<(), Refusal> {
         let fingerprint = identity.fingerprint;
         let quarantined_for_ms = match is_first_attempt {
-            true => self.suspicion.admit(fingerprint).await.err(),
-            false => self.suspicion.time_to_trial(fingerprint).map(|span| span.as_millis() as u64),
+            true => self.quarantine.admit(fingerprint).await.err(),
+            false => self.quarantine.time_to_trial(fingerprint).map(|span| span.as_millis() as u64),
         };
         let Some(retry_after_ms) = quarantined_for_ms else {
             return Ok(());
@@ -59,7 +59,7 @@
         let upstream_incarnation = UpstreamId::new(format!("{upstream}@{attempt}"));
         tokio::spawn(async move {
             if has_stopped_listening(address).await {
-                host.suspicion.report_termination(
+                host.quarantine.report_termination(
                     &upstream_incarnation,
                     TerminationEvidence::Refused,
                     vec![broken_attempt],
@@ -70,6 +70,6 @@
 
     /// Records that an upstream answered a request completely.
     pub(crate) fn record_answered(&self, identity: &Identity) {
-        self.suspicion.note_answered(identity.fingerprint, &identity.caller);
+        self.quarantine.note_answered(identity.fingerprint, &identity.caller);
     }
 }
--- a/clayplankd/src/fleet/heartbeat_relay.rs
+++ b/clayplankd/src/fleet/heartbeat_relay.rs
@@ -90,9 +90,11 @@
         let hosts: Vec<_> =
             self.peer_keepers().into_iter().filter(|host| Some(host) != leader).collect();
         for host in hosts {
-            let spread = self.clone();
+            let heartbeat_relay = self.clone();
             let heartbeat = heartbeat.clone();
-            tokio::spawn(async move { spread.send(&host, &[heartbeat], CALL_TIMEOUT).await });
+            tokio::spawn(
+                async move { heartbeat_relay.send(&host, &[heartbeat], CALL_TIMEOUT).await },
+            );
         }
         match leader {
             Some(leader) if *leader == self.local_host => true,
@@ -134,10 +136,11 @@
 }
 
 /// Relays what a keeper collected to all other keepers, at a fixed interval.
-pub(crate) async fn run_heartbeat_relay(spread: HeartbeatRelay) {
+pub(crate) async fn run_heartbeat_relay(heartbeat_relay: HeartbeatRelay) {
     loop {
         clayplank_clock::sleep(BATCH_INTERVAL).await;
-        let (heartbeats, limits) = (spread.take_pending(), spread.take_pending_limits());
+        let (heartbeats, limits) =
+            (heartbeat_relay.take_pending(), heartbeat_relay.take_pending_limits());
         if heartbeats.is_empty() && limits.is_empty() {
             continue;
         }
@@ -146,21 +149,21 @@
             continue;
         };
         let request = SpreadRequest { heartbeats, limits, passes_on: false };
-        for host in spread.peer_keepers() {
-            let (spread, request) = (spread.clone(), request.clone());
-            tokio::spawn(async move { spread.call(&host, request, CALL_TIMEOUT).await });
+        for host in heartbeat_relay.peer_keepers() {
+            let (heartbeat_relay, request) = (heartbeat_relay.clone(), request.clone());
+            tokio::spawn(async move { heartbeat_relay.call(&host, request, CALL_TIMEOUT).await });
         }
     }
 }
 
 /// Sends what a host without a disk collected to one keeper, which relays it to the others.
-pub(crate) async fn run_diskless_heartbeat_relay(spread: HeartbeatRelay) {
+pub(crate) async fn run_diskless_heartbeat_relay(heartbeat_relay: HeartbeatRelay) {
     loop {
         clayplank_clock::sleep(DISKLESS_BATCH_INTERVAL).await;
-        let collected = spread.take_pending();
+        let collected = heartbeat_relay.take_pending();
         if !collected.is_empty() {
-            let spread = spread.clone();
-            tokio::spawn(async move { spread.send_to_one_keeper(&collected).await });
+            let heartbeat_relay = heartbeat_relay.clone();
+            tokio::spawn(async move { heartbeat_relay.send_to_one_keeper(&collected).await });
         }
     }
 }
--- a/clayplankd/src/fleet/limit_reports.rs
+++ b/clayplankd/src/fleet/limit_reports.rs
@@ -30,7 +30,7 @@
 /// Reports limits, and repeats them until a keeper accepts them: a single answer of the upstream
 /// may be the only one that shows that a limit was lifted.
 pub(crate) async fn run_limit_reports(
-    link: Arc<PlacementClient>,
+    placement_client: Arc<PlacementClient>,
     mut observed: mpsc::UnboundedReceiver<LimitObservation>,
 ) {
     let mut pending = PendingLimits::new();
@@ -45,7 +45,7 @@
         while let Ok(next) = observed.try_recv() {
             pending.insert(next.upstream.clone(), next);
         }
-        if report(&link, &pending).await {
+        if report(&placement_client, &pending).await {
             pending.clear();
         } else {
             clayplank_clock::sleep(RETRY_DELAY).await;
@@ -54,17 +54,17 @@
 }
 
 /// Sends the limits to the keeper that places prompts. Returns whether it accepted them.
-async fn report(link: &PlacementClient, pending: &PendingLimits) -> bool {
+async fn report(placement_client: &PlacementClient, pending: &PendingLimits) -> bool {
     let now_ms = now_ms();
     let limits: Vec<AgedLimit> = pending.values().map(|one| one.to_aged(now_ms)).collect();
     let no_events: Vec<(PlacementId, Event)> = Vec::new();
     let (Some(keeper), Ok(events), Ok(limits)) =
-        (link.placing_keeper(), encode(&no_events), encode(&limits))
+        (placement_client.placing_keeper(), encode(&no_events), encode(&limits))
     else {
         return false;
     };
     let request = ReportRequest { events, limits, ..ReportRequest::default() };
-    let sent = link
+    let sent = placement_client
         .peers()
         .call(&keeper, REPORT_TIMEOUT, |mut client| async move { client.report(request).await })
         .await;
--- a/clayplankd/src/fleet/placement_client.rs
+++ b/clayplankd/src/fleet/placement_client.rs
@@ -68,7 +68,7 @@
     pub(crate) fn new(peers: Peers, keepers: KeeperClient) -> (Self, Reports) {
         let (events, event_receiver) = mpsc::unbounded_channel();
         let (limits, limit_receiver) = mpsc::unbounded_channel();
-        let link = Self {
+        let placement_client = Self {
             incarnation: rand::random(),
             next_number: AtomicU64::new(0),
             peers,
@@ -81,21 +81,24 @@
             deputy_unresponsive_until_ms: AtomicU64::new(0),
             unreachable: Mutex::default(),
         };
-        (link, Reports { events: event_receiver, limits: limit_receiver })
+        (placement_client, Reports { events: event_receiver, limits: limit_receiver })
     }
 
     /// Sends a placement request to the leader, then to its deputy if the leader does not answer.
     /// `None` if neither answers.
-    async fn place_at_leader_or_deputy(&self, ask: &PlacementRequest) -> Option<PlacementOutcome> {
+    async fn place_at_leader_or_deputy(
+        &self,
+        placement_request: &PlacementRequest,
+    ) -> Option<PlacementOutcome> {
         if let Some(leader) = self.keepers.leader()
             && let Some(placed) =
-                self.place_at(&leader, &self.leader_unresponsive_until_ms, ask).await
+                self.place_at(&leader, &self.leader_unresponsive_until_ms, placement_request).await
         {
             return Some(placed);
         }
         self.keepers.suspect_leader();
         let deputy = self.keepers.deputy()?;
-        self.place_at(&deputy, &self.deputy_unresponsive_until_ms, ask).await
+        self.place_at(&deputy, &self.deputy_unresponsive_until_ms, placement_request).await
     }
 
     /// Sends a placement request to one keeper. `None` if it does not answer, and until the end of
@@ -104,12 +107,12 @@
         &self,
         keeper: &HostId,
         unresponsive_until_ms: &AtomicU64,
-        ask: &PlacementRequest,
+        placement_request: &PlacementRequest,
     ) -> Option<PlacementOutcome> {
         if now_ms() < unresponsive_until_ms.load(Ordering::SeqCst) {
             return None;
         }
-        let request = PlaceRequest { ask: encode(ask).ok()? };
+        let request = PlaceRequest { ask: encode(placement_request).ok()? };
         let placed = self
             .peers
             .call(keeper, PLACE_TIMEOUT, |mut client| async move { client.place(request).await })
@@ -160,16 +163,18 @@
         if is_unresponsive { self.keepers.deputy() } else { self.keepers.leader() }
     }
 
-    fn place_locally(&self, ask: &PlacementRequest) -> PlacementOutcome {
-        log::info!(target: log_target::MEMBERS, prompt_tokens = ask.prompt_tokens; "Chooses engines by itself");
-        lock_ignoring_poison(&self.local_fleet).place(monotonic_now_ms(), ask)
+    fn place_locally(&self, placement_request: &PlacementRequest) -> PlacementOutcome {
+        log::info!(target: log_target::MEMBERS, prompt_tokens = placement_request.prompt_tokens; "Chooses engines by itself");
+        lock_ignoring_poison(&self.local_fleet).place(monotonic_now_ms(), placement_request)
     }
 
     /// Returns the request with the engines that this host failed to connect to recently excluded.
-    fn without_unreachable(&self, ask: &PlacementRequest) -> PlacementRequest {
-        let mut ask = ask.clone();
-        ask.avoid.extend(lock_ignoring_poison(&self.unreachable).ids(now_ms()).cloned());
-        ask
+    fn without_unreachable(&self, placement_request: &PlacementRequest) -> PlacementRequest {
+        let mut placement_request = placement_request.clone();
+        placement_request
+            .avoid
+            .extend(lock_ignoring_poison(&self.unreachable).ids(now_ms()).cloned());
+        placement_request
     }
 
     /// Avoids the engine of a placement for a while, after a failed connection.
@@ -182,16 +187,16 @@
     }
 
     /// Records a placement until it ends, so that a new leader can be told of it.
-    fn record_placement(&self, ask: &PlacementRequest, placed: &PlacementOutcome) {
+    fn record_placement(&self, placement_request: &PlacementRequest, placed: &PlacementOutcome) {
         let PlacementOutcome::At(assignment) = placed else {
             return;
         };
         let renewed = RunningPlacement {
-            ask: ask.clone(),
+            ask: placement_request.clone(),
             assignment: assignment.clone(),
             is_started: false,
         };
-        lock_ignoring_poison(&self.active).insert(ask.id, renewed);
+        lock_ignoring_poison(&self.active).insert(placement_request.id, renewed);
     }
 
     /// Incarnation of this host in the ids of its placements.
@@ -241,14 +246,17 @@
 }
 
 impl Placer for PlacementClient {
-    fn place<'a>(&'a self, ask: &'a PlacementRequest) -> BoxFuture<'a, PlacementOutcome> {
+    fn place<'a>(
+        &'a self,
+        placement_request: &'a PlacementRequest,
+    ) -> BoxFuture<'a, PlacementOutcome> {
         Box::pin(async move {
-            let ask = self.without_unreachable(ask);
-            let placed = match self.place_at_leader_or_deputy(&ask).await {
+            let placement_request = self.without_unreachable(placement_request);
+            let placed = match self.place_at_leader_or_deputy(&placement_request).await {
                 Some(placed) => placed,
-                None => self.place_locally(&ask),
+                None => self.place_locally(&placement_request),
             };
-            self.record_placement(&ask, &placed);
+            self.record_placement(&placement_request, &placed);
             let running = self.running_placements();
             lock_ignoring_poison(&self.local_fleet).sync_host(
                 monotonic_now_ms(),
@@ -320,17 +328,17 @@
 }
 
 /// Ends the backoff of both keepers as soon as another leader is found.
-pub(crate) async fn run_backoff_reset(link: Arc<PlacementClient>) {
-    let mut leader_changes = link.keepers.subscribe_leader();
+pub(crate) async fn run_backoff_reset(placement_client: Arc<PlacementClient>) {
+    let mut leader_changes = placement_client.keepers.subscribe_leader();
     while leader_changes.changed().await.is_ok() {
-        link.leader_unresponsive_until_ms.store(0, Ordering::SeqCst);
-        link.deputy_unresponsive_until_ms.store(0, Ordering::SeqCst);
+        placement_client.leader_unresponsive_until_ms.store(0, Ordering::SeqCst);
+        placement_client.deputy_unresponsive_until_ms.store(0, Ordering::SeqCst);
     }
 }
 
 /// Reports events of placements to the keeper that places prompts.
 pub(crate) async fn run_event_reports(
-    link: Arc<PlacementClient>,
+    placement_client: Arc<PlacementClient>,
     mut events: mpsc::UnboundedReceiver<(PlacementId, Event)>,
 ) {
     while let Some(first) = events.recv().await {
@@ -339,11 +347,11 @@
         while let Ok(event) = events.try_recv() {
             batch.push(event);
         }
-        let (Some(keeper), Ok(events)) = (link.placing_keeper(), encode(&batch)) else {
+        let (Some(keeper), Ok(events)) = (placement_client.placing_keeper(), encode(&batch)) else {
             continue;
         };
         let request = ReportRequest { events, ..ReportRequest::default() };
-        let sent = link
+        let sent = placement_client
             .peers
             .call(&keeper, REPORT_TIMEOUT, |mut client| async move { client.report(request).await })
             .await;
--- a/clayplankd/src/fleet/placement_replication.rs
+++ b/clayplankd/src/fleet/placement_replication.rs
@@ -67,9 +67,13 @@
 
 impl PlacementMirror {
     /// Records a placement that this keeper made.
-    pub(crate) fn record_placement(&mut self, ask: &PlacementRequest, assignment: &Assignment) {
+    pub(crate) fn record_placement(
+        &mut self,
+        placement_request: &PlacementRequest,
+        assignment: &Assignment,
+    ) {
         let renewed = RunningPlacement {
-            ask: ask.clone(),
+            ask: placement_request.clone(),
             assignment: assignment.clone(),
             is_started: false,
         };
--- a/clayplankd/src/follow/current_settings.rs
+++ b/clayplankd/src/follow/current_settings.rs
@@ -59,7 +59,7 @@
             }
         };
         if let Some(held_back) = delta.held_back.take() {
-            host.suspicion.set_quarantined(held_back);
+            host.quarantine.set_quarantined(held_back);
         }
         if !delta.items.is_empty() || delta.revision > applied.revision() {
             let mut next = SettingsView::clone(&applied);
--- a/clayplankd/src/follow/follow_task.rs
+++ b/clayplankd/src/follow/follow_task.rs
@@ -37,7 +37,7 @@
     pub(crate) host: HostId,
     pub(crate) contract: SharedContract,
     pub(crate) keepers: KeeperClient,
-    pub(crate) link: Arc<PlacementClient>,
+    pub(crate) placement_client: Arc<PlacementClient>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) directory: Arc<Directory>,
     pub(crate) entry: Arc<Entry>,
@@ -66,42 +66,42 @@
 }
 
 /// Follows the keepers until the task is dropped.
-pub(crate) async fn run_following(following: FollowTask) {
+pub(crate) async fn run_follow_task(task: FollowTask) {
     let mut position = Position::default();
-    let mut choice = KeeperRanking::new(following.host.clone());
-    let mut log = FollowLog::new(Arc::clone(&following.metrics));
-    let mut leader_changes = following.keepers.subscribe_leader();
+    let mut ranking = KeeperRanking::new(task.host.clone());
+    let mut log = FollowLog::new(Arc::clone(&task.metrics));
+    let mut leader_changes = task.keepers.subscribe_leader();
     let mut probes = JoinSet::new();
     let mut failed_exchanges = 0;
     loop {
-        record_probes(&mut probes, &mut choice);
-        let keepers = following.keepers.keepers();
-        following.metrics.set_keepers(keepers.len());
-        following.start_probes(&mut probes, choice.take_retries(now_ms(), &keepers));
-        let outcome = following.exchange(&choice.ranked(&keepers), &position).await;
+        record_probes(&mut probes, &mut ranking);
+        let keepers = task.keepers.keepers();
+        task.metrics.set_keepers(keepers.len());
+        task.start_probes(&mut probes, ranking.take_retries(now_ms(), &keepers));
+        let outcome = task.exchange(&ranking.ranked(&keepers), &position).await;
         for failure in &outcome.failures {
-            following.record_failure(failure, outcome.answer.is_some(), &mut choice, &mut log);
+            task.record_failure(failure, outcome.answer.is_some(), &mut ranking, &mut log);
         }
         if let Some(answer) = outcome.answer {
             failed_exchanges = 0;
-            choice.record_success(&answer.keeper);
+            ranking.record_success(&answer.keeper);
             position.keeper = Some(answer.keeper);
-            following.apply_answer(&mut position, &mut log, &answer.followed, answer.requested_ms);
+            task.apply_answer(&mut position, &mut log, &answer.followed, answer.requested_ms);
             continue;
         }
-        following.keepers.suspect_leader();
+        task.keepers.suspect_leader();
         let pause_ms = RETRY_PAUSE_MS << failed_exchanges.min(MAX_PAUSE_DOUBLINGS);
         failed_exchanges += 1;
-        wait_for_leader(pause_ms, &mut leader_changes, &mut choice).await;
+        wait_for_leader(pause_ms, &mut leader_changes, &mut ranking).await;
     }
 }
 
 /// Records which of the probed keepers hear a leader.
-fn record_probes(probes: &mut JoinSet<(HostId, bool)>, choice: &mut KeeperRanking) {
+fn record_probes(probes: &mut JoinSet<(HostId, bool)>, ranking: &mut KeeperRanking) {
     while let Some(probed) = probes.try_join_next() {
         match probed {
-            Ok((keeper, true)) => choice.record_success(&keeper),
-            Ok((keeper, false)) => choice.record_failure(now_ms(), keeper),
+            Ok((keeper, true)) => ranking.record_success(&keeper),
+            Ok((keeper, false)) => ranking.record_failure(now_ms(), keeper),
             // The keeper stays suspect, and is probed again.
             Err(error) => {
                 log::error!(target: log_target::SETTINGS, "A keeper probe task failed: {error}")
@@ -115,7 +115,7 @@
 async fn wait_for_leader(
     pause_ms: u64,
     leader_changes: &mut watch::Receiver<Option<HostId>>,
-    choice: &mut KeeperRanking,
+    ranking: &mut KeeperRanking,
 ) {
     let pause = clayplank_clock::sleep(millis(rand::random_range(0..pause_ms)));
     tokio::select! {
@@ -123,7 +123,7 @@
         // The channel stays open as long as the host runs.
         _ = leader_changes.changed() => {
             if let Some(leader) = &*leader_changes.borrow_and_update() {
-                choice.record_success(leader);
+                ranking.record_success(leader);
             }
         }
     }
@@ -153,7 +153,7 @@
         &self,
         failure: &Failure,
         has_answer: bool,
-        choice: &mut KeeperRanking,
+        ranking: &mut KeeperRanking,
         log: &mut FollowLog,
     ) {
         let Failure { keeper, requested_ms, outcome, cause } = failure;
@@ -162,7 +162,7 @@
             self.suspect_if_leader(keeper);
         }
         if has_answer || *outcome == ExchangeOutcome::Failed {
-            choice.record_failure(now_ms(), keeper.clone());
+            ranking.record_failure(now_ms(), keeper.clone());
         }
     }
 
@@ -188,11 +188,11 @@
         let known = self.directory.heartbeats_in(buckets);
         Some(FollowRequest {
             from_host: self.host.to_string(),
-            life: self.link.incarnation(),
+            life: self.placement_client.incarnation(),
             applied_revision: position.revision,
             plan_version: position.plan.version,
             cursor: encode(&position.cursor).ok()?,
-            renewed: encode(&self.link.running_placements()).ok()?,
+            renewed: encode(&self.placement_client.running_placements()).ok()?,
             known: encode(&known).ok()?,
             digest,
             keeper: None,
@@ -251,7 +251,7 @@
             self.gate.confirm(requested_ms);
         }
         self.entry.set_hosts(followed.entry_hosts);
-        self.link.set_host_count(followed.entry_hosts);
+        self.placement_client.set_host_count(followed.entry_hosts);
         self.directory.set_hosts(followed.entry_hosts);
         self.keepers.set_keepers(followed.keepers.iter().map(HostId::new));
         let deputy = Some(&followed.deputy).filter(|host| !host.is_empty());
@@ -285,9 +285,11 @@
         for limit in changes.limits {
             let observed = limit.into_observation(now_ms);
             match self.directory.apply_reported_limit(&observed) {
-                LimitUpdateResult::Changed => self.link.set_declared_limit(&observed),
+                LimitUpdateResult::Changed => self.placement_client.set_declared_limit(&observed),
                 LimitUpdateResult::Unchanged => {}
-                LimitUpdateResult::Outdated(local_limit) => self.link.report_limit(local_limit),
+                LimitUpdateResult::Outdated(local_limit) => {
+                    self.placement_client.report_limit(local_limit)
+                }
             }
         }
         position.limits_cursor = changes.cursor;
@@ -316,22 +318,25 @@
         let names: Vec<_> = cordoned.iter().map(DataCentre::as_str).collect();
         log::info!(target: log_target::SETTINGS, cordoned = names.join(","); "Cordons are in force");
         let plan = self.gate.plan().unwrap_or_default();
-        self.link.set_cordoned(&plan, &cordoned);
+        self.placement_client.set_cordoned(&plan, &cordoned);
         self.directory.set_cordoned(cordoned);
     }
 
     /// Replaces all engines of the plan, with their limits.
     fn set_engines(&self) {
         if let Some(plan) = self.gate.plan() {
-            self.link.set_engines(&plan, &self.directory.records());
-            self.directory.limits().iter().for_each(|limit| self.link.set_declared_limit(limit));
+            self.placement_client.set_engines(&plan, &self.directory.records());
+            self.directory
+                .limits()
+                .iter()
+                .for_each(|limit| self.placement_client.set_declared_limit(limit));
         }
     }
 
     /// Updates the engines whose records changed.
     fn update_engines(&self, changed: &[Record]) {
         if let Some(plan) = self.gate.plan() {
-            self.link.update_engines(&plan, changed);
+            self.placement_client.update_engines(&plan, changed);
         }
     }
 }
--- a/clayplankd/src/keepers/keeper.rs
+++ b/clayplankd/src/keepers/keeper.rs
@@ -104,7 +104,7 @@
     disk_failed: mpsc::Sender<StoreError>,
     /// Messages handled since the last write.
     batched_messages: usize,
-    sizing: KeeperOptions,
+    keeper_options: KeeperOptions,
     applied: watch::Sender<AppliedState>,
     /// Time at which this keeper became leader, in ms; `None` while it does not lead.
     led_since_ms: Option<u64>,
@@ -146,7 +146,7 @@
         store: Store,
         state: Option<StoredState>,
         options: Options,
-        sizing: KeeperOptions,
+        keeper_options: KeeperOptions,
         outbox: mpsc::UnboundedSender<Envelope>,
         disk_failed: mpsc::Sender<StoreError>,
     ) -> Self {
@@ -167,7 +167,7 @@
             outbox,
             disk_failed,
             batched_messages: 0,
-            sizing,
+            keeper_options,
             applied: watch::Sender::new(AppliedState::default()),
             led_since_ms: None,
             log: KeeperLog::default(),
@@ -360,7 +360,8 @@
         let Some(replica) = &self.replica else {
             return;
         };
-        let required = self.sizing.required_copies.min(replica.configuration().voters.len());
+        let required =
+            self.keeper_options.required_copies.min(replica.configuration().voters.len());
         while let Some(oldest) = self.under_replicated.front()
             && replica.synced_voters(oldest.index) >= required
             && let Some(UnderReplicated { reply, to, .. }) = self.under_replicated.pop_front()
@@ -394,7 +395,8 @@
         };
         let is_in_grace_period =
             self.led_since_ms.is_none_or(|since_ms| now_ms() < since_ms + VOTERS_GRACE_MS);
-        is_in_grace_period && replica.configuration().voters.len() < self.sizing.required_voters
+        is_in_grace_period
+            && replica.configuration().voters.len() < self.keeper_options.required_voters
     }
 
     /// Host of the leader, as far as this replica knows.
@@ -456,7 +458,7 @@
         let Some(replica) = &mut self.replica else {
             return;
         };
-        if log_bytes < self.sizing.compact_bytes && replica.log_len() < COMPACT_ENTRIES {
+        if log_bytes < self.keeper_options.compact_bytes && replica.log_len() < COMPACT_ENTRIES {
             return;
         }
         let Ok(data) = self.machine.to_snapshot() else {
--- a/clayplankd/src/keepers/keeper_client.rs
+++ b/clayplankd/src/keepers/keeper_client.rs
@@ -104,10 +104,10 @@
     /// Creates a client from bootstrap addresses: hosts that are keepers or may know some.
     pub(crate) fn from_bootstrap_hosts(
         local_host: HostId,
-        seeds: impl IntoIterator<Item = HostId>,
+        bootstrap_hosts: impl IntoIterator<Item = HostId>,
         peers: Peers,
     ) -> Self {
-        let keepers = KnownKeepers::from_bootstrap_hosts(local_host.clone(), seeds);
+        let keepers = KnownKeepers::from_bootstrap_hosts(local_host.clone(), bootstrap_hosts);
         Self::from_known(Some(local_host), keepers, peers)
     }
 
@@ -123,8 +123,8 @@
     }
 
     /// Replaces the bootstrap addresses by those that the settings now name.
-    pub(crate) fn set_bootstrap_hosts(&self, seeds: impl IntoIterator<Item = HostId>) {
-        lock_ignoring_poison(&self.state).hosts.set_bootstrap_hosts(seeds);
+    pub(crate) fn set_bootstrap_hosts(&self, bootstrap_hosts: impl IntoIterator<Item = HostId>) {
+        lock_ignoring_poison(&self.state).hosts.set_bootstrap_hosts(bootstrap_hosts);
         self.hosts_learned.notify_one();
     }
 
--- a/clayplankd/src/keepers/keeper_tasks.rs
+++ b/clayplankd/src/keepers/keeper_tasks.rs
@@ -138,7 +138,7 @@
 
 /// Introduces this keeper to the other hosts while it is not a voter or hears no leader. Otherwise
 /// introduces it only to the bootstrap addresses that are not keepers.
-pub(crate) async fn run_join(keeper: Address<Keeper>, joining: JoinSources, peers: Peers) {
+pub(crate) async fn run_join(keeper: Address<Keeper>, join_sources: JoinSources, peers: Peers) {
     let mut wait_log = WaitLog::default();
     let mut last_announced = Instant::now();
     loop {
@@ -149,17 +149,17 @@
             true if last_announced.elapsed() < ANNOUNCE_INTERVAL => Vec::new(),
             true => {
                 last_announced = Instant::now();
-                joining.non_keepers(&status)
+                join_sources.non_keepers(&status)
             }
-            false => joining.other_hosts(&status.id),
+            false => join_sources.other_hosts(&status.id),
         };
         let introductions = introduce(&status.id, &other_hosts, &peers).await;
         if !status.has_log {
-            start_log_if_planned(&keeper, &status.to_blank_keeper(), &joining, &introductions)
+            start_log_if_planned(&keeper, &status.to_blank_keeper(), &join_sources, &introductions)
                 .await;
         }
         wait_log.record(&status, &introductions.answers);
-        joining.add_introduced(&status, introductions);
+        join_sources.add_introduced(&status, introductions);
         clayplank_clock::sleep(INTRODUCE_INTERVAL).await;
     }
 }
@@ -214,10 +214,10 @@
 async fn start_log_if_planned(
     keeper: &Address<Keeper>,
     local: &BlankKeeper,
-    joining: &JoinSources,
+    join_sources: &JoinSources,
     introductions: &Introductions,
 ) {
-    let bootstrap_hosts = joining.bootstrap_hosts.iter().map(ToString::to_string);
+    let bootstrap_hosts = join_sources.bootstrap_hosts.iter().map(ToString::to_string);
     let bootstrap_names: Vec<_> =
         bootstrap_hosts.filter(|host| !introductions.non_keepers.contains(host)).collect();
     let start = match plan_join(local, &bootstrap_names, &introductions.answers) {
--- a/clayplankd/src/owners/commands.rs
+++ b/clayplankd/src/owners/commands.rs
@@ -37,7 +37,7 @@
     targets: Vec<CommandTarget>,
     host: HostId,
     keepers: KeeperClient,
-    edge: Arc<dyn EngineClient>,
+    engine_client: Arc<dyn EngineClient>,
 }
 
 impl AdapterLoadPlan {
@@ -45,7 +45,7 @@
         settings: &HostSettings,
         grant: &Grant,
         keepers: &KeeperClient,
-        edge: &Arc<dyn EngineClient>,
+        engine_client: &Arc<dyn EngineClient>,
     ) -> Self {
         let is_granted =
             |engine: &UpstreamId| grant.parts.iter().any(|part| part.engine == *engine);
@@ -61,7 +61,7 @@
             targets: targets.collect(),
             host: settings.host.clone(),
             keepers: keepers.clone(),
-            edge: Arc::clone(edge),
+            engine_client: Arc::clone(engine_client),
         }
     }
 
@@ -80,7 +80,7 @@
     for target in &plan.targets {
         let token = acquire_token(plan, target).await?;
         let command = EngineCommand::LoadAdapter { adapter: plan.adapter.clone() };
-        if let Err(error) = plan.edge.send_command(target.address, token, &command).await {
+        if let Err(error) = plan.engine_client.send_command(target.address, token, &command).await {
             log::warn!(target: log_target::OWNER, "Engine {} failed to load adapter {}: {error}.", target.engine, plan.adapter);
             return Err(Refusal::new(RefusalReason::UpstreamRefused, COMMAND_RETRY_MS));
         }
--- a/clayplankd/src/owners/owner.rs
+++ b/clayplankd/src/owners/owner.rs
@@ -153,7 +153,7 @@
             scheduler.mark_unresponsive(&engine.id);
             let poll = EnginePoll {
                 owner: address.clone(),
-                edge: Arc::clone(&self.engines),
+                engine_client: Arc::clone(&self.engines),
                 pool: pool.clone(),
                 engine: engine.id.clone(),
                 address: engine.address,
@@ -268,12 +268,12 @@
         let Some(address) = self.engine_address(engine) else {
             return;
         };
-        let edge = Arc::clone(&self.engines);
+        let engine_client = Arc::clone(&self.engines);
         let engine = engine.clone();
         tokio::spawn(async move {
             // If this fails, the memory is released by the load report that no longer lists the
             // attempt.
-            if let Err(error) = edge.cancel(address, attempt_id).await {
+            if let Err(error) = engine_client.cancel(address, attempt_id).await {
                 log::warn!(target: log_target::OWNER, "Failed to cancel attempt {attempt_id} at {engine}: {error}.");
             }
         });
--- a/clayplankd/src/owners/owner/engine_poll.rs
+++ b/clayplankd/src/owners/owner/engine_poll.rs
@@ -19,7 +19,7 @@
 /// Polls one engine for its load and its cache events.
 pub(super) struct EnginePoll {
     pub(super) owner: Address<Owner>,
-    pub(super) edge: Arc<dyn EngineClient>,
+    pub(super) engine_client: Arc<dyn EngineClient>,
     pub(super) pool: PoolId,
     pub(super) engine: UpstreamId,
     pub(super) address: SocketAddr,
@@ -32,7 +32,7 @@
         let mut report_count = 0_u32;
         let mut last_event = 0;
         loop {
-            let report = self.edge.load(self.address).await.ok();
+            let report = self.engine_client.load(self.address).await.ok();
             failed_reports = if report.is_some() { 0 } else { failed_reports + 1 };
             if report.is_some() || failed_reports >= MAX_MISSED_REPORTS {
                 let reported =
@@ -52,7 +52,7 @@
     /// Sends the cache events after sequence number `after` to the owner. Returns the newest
     /// sequence number.
     async fn poll_cache(&self, after: u64) -> u64 {
-        let Ok(events) = self.edge.cache_events(self.address, after).await else {
+        let Ok(events) = self.engine_client.cache_events(self.address, after).await else {
             return after;
         };
         let (Some(first), Some(last)) = (events.first(), events.last()) else {
--- a/clayplankd/src/owners/reservations.rs
+++ b/clayplankd/src/owners/reservations.rs
@@ -86,10 +86,10 @@
 /// Requests engines until a grant or a refusal arrives, or the deadline has passed.
 pub(crate) async fn reserve(
     host: &Host,
-    ask: &ReservationRequest,
+    reservation_request: &ReservationRequest,
     deadline: Instant,
 ) -> Result<OwnedGrant, Refusal> {
-    let pools = host.pools.of_model(&ask.model);
+    let pools = host.pools.of_model(&reservation_request.model);
     let loads: Vec<_> = pools.iter().map(|pool| pool_load(host, pool)).collect();
     let Some(chosen) = choose_pool(&loads, &mut rand::rng()) else {
         return Err(Refusal::new(RefusalReason::NoEngine, OWNER_UNREACHABLE_RETRY_MS));
@@ -100,7 +100,7 @@
         if remaining.is_zero() {
             return Err(Refusal::new(RefusalReason::OwnerUnreachable, OWNER_UNREACHABLE_RETRY_MS));
         }
-        match reserve_in(host, &pool, ask, remaining).await {
+        match reserve_in(host, &pool, reservation_request, remaining).await {
             Ok(ReserveOutcome::Granted(held)) => {
                 host.grants.insert(held.clone());
                 return Ok(held);
@@ -141,46 +141,54 @@
 async fn reserve_in(
     host: &Host,
     pool: &PoolId,
-    ask: &ReservationRequest,
+    reservation_request: &ReservationRequest,
     remaining: Duration,
 ) -> Result<ReserveOutcome, PeerError> {
     let Some(owner) = host.members.owner_of(pool) else {
         return Ok(ReserveOutcome::NotOwner);
     };
-    let request = to_wire(host, pool, ask, remaining);
+    let request = to_wire(host, pool, reservation_request, remaining);
     let reply = host
         .peers
         .call(&owner, remaining, |mut client| async move { client.reserve(request).await })
         .await?;
     host.pool_wait_estimates.set(pool, reply.pool_wait_ms);
-    Ok(from_wire(pool, ask, reply))
+    Ok(from_wire(pool, reservation_request, reply))
 }
 
 fn to_wire(
     host: &Host,
     pool: &PoolId,
-    ask: &ReservationRequest,
+    reservation_request: &ReservationRequest,
     remaining: Duration,
 ) -> ReserveRequest {
     ReserveRequest {
         pool: pool.to_string(),
         from_host: host.settings.host.to_string(),
         from_incarnation: host.incarnation.0,
-        attempt_id: ask.attempt_id.to_string(),
-        account: ask.account.to_string(),
-        share: ask.weight,
-        priority_rank: ask.priority.rank() as u32,
-        model: ask.model.clone(),
-        adapter: ask.adapter.clone().unwrap_or_default(),
-        prompt_tokens: ask.prompt_tokens,
-        max_output_tokens: ask.max_output_tokens,
+        attempt_id: reservation_request.attempt_id.to_string(),
+        account: reservation_request.account.to_string(),
+        share: reservation_request.weight,
+        priority_rank: reservation_request.priority.rank() as u32,
+        model: reservation_request.model.clone(),
+        adapter: reservation_request.adapter.clone().unwrap_or_default(),
+        prompt_tokens: reservation_request.prompt_tokens,
+        max_output_tokens: reservation_request.max_output_tokens,
         deadline_in_ms: remaining.as_millis() as u64,
-        prefix_hashes: ask.prefix_hashes.clone(),
-        avoid_engines: ask.avoided_engines.iter().map(ToString::to_string).collect(),
+        prefix_hashes: reservation_request.prefix_hashes.clone(),
+        avoid_engines: reservation_request
+            .avoided_engines
+            .iter()
+            .map(ToString::to_string)
+            .collect(),
     }
 }
 
-fn from_wire(pool: &PoolId, ask: &ReservationRequest, reply: ReserveReply) -> ReserveOutcome {
+fn from_wire(
+    pool: &PoolId,
+    reservation_request: &ReservationRequest,
+    reply: ReserveReply,
+) -> ReserveOutcome {
     let granted = match reply.result {
         Some(reserve_reply::Result::Granted(granted)) => granted,
         Some(reserve_reply::Result::Refused(refused)) => {
@@ -194,14 +202,14 @@
     let grant = RenewedGrant {
         grant_id: GrantId(granted.grant_id),
         owner: Incarnation(granted.owner_incarnation),
-        attempt_id: ask.attempt_id,
+        attempt_id: reservation_request.attempt_id,
         parts: granted.engines.into_iter().map(part_from_wire).collect(),
     };
     let engine_priority =
         EnginePriority(u8::try_from(granted.engine_priority_rank).unwrap_or(u8::MAX));
     ReserveOutcome::Granted(OwnedGrant {
         pool: pool.clone(),
-        account: ask.account.to_string(),
+        account: reservation_request.account.to_string(),
         grant,
         engine_priority,
     })
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -137,7 +137,7 @@
             keepers: None,
             fleet: None,
             relay: None,
-            spread: None,
+            heartbeat_relay: None,
         };
         tokio::spawn(serve_inner(inner_listener, inner));
         let local_host = settings.host.clone();
@@ -209,7 +209,7 @@
         metrics: Default::default(),
         progress: InProgress::default(),
         service_loads: Default::default(),
-        suspicion: Arc::new(RequestQuarantine::new(Arc::new(termination_reporter))),
+        quarantine: Arc::new(RequestQuarantine::new(Arc::new(termination_reporter))),
     })
 }
 
@@ -259,8 +259,8 @@
     let peer_keepers: Vec<_> = keepers.filter(is_peer).collect();
     tokio::spawn(run_outbox(outbox_receiver, peers.clone()));
     tokio::spawn(run_ticks(keeper.clone()));
-    let joining = JoinSources { bootstrap_hosts: peer_keepers, client: None };
-    tokio::spawn(run_join(keeper.clone(), joining, peers.clone()));
+    let join_sources = JoinSources { bootstrap_hosts: peer_keepers, client: None };
+    tokio::spawn(run_join(keeper.clone(), join_sources, peers.clone()));
     Ok(Some(keeper))
 }
 
--- a/clayplankd/src/process/host_state.rs
+++ b/clayplankd/src/process/host_state.rs
@@ -47,7 +47,7 @@
     pub(crate) progress: InProgress,
     pub(crate) service_loads: ServiceLoads,
     /// Requests suspected of ending upstreams.
-    pub(crate) suspicion: Arc<RequestQuarantine>,
+    pub(crate) quarantine: Arc<RequestQuarantine>,
 }
 
 impl Host {
--- a/clayplankd/src/process/peer_service.rs
+++ b/clayplankd/src/process/peer_service.rs
@@ -60,7 +60,7 @@
     /// Confirms the state of a seeded keeper to its followers.
     pub(crate) relay: Option<Arc<Relay>>,
     /// Forwards heartbeats from a seeded keeper to its peers.
-    pub(crate) spread: Option<HeartbeatRelay>,
+    pub(crate) heartbeat_relay: Option<HeartbeatRelay>,
 }
 
 type RpcResult<T> = Result<Response<T>, Status>;
@@ -267,8 +267,8 @@
     async fn follow(&self, request: Request<FollowRequest>) -> RpcResult<FollowReply> {
         let relay = self.relay.as_ref();
         let relay = relay.ok_or_else(|| Status::unimplemented("not a seeded keeper"))?;
-        let followers = FollowResponder { fleet: self.fleet()?, keeper: self.keeper()?, relay };
-        let result = followers.answer_follow(request.into_inner()).await?;
+        let responder = FollowResponder { fleet: self.fleet()?, keeper: self.keeper()?, relay };
+        let result = responder.answer_follow(request.into_inner()).await?;
         Ok(Response::new(FollowReply { result: Some(result) }))
     }
 
@@ -323,8 +323,8 @@
         let events: Vec<(PlacementId, Event)> = decode(&request.events).map_err(invalid_message)?;
         self.fleet()?.record_events(&events);
         for limit in self.fleet()?.record_limits(decode_limits(&request.limits)?) {
-            if let Some(spread) = &self.spread {
-                spread.queue_limit(limit);
+            if let Some(heartbeat_relay) = &self.heartbeat_relay {
+                heartbeat_relay.queue_limit(limit);
             }
         }
         Ok(Response::new(ReportReply {}))
@@ -335,8 +335,8 @@
         let heartbeats: Vec<Heartbeat> = decode(&request.heartbeats).map_err(invalid_message)?;
         self.fleet()?.apply(&heartbeats);
         self.fleet()?.record_limits(decode_limits(&request.limits)?);
-        if let Some(spread) = self.spread.as_ref().filter(|_| request.passes_on) {
-            heartbeats.into_iter().for_each(|heartbeat| spread.queue_heartbeat(heartbeat));
+        if let Some(heartbeat_relay) = self.heartbeat_relay.as_ref().filter(|_| request.passes_on) {
+            heartbeats.into_iter().for_each(|heartbeat| heartbeat_relay.queue_heartbeat(heartbeat));
         }
         Ok(Response::new(SpreadReply {}))
     }
--- a/clayplankd/src/process/seeded.rs
+++ b/clayplankd/src/process/seeded.rs
@@ -96,18 +96,22 @@
             Role::Keeper => None,
         };
         let entry_metrics =
-            entry.as_ref().map(|host| (Arc::clone(&host.entry), Arc::clone(&host.following)));
+            entry.as_ref().map(|host| (Arc::clone(&host.entry), Arc::clone(&host.follow_metrics)));
         let fleet = settings.is_keeper().then(|| context.new_fleet());
         if let Some(fleet) = &fleet {
             tokio::spawn(run_keeper_start(context, Arc::clone(fleet), failed_sender));
         } else if let (Some(control), Some(_)) = (settings.listen.control, &entry) {
-            let spread = context.new_spread();
-            context.start_control_endpoint(bind(control).await?, RegistryAccess::Remote, spread);
+            let heartbeat_relay = context.new_heartbeat_relay();
+            context.start_control_endpoint(
+                bind(control).await?,
+                RegistryAccess::Remote,
+                heartbeat_relay,
+            );
         }
         serve_metrics(metrics, move || {
             let entry_text = entry_metrics
                 .as_ref()
-                .map(|(entry, following)| entry.metrics_text() + &following.to_text())
+                .map(|(entry, follow_metrics)| entry.metrics_text() + &follow_metrics.to_text())
                 .unwrap_or_default();
             let keeper_text = fleet.as_deref().map(FleetKeeper::to_text).unwrap_or_default();
             entry_text + &keeper_text + &suspension_metrics()
--- a/clayplankd/src/process/seeded_entry.rs
+++ b/clayplankd/src/process/seeded_entry.rs
@@ -18,7 +18,7 @@
 use crate::fleet::placement_client::{PlacementClient, run_backoff_reset, run_event_reports};
 use crate::fleet::termination_reports::{TerminationReporter, run_termination_reports};
 use crate::follow::follow_metrics::FollowMetrics;
-use crate::follow::follow_task::{FollowTask, run_following};
+use crate::follow::follow_task::{FollowTask, run_follow_task};
 use crate::process::daemon::{StartError, bind, serve_inner};
 use crate::process::peer_service::InnerService;
 use crate::process::seeded::{StartContext, plain_text};
@@ -33,7 +33,7 @@
     pub(crate) gate: Arc<Gate>,
     pub(crate) entry: Arc<Entry>,
     /// Metrics of how this host follows the keepers.
-    pub(crate) following: Arc<FollowMetrics>,
+    pub(crate) follow_metrics: Arc<FollowMetrics>,
     apply_ms: Arc<AtomicU64>,
 }
 
@@ -59,7 +59,7 @@
             keepers: Some(self.keepers.clone()),
             fleet: None,
             relay: None,
-            spread: None,
+            heartbeat_relay: None,
         };
         tokio::spawn(serve_inner(inner, service));
         Ok(())
@@ -80,8 +80,9 @@
         let bounds = &self.settings.bounds;
         let gate = Arc::new(Gate::new(lease_ms(bounds)));
         let directory = Arc::new(Directory::default());
-        let (link, reports) = PlacementClient::new(self.peers.clone(), self.keepers.clone());
-        let link = Arc::new(link);
+        let (placement_client, reports) =
+            PlacementClient::new(self.peers.clone(), self.keepers.clone());
+        let placement_client = Arc::new(placement_client);
         let (termination_reporter, observations) = TerminationReporter::new(self.keepers.clone());
         tokio::spawn(run_termination_reports(self.keepers.clone(), observations));
         let entry = EntryBuilder::default()
@@ -90,18 +91,18 @@
             .command_format(Arc::clone(&self.contract) as Arc<dyn CommandFormat>)
             .quarantine_authority(Arc::new(termination_reporter))
             .data_centre(self.settings.data_centre.clone())
-            .build(Arc::clone(&gate), Arc::clone(&directory), link.clone());
+            .build(Arc::clone(&gate), Arc::clone(&directory), placement_client.clone());
         let entry = Arc::new(entry);
-        tokio::spawn(run_event_reports(Arc::clone(&link), reports.events));
-        tokio::spawn(run_limit_reports(Arc::clone(&link), reports.limits));
-        tokio::spawn(run_backoff_reset(Arc::clone(&link)));
+        tokio::spawn(run_event_reports(Arc::clone(&placement_client), reports.events));
+        tokio::spawn(run_limit_reports(Arc::clone(&placement_client), reports.limits));
+        tokio::spawn(run_backoff_reset(Arc::clone(&placement_client)));
         let metrics = Arc::new(FollowMetrics::default());
         let apply_ms = Arc::new(AtomicU64::new(bounds.apply_ms));
-        tokio::spawn(run_following(FollowTask {
+        tokio::spawn(run_follow_task(FollowTask {
             host: self.local_host.clone(),
             contract: Arc::clone(&self.contract),
             keepers: self.keepers.clone(),
-            link,
+            placement_client,
             gate: Arc::clone(&gate),
             directory,
             entry: Arc::clone(&entry),
@@ -110,7 +111,7 @@
         }));
         tokio::spawn(serve_callers(callers, Arc::clone(&entry), closing));
         serve_readiness(readiness, Arc::clone(&self.contract), Arc::clone(&gate));
-        Ok(EntryHost { gate, entry, following: metrics, apply_ms })
+        Ok(EntryHost { gate, entry, follow_metrics: metrics, apply_ms })
     }
 }
 
--- a/clayplankd/src/process/seeded_keeper.rs
+++ b/clayplankd/src/process/seeded_keeper.rs
@@ -86,7 +86,7 @@
     }
 
     /// Creates the forwarder of heartbeats from this host to the keepers.
-    pub(crate) fn new_spread(&self) -> HeartbeatRelay {
+    pub(crate) fn new_heartbeat_relay(&self) -> HeartbeatRelay {
         HeartbeatRelay::new(self.local_host.clone(), self.peers.clone(), self.keepers.clone())
     }
 
@@ -95,18 +95,22 @@
         self,
         control: TcpListener,
         registry: RegistryAccess,
-        spread: HeartbeatRelay,
+        heartbeat_relay: HeartbeatRelay,
     ) {
         match &registry {
-            RegistryAccess::Local { .. } => tokio::spawn(run_heartbeat_relay(spread.clone())),
-            RegistryAccess::Remote => tokio::spawn(run_diskless_heartbeat_relay(spread.clone())),
+            RegistryAccess::Local { .. } => {
+                tokio::spawn(run_heartbeat_relay(heartbeat_relay.clone()))
+            }
+            RegistryAccess::Remote => {
+                tokio::spawn(run_diskless_heartbeat_relay(heartbeat_relay.clone()))
+            }
         };
         let endpoint = ControlEndpoint {
             local_host: self.local_host,
             contract: self.contract,
             keepers: self.keepers,
             registry,
-            spread,
+            heartbeat_relay,
             data_centres: self.settings.data_centres.clone().into(),
         };
         tokio::spawn(serve_small_requests(control, move |request| {
@@ -153,20 +157,20 @@
         let listen = &self.settings.listen;
         let control = bind(listen.control.ok_or(StartError::NoListen("control"))?).await?;
         let inner = bind(listen.inner).await?;
-        let sizing = KeeperOptions::for_plans(self.settings.tolerated_losses);
+        let keeper_options = KeeperOptions::for_plans(self.settings.tolerated_losses);
         let notes = store.side_files();
         restore_upstreams(&fleet, &notes);
         tokio::spawn(run_upstream_saves(Arc::clone(&fleet), notes));
         let (outbox, outbox_receiver) = mpsc::unbounded_channel();
         let (disk_failed, disk_failed_receiver) = mpsc::channel(1);
         let options = agreement_options(self.settings.tolerated_losses);
-        let keeper = Keeper::new(store, state, options, sizing, outbox, disk_failed)
+        let keeper = Keeper::new(store, state, options, keeper_options, outbox, disk_failed)
             .with_may_bootstrap(may_begin);
         let applied = keeper.subscribe_applied();
         let keeper = xtra::spawn_tokio(keeper, Mailbox::bounded(MAILBOX_CAPACITY));
         tokio::spawn(run_outbox(outbox_receiver, self.peers.clone()));
         tokio::spawn(run_ticks(keeper.clone()));
-        tokio::spawn(run_join(keeper.clone(), self.joining(), self.peers.clone()));
+        tokio::spawn(run_join(keeper.clone(), self.join_sources(), self.peers.clone()));
         tokio::spawn(run_fleet(Arc::clone(&fleet), applied.clone()));
         let relay = Arc::new(Relay::new(
             self.local_host.clone(),
@@ -184,7 +188,7 @@
             Arc::clone(&fleet),
             self.peers.clone(),
         ));
-        let spread = self.new_spread();
+        let heartbeat_relay = self.new_heartbeat_relay();
         tokio::spawn(serve_inner(
             inner,
             InnerService {
@@ -195,14 +199,18 @@
                 keepers: Some(self.keepers.clone()),
                 fleet: Some(Arc::clone(&fleet)),
                 relay: Some(relay),
-                spread: Some(spread.clone()),
+                heartbeat_relay: Some(heartbeat_relay.clone()),
             },
         ));
-        self.start_control_endpoint(control, RegistryAccess::Local { keeper, fleet }, spread);
+        self.start_control_endpoint(
+            control,
+            RegistryAccess::Local { keeper, fleet },
+            heartbeat_relay,
+        );
         Ok(disk_failed_receiver)
     }
 
-    fn joining(&self) -> JoinSources {
+    fn join_sources(&self) -> JoinSources {
         let bootstrap_hosts =
             bootstrap_hosts(&self.settings).filter(|host| *host != self.local_host).collect();
         JoinSources { bootstrap_hosts, client: Some(self.keepers.clone()) }
