--- a/clayplankd/src/process/peer_service.rs
+++ b/clayplankd/src/process/peer_service.rs
@@ -362,7 +362,7 @@
     let attempt_id: AttemptId = request.attempt_id.parse().map_err(invalid_message)?;
     // The deadline is by the owner's clock: only the remaining time is sent.
     let deadline_ms = now_ms() + request.deadline_in_ms;
-    let mut ask = clayplank_schedule::ReservationRequest::new(
+    let mut reservation_request = clayplank_schedule::ReservationRequest::new(
         RequestId(0),
         attempt_id,
         account,
@@ -370,17 +370,18 @@
         request.prompt_tokens,
         deadline_ms,
     );
-    ask.weight = request.share;
-    ask.priority = Priority::from_rank(request.priority_rank as usize);
-    ask.adapter = Some(request.adapter).filter(|adapter| !adapter.is_empty());
-    ask.max_output_tokens = request.max_output_tokens;
-    ask.prefix_hashes = request.prefix_hashes;
-    ask.avoided_engines = request.avoid_engines.into_iter().map(UpstreamId::new).collect();
+    reservation_request.weight = request.share;
+    reservation_request.priority = Priority::from_rank(request.priority_rank as usize);
+    reservation_request.adapter = Some(request.adapter).filter(|adapter| !adapter.is_empty());
+    reservation_request.max_output_tokens = request.max_output_tokens;
+    reservation_request.prefix_hashes = request.prefix_hashes;
+    reservation_request.avoided_engines =
+        request.avoid_engines.into_iter().map(UpstreamId::new).collect();
     let holder = GrantHolder {
         host: HostId::new(request.from_host),
         incarnation: Incarnation(request.from_incarnation),
     };
-    Ok(Reserve { pool: PoolId::new(request.pool), holder, request: ask })
+    Ok(Reserve { pool: PoolId::new(request.pool), holder, request: reservation_request })
 }
 
 fn reserve_to_wire(answer: ReserveResponse) -> ReserveReply {
