--- a/clayplank-forward/src/attempt.rs
+++ b/clayplank-forward/src/attempt.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use clayplank_registry::{Noted, ObservedLimit};
+use clayplank_registry::{LimitObservation, LimitUpdateResult};
 use clayplank_types::UpstreamId;
 use http::{Request, Response};
 use http_body_util::Full;
 use hyper::body::Incoming;
 
-use crate::answer::{StatedLimit, Verdict, classify_head, parse_limit, parse_load};
+use crate::answer::{DeclaredLimit, Verdict, classify_head, parse_limit, parse_load};
 use crate::call::Call;
 use crate::choice::Chosen;
 use crate::clock::now_ms;
@@ -108,10 +108,10 @@
         if let Some((running, waiting)) = parse_load(&head.headers, names) {
             self.entry.directory.note_load(upstream, running, waiting);
         }
-        let verdict = classify_head(&head, names, &self.facts.attempt_id);
+        let verdict = classify_head(&head, names, &self.metadata.attempt_id);
         // Any other response may come from a different upstream.
         if matches!(verdict, Verdict::Valid | Verdict::NotRun) {
-            self.note_limit(upstream, parse_limit(&head.headers, names), sent_ms);
+            self.record_limit(upstream, parse_limit(&head.headers, names), sent_ms);
         }
         match verdict {
             Verdict::Valid => {
@@ -137,36 +137,36 @@
         }
     }
 
-    /// Records the rate limit that the upstream stated in the response to a request sent at
+    /// Records the rate limit that the upstream declared in the response to a request sent at
     /// `sent_ms`.
-    fn note_limit(&self, upstream: &UpstreamId, limit: StatedLimit, sent_ms: u64) {
+    fn record_limit(&self, upstream: &UpstreamId, limit: DeclaredLimit, sent_ms: u64) {
         let (requests_per_s, at_ms) = match limit {
-            StatedLimit::None => (None, sent_ms),
-            StatedLimit::PerSecond(per_s) => (Some(per_s), now_ms()),
-            StatedLimit::Unreadable => {
+            DeclaredLimit::None => (None, sent_ms),
+            DeclaredLimit::PerSecond(per_s) => (Some(per_s), now_ms()),
+            DeclaredLimit::Unreadable => {
                 log::warn!(target: "forward",
                     upstream = upstream.as_str();
                     "Ignored an invalid rate limit in a response");
                 return;
             }
         };
-        let observed = ObservedLimit { upstream: upstream.clone(), requests_per_s, at_ms };
-        let noted = self.entry.directory.note_limit(&observed);
-        if noted == Noted::Changed {
+        let observed = LimitObservation { upstream: upstream.clone(), requests_per_s, at_ms };
+        let noted = self.entry.directory.record_limit(&observed);
+        if noted == LimitUpdateResult::Changed {
             log::info!(target: "forward",
                 upstream = upstream.as_str(), limit_per_s = requests_per_s,
-                request = self.facts.attempt_id;
+                request = self.metadata.attempt_id;
                 "An upstream's limit changed");
         }
         // A limit is reported with every response that states it: other hosts may since have
         // received a report that it was lifted.
         let is_reported = match noted {
-            Noted::Changed => true,
-            Noted::Unchanged => requests_per_s.is_some(),
-            Noted::Outdated(_) => false,
+            LimitUpdateResult::Changed => true,
+            LimitUpdateResult::Unchanged => requests_per_s.is_some(),
+            LimitUpdateResult::Outdated(_) => false,
         };
         if is_reported {
-            self.entry.placer.note_limit(&observed);
+            self.entry.placer.record_limit(&observed);
         }
     }
 
@@ -178,7 +178,7 @@
         };
         self.entry.metrics.count_limited();
         log::info!(target: "forward",
-            request = self.facts.attempt_id, upstream = upstream.as_str(), limit_per_s = limit_per_s,
+            request = self.metadata.attempt_id, upstream = upstream.as_str(), limit_per_s = limit_per_s,
             sent = self.sent_count, has_begun = self.last_event_at.is_some();
             "Sends to an upstream with a limit");
     }
@@ -190,7 +190,7 @@
         match id.filter(|id| load.note_helper_failed(id)) {
             Some(helper) => {
                 log::info!(target: "forward",
-                    request = self.facts.attempt_id, upstream = helper.as_str();
+                    request = self.metadata.attempt_id, upstream = helper.as_str();
                     "A helper was at fault");
                 // The engine that responded can still run the prompt with other helpers.
                 self.tried.pop();
@@ -245,7 +245,7 @@
     fn log_attempt(&self, upstream: &UpstreamId, outcome: &'static str, cause: &str) {
         self.entry.metrics.count_attempt(outcome);
         log::info!(target: "forward",
-            request = self.facts.attempt_id, route = self.route.name, upstream = upstream.as_str(),
+            request = self.metadata.attempt_id, route = self.route.name, upstream = upstream.as_str(),
             outcome = outcome, cause = cause, waited_ms = self.waited_ms(),
             fingerprint:% = self.fingerprint;
             "An attempt ended without an answer");
--- a/clayplank-forward/src/call.rs
+++ b/clayplank-forward/src/call.rs
@@ -14,7 +14,7 @@
 use crate::clock::{millis, now_ms};
 use crate::entry::Entry;
 use crate::refusal::{AnswerBody, Refusal};
-use crate::request_metadata::RequestFacts;
+use crate::request_metadata::RequestMetadata;
 
 /// Failed connections, beyond the first, before a request is abandoned.
 const MAX_FAILED_CONNECTS: usize = 3;
@@ -35,7 +35,7 @@
 /// A request that has been received completely and is being forwarded to upstreams.
 pub(crate) struct Call {
     pub(crate) entry: Arc<Entry>,
-    pub(crate) facts: RequestFacts,
+    pub(crate) metadata: RequestMetadata,
     /// Account name or digest of the caller's key; empty if the caller sent neither.
     pub(crate) caller: String,
     /// Identical whenever the same caller repeats the request, at any host.
@@ -74,9 +74,9 @@
             return;
         }
         log::info!(target: "forward",
-            request = self.facts.attempt_id, route = self.route.name,
+            request = self.metadata.attempt_id, route = self.route.name,
             upstream = self.tried.last().map_or("", UpstreamId::as_str),
-            sent = self.sent_count, prompt_tokens = self.facts.prompt_tokens,
+            sent = self.sent_count, prompt_tokens = self.metadata.prompt_tokens,
             waited_ms = self.waited_ms(), left_ms = self.remaining().as_millis() as u64;
             "The caller left before an answer");
         self.entry.metrics.count(&self.route.name, "caller_left_early");
@@ -88,7 +88,7 @@
     /// it.
     pub(crate) fn is_quarantined(&self) -> bool {
         let may_be_tried = self.is_trial && self.sent_count == 0;
-        !may_be_tried && self.entry.quarantine.held_for(self.fingerprint).is_some()
+        !may_be_tried && self.entry.quarantine.time_to_trial(self.fingerprint).is_some()
     }
 
     /// Whether another attempt is allowed; takes a retry from the budget if so.
@@ -100,7 +100,7 @@
             // Nothing was written yet, but every failed connection took time.
             return self.tried.len() <= MAX_FAILED_CONNECTS;
         }
-        let is_allowed = !self.may_have_run || self.route.kind.may_repeat();
+        let is_allowed = !self.may_have_run || self.route.kind.is_repeatable();
         is_allowed
             && self.sent_count < self.route.max_attempts
             && Instant::now() < self.deadline
@@ -142,16 +142,16 @@
             Refusal::TimedOut
         } else if self.may_have_run {
             Refusal::Failed
-        } else if let Some(wait) = self.entry.quarantine.held_for(self.fingerprint) {
+        } else if let Some(wait) = self.entry.quarantine.time_to_trial(self.fingerprint) {
             Refusal::Quarantined { retry_after_ms: wait.as_millis() as u64 }
         } else {
             refusal
         };
         log::info!(target: "forward",
-            request = self.facts.attempt_id, route = self.route.name, outcome = reported.as_str(),
+            request = self.metadata.attempt_id, route = self.route.name, outcome = reported.as_str(),
             tried = self.tried.len(), sent = self.sent_count, waited_ms = self.waited_ms(),
             retry_after_ms = reported.retry_after_ms().unwrap_or_default(),
-            prompt_tokens = self.facts.prompt_tokens, plan = self.entry.gate.plan_version(),
+            prompt_tokens = self.metadata.prompt_tokens, plan = self.entry.gate.plan_version(),
             fingerprint:% = self.fingerprint,
             left_ms = self.remaining().as_millis() as u64;
             "Gave a request up");
--- a/clayplank-forward/src/directory.rs
+++ b/clayplank-forward/src/directory.rs
@@ -7,7 +7,8 @@
 
 use clayplank_placement::{ColdStart, HostShare, RateLimit};
 use clayplank_registry::{
-    Buckets, Digest, Heartbeat, Limits, Noted, ObservedLimit, Record, Standing, life_ids,
+    Buckets, Digest, Heartbeat, LimitObservation, LimitUpdateResult, Limits, Record,
+    UpstreamStatus, incarnation_ids,
 };
 use clayplank_routes::ServingPlan;
 use clayplank_types::{DataCentre, UpstreamId};
@@ -29,14 +30,14 @@
     /// The request has been counted at this upstream.
     Counted(Record),
     /// The upstream has a rate limit: the request has to wait for a permit.
-    NeedsTurn(Record),
+    NeedsPermit(Record),
 }
 
 impl Choice {
     /// Record of the chosen upstream.
     pub fn record(&self) -> &Record {
         match self {
-            Self::Counted(record) | Self::NeedsTurn(record) => record,
+            Self::Counted(record) | Self::NeedsPermit(record) => record,
         }
     }
 }
@@ -56,7 +57,7 @@
     cordoned: BTreeSet<DataCentre>,
     /// Limits on requests to cold upstreams (those that have just started), by service.
     cold_starts: HashMap<String, ColdStart>,
-    /// Rate limits that upstreams have stated.
+    /// Rate limits that upstreams have declared.
     limits: Limits,
     /// Share of this host in the requests that upstreams accept while they are cold or
     /// rate-limited.
@@ -83,9 +84,9 @@
     /// records changed by it to `changed`.
     fn apply_record(&mut self, record: Record, changed: &mut Vec<Record>) {
         let id = record.heartbeat.id.clone();
-        let departs = record.heartbeat.standing == Standing::Gone;
+        let departs = record.heartbeat.standing == UpstreamStatus::Gone;
         if let Some(known) = self.records.get(&id) {
-            let is_departed = known.heartbeat.standing == Standing::Gone;
+            let is_departed = known.heartbeat.standing == UpstreamStatus::Gone;
             let is_older = record.heartbeat.sequence < known.heartbeat.sequence;
             if is_departed || (is_older && !departs) {
                 return;
@@ -113,16 +114,17 @@
 
     /// Whether an upstream accepts new work.
     fn accepts_work(&self, heartbeat: &Heartbeat) -> bool {
-        heartbeat.standing == Standing::Ready && !self.cordoned.contains(&heartbeat.data_centre)
+        heartbeat.standing == UpstreamStatus::Ready
+            && !self.cordoned.contains(&heartbeat.data_centre)
     }
 
     /// Heartbeats of the incarnations of an upstream that have not departed.
     fn running_incarnations(&self, name: &str) -> impl Iterator<Item = &Heartbeat> {
         let without_start = self.records.get(&UpstreamId::new(name));
-        let with_start = self.records.range(life_ids(name)).map(|(_, record)| record);
+        let with_start = self.records.range(incarnation_ids(name)).map(|(_, record)| record);
         let incarnations =
             without_start.into_iter().chain(with_start).map(|record| &record.heartbeat);
-        incarnations.filter(|one| one.standing != Standing::Gone)
+        incarnations.filter(|one| one.standing != UpstreamStatus::Gone)
     }
 
     fn has_later_incarnation(&self, heartbeat: &Heartbeat) -> bool {
@@ -143,7 +145,7 @@
             self.departed_at_ms.insert(id.clone(), now_ms());
             self.replaced.insert(id.clone());
             if let Some(record) = self.records.get_mut(&id) {
-                record.heartbeat.standing = Standing::Gone;
+                record.heartbeat.standing = UpstreamStatus::Gone;
                 ended.push(record.clone());
             }
         }
@@ -156,13 +158,13 @@
     fn mark_replaced(&mut self, changed: &Heartbeat) {
         let is_in_place = |one: &Heartbeat| one.address == changed.address && one.id != changed.id;
         match changed.standing {
-            Standing::Gone => {
+            UpstreamStatus::Gone => {
                 let mut others = self.records.values().map(|record| &record.heartbeat);
-                if others.any(|one| one.standing == Standing::Ready && is_in_place(one)) {
+                if others.any(|one| one.standing == UpstreamStatus::Ready && is_in_place(one)) {
                     self.replaced.insert(changed.id.clone());
                 }
             }
-            Standing::Ready => {
+            UpstreamStatus::Ready => {
                 // Departed upstreams are few, whereas the records of all upstreams may arrive at
                 // once.
                 let departed = self.departed_at_ms.keys().filter_map(|id| self.records.get(id));
@@ -170,26 +172,30 @@
                 let former = departed.filter(|one| is_in_place(one)).map(|one| one.id.clone());
                 self.replaced.extend(former);
             }
-            Standing::Draining => {}
+            UpstreamStatus::Draining => {}
         }
     }
 
-    /// Rate limit of an upstream, which applies while it is cold or has stated a limit.
+    /// Rate limit of an upstream, which applies while it is cold or has declared a limit.
     fn rate_limit(&self, heartbeat: &Heartbeat) -> RateLimit {
         let stats = self.stats.get(&heartbeat.id);
         let mut rate_limit = stats.map(|stats| stats.rate_limit).unwrap_or_default();
         let start = self.cold_starts.get(&heartbeat.service);
         rate_limit.set_cold_limit(start.map_or(0.0, |start| start.requests_per_s));
-        rate_limit.set_named_limit(self.limits.limit_per_s(&heartbeat.id));
+        rate_limit.set_declared_limit(self.limits.limit_per_s(&heartbeat.id));
         rate_limit
     }
 
     /// Whether an upstream accepts one more request from this host without a permit.
     fn accepts_without_permit(&self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
-        self.rate_limit(heartbeat).may_send_alone(now_ms as f64, &heartbeat.id, &self.share)
+        self.rate_limit(heartbeat).may_send_without_permit(
+            now_ms as f64,
+            &heartbeat.id,
+            &self.share,
+        )
     }
 
-    /// Whether a request needs a permit for an upstream: the upstream has stated a limit and is not
+    /// Whether a request needs a permit for an upstream: the upstream has declared a limit and is not
     /// cold. The leader grants permits to all hosts; while an upstream is cold, each host uses its
     /// share of the limit instead.
     fn needs_permit(&self, now_ms: u64, heartbeat: &Heartbeat) -> bool {
@@ -211,7 +217,7 @@
     fn count_request(&mut self, now_ms: u64, id: &UpstreamId) {
         let stats = self.stats.entry(id.clone()).or_default();
         stats.in_flight += 1;
-        stats.rate_limit.note_sent_alone(now_ms as f64);
+        stats.rate_limit.record_sent_without_permit(now_ms as f64);
     }
 
     /// Removes upstreams that departed long ago, and their statistics.
@@ -226,7 +232,7 @@
             }
             is_kept
         });
-        limits.forget(now_ms, |id| records.contains_key(id));
+        limits.expire(now_ms, |id| records.contains_key(id));
     }
 }
 
@@ -286,7 +292,7 @@
     pub fn note_replaced(&self, id: &UpstreamId) {
         let mut inner = self.lock();
         if let Some(record) = inner.records.get_mut(id) {
-            record.heartbeat.standing = Standing::Gone;
+            record.heartbeat.standing = UpstreamStatus::Gone;
             inner.departed_at_ms.insert(id.clone(), now_ms());
             inner.replaced.insert(id.clone());
         }
@@ -301,12 +307,12 @@
         let has_departed = inner
             .records
             .get(&former.id)
-            .is_none_or(|record| record.heartbeat.standing == Standing::Gone);
+            .is_none_or(|record| record.heartbeat.standing == UpstreamStatus::Gone);
         let follows = |one: &Heartbeat| {
             let is_in_place = one.name == former.name || one.address == former.address;
             one.id != former.id
                 && one.service == former.service
-                && one.standing == Standing::Ready
+                && one.standing == UpstreamStatus::Ready
                 && is_in_place
         };
         has_departed && inner.records.values().any(|record| follows(&record.heartbeat))
@@ -366,7 +372,8 @@
         let inner = self.lock();
         let address = name.parse().ok();
         let is_named = |heartbeat: &&Heartbeat| {
-            let is_at = heartbeat.standing != Standing::Gone && address == Some(heartbeat.address);
+            let is_at =
+                heartbeat.standing != UpstreamStatus::Gone && address == Some(heartbeat.address);
             heartbeat.name == name || is_at
         };
         let heartbeats = inner.records.values().map(|record| &record.heartbeat);
@@ -417,7 +424,7 @@
             )
             .map(|(_, record)| record.clone())?;
         if inner.needs_permit(now_ms, &best.heartbeat) {
-            return Some(Choice::NeedsTurn(best));
+            return Some(Choice::NeedsPermit(best));
         }
         inner.count_request(now_ms, &best.heartbeat.id);
         Some(Choice::Counted(best))
@@ -483,27 +490,27 @@
     }
 
     /// Records the limit of an upstream as observed by this host.
-    pub fn note_limit(&self, observed: &ObservedLimit) -> Noted {
-        self.lock().limits.note(observed)
+    pub fn record_limit(&self, observed: &LimitObservation) -> LimitUpdateResult {
+        self.lock().limits.apply_local(observed)
     }
 
     /// Records the limit of an upstream as observed by another host.
-    pub fn learn_limit(&self, observed: &ObservedLimit) -> Noted {
-        self.lock().limits.learn(observed)
+    pub fn apply_reported_limit(&self, observed: &LimitObservation) -> LimitUpdateResult {
+        self.lock().limits.apply_remote(observed)
     }
 
-    /// Limit of an upstream, if it has stated one.
-    pub fn limit(&self, id: &UpstreamId) -> Option<ObservedLimit> {
-        self.lock().limits.observed_of(id)
+    /// Limit of an upstream, if it has declared one.
+    pub fn limit(&self, id: &UpstreamId) -> Option<LimitObservation> {
+        self.lock().limits.observation_of(id)
     }
 
     /// Limits in force.
-    pub fn limits(&self) -> Vec<ObservedLimit> {
-        self.lock().limits.observed().collect()
+    pub fn limits(&self) -> Vec<LimitObservation> {
+        self.lock().limits.observations().collect()
     }
 
     /// Number of upstreams with a limit.
     pub fn count_limited(&self) -> usize {
-        self.lock().limits.limited().count()
+        self.lock().limits.iter().count()
     }
 }
--- a/clayplank-forward/src/opening.rs
+++ b/clayplank-forward/src/opening.rs
@@ -64,7 +64,7 @@
                 break;
             }
         };
-        match open_at(call, chosen, call.facts.last_event_id).await {
+        match open_at(call, chosen, call.metadata.last_event_id).await {
             OpenResult::Started(started) => return Ok(Opened::Started(started)),
             OpenResult::Other(response, is_final) => {
                 if is_final {
@@ -133,7 +133,7 @@
 }
 
 fn first_event_timeout(call: &Call, expected_ms: f64) -> Duration {
-    let is_last = !call.kind().may_repeat() || call.sent_count + 1 >= call.route.max_attempts;
+    let is_last = !call.kind().is_repeatable() || call.sent_count + 1 >= call.route.max_attempts;
     let timeout_ms = expected_ms * FIRST_EVENT_FACTOR + FIRST_EVENT_MARGIN_MS;
     let timeout_ms = timeout_ms.max(call.route.goal_ms as f64 * FIRST_EVENT_GOAL_FACTOR);
     let remaining = call.remaining();
@@ -167,7 +167,7 @@
     call.note_break(&UpstreamId::new(upstream));
     call.entry.metrics.count_attempt("broken");
     log::info!(target: "forward",
-        request = call.facts.attempt_id, route = call.route.name, upstream = upstream,
+        request = call.metadata.attempt_id, route = call.route.name, upstream = upstream,
         cause = cause, last_event = last_event_id.unwrap_or_default(),
         waited_ms = call.waited_ms(), fingerprint:% = call.fingerprint;
         "A stream broke off at its upstream");
--- a/clayplank-forward/tests/entry/broken_stream.rs
+++ b/clayplank-forward/tests/entry/broken_stream.rs
@@ -5,9 +5,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clayplank_forward::{BoxFuture, Directory, EntryBuilder, Placer, Turn};
-use clayplank_placement::{Ask, Assignment, EngineModel, Event, Part, Placed, PlacementId};
-use clayplank_registry::{Heartbeat, ObservedLimit, Record};
+use clayplank_forward::{BoxFuture, Directory, EntryBuilder, PermitReply, Placer};
+use clayplank_placement::{
+    Assignment, EngineModel, Event, HelperPart, PlacementId, PlacementOutcome, PlacementRequest,
+};
+use clayplank_registry::{Heartbeat, LimitObservation, Record};
 use clayplank_routes::{RequestKind, Route, ServiceGroup};
 use clayplank_types::{DataCentre, UpstreamId};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -31,29 +33,36 @@
 }
 
 impl Placer for SinglePlacement {
-    fn place<'a>(&'a self, _: &'a Ask) -> BoxFuture<'a, Placed> {
+    fn place<'a>(&'a self, _: &'a PlacementRequest) -> BoxFuture<'a, PlacementOutcome> {
         let placed = match self.requests.fetch_add(1, Ordering::SeqCst) {
-            0 => Placed::At(Assignment {
+            0 => PlacementOutcome::At(Assignment {
                 engine: UpstreamId::new("writer"),
-                helpers: vec![Part { engine: UpstreamId::new("helper"), reserve_tokens: 1_000 }],
+                helpers: vec![HelperPart {
+                    engine: UpstreamId::new("helper"),
+                    reserve_tokens: 1_000,
+                }],
                 first_token_ms: 10.0,
             }),
             number => {
                 if number == 3 {
                     self.steps.lock().unwrap().push("still waits");
                 }
-                Placed::Full { retry_after_ms: 100 }
+                PlacementOutcome::Full { retry_after_ms: 100 }
             }
         };
         Box::pin(std::future::ready(placed))
     }
 
-    fn note(&self, _: PlacementId, _: Event) {}
+    fn record_event(&self, _: PlacementId, _: Event) {}
 
-    fn note_limit(&self, _: &ObservedLimit) {}
+    fn record_limit(&self, _: &LimitObservation) {}
 
-    fn take_turn<'a>(&'a self, _: &'a ObservedLimit, _: Duration) -> BoxFuture<'a, Turn> {
-        Box::pin(std::future::ready(Turn::Unknown))
+    fn request_permit<'a>(
+        &'a self,
+        _: &'a LimitObservation,
+        _: Duration,
+    ) -> BoxFuture<'a, PermitReply> {
+        Box::pin(std::future::ready(PermitReply::Unknown))
     }
 
     fn next_id(&self) -> PlacementId {
@@ -103,7 +112,7 @@
         let placer =
             Arc::new(SinglePlacement { requests: AtomicU64::new(0), steps: Arc::clone(&steps) });
         let builder = EntryBuilder::default()
-            .orders(Arc::new(PathCommands))
+            .command_format(Arc::new(PathCommands))
             .data_centre(DataCentre::new("a"));
         let route = Route { pause_goal_ms: Some(250), ..route(RequestKind::ResumableStream) };
         let service = ServiceGroup { engine: Some(EngineModel::default()), ..plain_service() };
@@ -148,7 +157,7 @@
     }
     let Record { heartbeat, is_silent } =
         prompt.directory.record(&UpstreamId::new("writer")).unwrap();
-    let later = Heartbeat { born_ms: 1, ..heartbeat }.named("writer");
+    let later = Heartbeat { born_ms: 1, ..heartbeat }.with_name("writer");
     prompt.directory.apply(vec![Record { heartbeat: later, is_silent }]);
     let answer = prompt.answer().await;
     assert!(answer.starts_with("HTTP/1.1 502"), "the time limit has not passed yet: {answer}");
--- a/clayplank-forward/tests/entry/harness.rs
+++ b/clayplank-forward/tests/entry/harness.rs
@@ -6,11 +6,11 @@
 
 use bytes::Bytes;
 use clayplank_forward::{
-    BoxFuture, Directory, Entry, EntryBuilder, Gate, OrderFormat, Placer, Turn, now_ms,
+    BoxFuture, CommandFormat, Directory, Entry, EntryBuilder, Gate, PermitReply, Placer, now_ms,
     serve_callers,
 };
-use clayplank_placement::{Ask, Event, Placed, PlacementId};
-use clayplank_registry::{Heartbeat, ObservedLimit, Record};
+use clayplank_placement::{Event, PlacementId, PlacementOutcome, PlacementRequest};
+use clayplank_registry::{Heartbeat, LimitObservation, Record};
 use clayplank_routes::{
     CallerLimits, PlanIndex, RequestKind, Route, ServiceGroup, ServingPlan, Target,
 };
@@ -27,16 +27,20 @@
 pub struct NoPlacer;
 
 impl Placer for NoPlacer {
-    fn place<'a>(&'a self, _: &'a Ask) -> BoxFuture<'a, Placed> {
-        Box::pin(std::future::ready(Placed::Full { retry_after_ms: 100 }))
+    fn place<'a>(&'a self, _: &'a PlacementRequest) -> BoxFuture<'a, PlacementOutcome> {
+        Box::pin(std::future::ready(PlacementOutcome::Full { retry_after_ms: 100 }))
     }
 
-    fn note(&self, _: PlacementId, _: Event) {}
+    fn record_event(&self, _: PlacementId, _: Event) {}
 
-    fn note_limit(&self, _: &ObservedLimit) {}
+    fn record_limit(&self, _: &LimitObservation) {}
 
-    fn take_turn<'a>(&'a self, _: &'a ObservedLimit, _: Duration) -> BoxFuture<'a, Turn> {
-        Box::pin(std::future::ready(Turn::Unknown))
+    fn request_permit<'a>(
+        &'a self,
+        _: &'a LimitObservation,
+        _: Duration,
+    ) -> BoxFuture<'a, PermitReply> {
+        Box::pin(std::future::ready(PermitReply::Unknown))
     }
 
     fn next_id(&self) -> PlacementId {
@@ -47,7 +51,7 @@
 /// Encodes commands to engines by their path alone, without a body.
 pub struct PathCommands;
 
-impl OrderFormat for PathCommands {
+impl CommandFormat for PathCommands {
     fn reserve(&self, _: &str, _: u64, _: u64) -> Request<Full<Bytes>> {
         command("/reserve")
     }
@@ -65,7 +69,7 @@
 pub fn record(name: &str, address: SocketAddr) -> Record {
     let heartbeat =
         Heartbeat { address, service: SERVICE.to_owned(), slots: 4, ..Heartbeat::default() };
-    Record { heartbeat: heartbeat.named(name), is_silent: false }
+    Record { heartbeat: heartbeat.with_name(name), is_silent: false }
 }
 
 /// A route for all paths that admits callers without an account.
--- a/clayplank-forward/tests/entry/quarantine.rs
+++ b/clayplank-forward/tests/entry/quarantine.rs
@@ -6,10 +6,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clayplank_forward::{BoxFuture, Directory, EntryBuilder, Judge, Observation};
-use clayplank_registry::Standing;
+use clayplank_forward::{BoxFuture, Directory, EntryBuilder, Observation, QuarantineAuthority};
+use clayplank_registry::UpstreamStatus;
 use clayplank_routes::{RequestKind, Route};
-use clayplank_types::{HeldBack, RequestFingerprint, RequestIdentity, SeenOutcome};
+use clayplank_types::{ObservedOutcome, QuarantinedRequest, RequestFingerprint, RequestIdentity};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -24,13 +24,13 @@
 
 /// Records the reported observations, and grants the first trial only.
 #[derive(Default)]
-struct RecordingJudge {
+struct RecordingAuthority {
     observations: Mutex<Vec<Observation>>,
     trial_claims: AtomicUsize,
 }
 
-impl Judge for RecordingJudge {
-    fn tell(&self, observation: Observation) {
+impl QuarantineAuthority for RecordingAuthority {
+    fn report(&self, observation: Observation) {
         self.observations.lock().unwrap().push(observation);
     }
 
@@ -88,7 +88,7 @@
 struct Fixture {
     host: Host,
     directory: Arc<Directory>,
-    judge: Arc<RecordingJudge>,
+    authority: Arc<RecordingAuthority>,
     /// Number of requests that upstreams received.
     requests: Arc<AtomicUsize>,
 }
@@ -101,16 +101,16 @@
             let address = upstream(*behaviour, Arc::clone(&requests)).await;
             directory.apply(vec![record(&format!("u{number}"), address)]);
         }
-        let judge = Arc::<RecordingJudge>::default();
+        let authority = Arc::<RecordingAuthority>::default();
         let host = Host::start(
-            EntryBuilder::default().judge(judge.clone()),
+            EntryBuilder::default().quarantine_authority(authority.clone()),
             Route { time_limit_ms: 5_000, ..route(RequestKind::Repeatable) },
             plain_service(),
             Arc::clone(&directory),
             Arc::new(NoPlacer),
         )
         .await;
-        Self { host, directory, judge, requests }
+        Self { host, directory, authority, requests }
     }
 
     /// Sends a request; returns the complete answer as text.
@@ -128,9 +128,9 @@
     }
 
     /// Outcomes reported so far, after a wait that covers the probe of one connection.
-    async fn reported_outcomes(&self) -> Vec<SeenOutcome> {
+    async fn reported_outcomes(&self) -> Vec<ObservedOutcome> {
         tokio::time::sleep(Duration::from_millis(150)).await;
-        self.judge.observations.lock().unwrap().iter().map(|one| one.outcome.clone()).collect()
+        self.authority.observations.lock().unwrap().iter().map(|one| one.outcome.clone()).collect()
     }
 
     fn requests(&self) -> usize {
@@ -139,7 +139,7 @@
 
     /// Quarantines one request, and no other.
     fn quarantine(&self, fingerprint: RequestFingerprint, next_trial_in: Duration) {
-        self.host.entry.set_held_back(vec![HeldBack {
+        self.host.entry.set_quarantined(vec![QuarantinedRequest {
             fingerprint,
             caller: String::new(),
             ended: Vec::new(),
@@ -149,7 +149,7 @@
 
     /// Quarantines the request that the host reported first.
     fn quarantine_reported(&self, next_trial_in: Duration) {
-        let fingerprint = self.judge.observations.lock().unwrap()[0].fingerprint;
+        let fingerprint = self.authority.observations.lock().unwrap()[0].fingerprint;
         self.quarantine(fingerprint, next_trial_in);
     }
 }
@@ -166,9 +166,9 @@
     let fixture = Fixture::start(&[behaviour, behaviour]).await;
     fixture.send("crashing").await;
     let reported = fixture.reported_outcomes().await;
-    let count = reported.iter().filter(|one| matches!(one, SeenOutcome::Ended(_))).count();
+    let count = reported.iter().filter(|one| matches!(one, ObservedOutcome::Ended(_))).count();
     assert_eq!((count, reported.len()), (terminations, terminations), "{reported:?}");
-    let reported = fixture.judge.observations.lock().unwrap();
+    let reported = fixture.authority.observations.lock().unwrap();
     assert!(
         reported.iter().all(|one| !one.caller.contains(API_KEY)),
         "an observation contains the API key"
@@ -194,7 +194,7 @@
     let address = upstream(Behaviour::Answers, Arc::clone(&fixture.requests)).await;
     fixture.directory.apply(vec![record("next", address)]);
     assert!(fixture.send("beside").await.starts_with("HTTP/1.1 200"));
-    assert_eq!(fixture.reported_outcomes().await[1], SeenOutcome::Survived);
+    assert_eq!(fixture.reported_outcomes().await[1], ObservedOutcome::Survived);
 }
 
 #[tokio::test]
@@ -210,7 +210,7 @@
         }
     };
     let mut draining = record("u0", address);
-    draining.heartbeat.standing = Standing::Draining;
+    draining.heartbeat.standing = UpstreamStatus::Draining;
     draining.heartbeat.sequence = 2;
     tokio::join!(response, async {
         request_received.await;
@@ -274,5 +274,5 @@
     });
     assert_eq!(fixture.reported_outcomes().await, []);
     fixture.quarantine(fingerprint, Duration::ZERO);
-    assert_eq!(fixture.reported_outcomes().await, [SeenOutcome::Survived]);
+    assert_eq!(fixture.reported_outcomes().await, [ObservedOutcome::Survived]);
 }
--- a/clayplank-members/src/lib.rs
+++ b/clayplank-members/src/lib.rs
@@ -7,24 +7,24 @@
 //! independent of the number of hosts. This package does no network I/O.
 //!
 //! ```
-//! use clayplank_members::{Members, Status, Timing};
+//! use clayplank_members::{Members, Status, FailureDetectorTiming};
 //! use clayplank_types::{DataCentre, HostId, Incarnation, PoolId};
 //!
 //! let hosts = ["a", "b"].map(|name| (HostId::new(name), DataCentre::new("hall-1")));
-//! let members = Members::new(HostId::new("a"), Incarnation(1), hosts, Timing::default(), 0);
+//! let members = Members::new(HostId::new("a"), Incarnation(1), hosts, FailureDetectorTiming::default(), 0);
 //! assert_eq!(members.status(&HostId::new("b")), Some(Status::Live));
 //! assert!(members.owner_of(&PoolId::new("p"), &DataCentre::new("hall-1")).is_some());
 //! ```
 
-mod follow_times;
-mod keeper_choice;
+mod follow_timeouts;
+mod keeper_ranking;
 mod keeper_search;
 mod members;
 mod rendezvous;
 mod update;
 
-pub use follow_times::FollowTimes;
-pub use keeper_choice::KeeperChoice;
+pub use follow_timeouts::FollowTimeouts;
+pub use keeper_ranking::KeeperRanking;
 pub use keeper_search::KnownKeepers;
-pub use members::{Effect, Members, Timing};
-pub use update::{Rumour, Status};
+pub use members::{FailureDetectorTiming, Members, ProbeAction};
+pub use update::{MemberUpdate, Status};
--- a/clayplank-placement/src/lib.rs
+++ b/clayplank-placement/src/lib.rs
@@ -6,7 +6,7 @@
 //! prompt gains on an engine against what the requests there lose.
 //!
 //! ```
-//! use clayplank_placement::{Ask, EngineModel, EngineSpec, Fleet, PlacementId, Placed};
+//! use clayplank_placement::{PlacementRequest, EngineModel, EngineSpec, Fleet, PlacementId, PlacementOutcome};
 //! use clayplank_types::{DataCentre, UpstreamId};
 //!
 //! let mut fleet = Fleet::default();
@@ -16,8 +16,8 @@
 //!     model: EngineModel::default(),
 //! };
 //! fleet.set_engine(UpstreamId::new("engine-1"), spec, true);
-//! let request = Ask::new(PlacementId { host: 1, number: 1 }, "main", 5_000, 300.0);
-//! assert!(matches!(fleet.place(0.0, &request), Placed::At(_)));
+//! let request = PlacementRequest::new(PlacementId { host: 1, number: 1 }, "main", 5_000, 300.0);
+//! assert!(matches!(fleet.place(0.0, &request), PlacementOutcome::At(_)));
 //! ```
 
 mod admission;
@@ -43,9 +43,11 @@
 
 pub use avoid::avoid_ms;
 pub use engine::EngineSpec;
-pub use event::{Event, Renewed};
-pub use fleet::{Fleet, Outlook};
+pub use event::{Event, RunningPlacement};
+pub use fleet::{Fleet, PoolSummary};
 pub use model::EngineModel;
 pub use rate_limit::{ColdStart, HostShare, RateLimit};
-pub use request::{Ask, Assignment, PASSED_GOAL_MS, Part, Placed, PlacementId};
+pub use request::{
+    Assignment, HelperPart, MIN_GOAL_MS, PlacementId, PlacementOutcome, PlacementRequest,
+};
 pub use typical_limits::TypicalLimits;
--- a/clayplank-schedule/src/admission.rs
+++ b/clayplank-schedule/src/admission.rs
@@ -1,7 +1,7 @@
 //! Prediction of whether a request can complete before its deadline.
 
 use crate::policy::{Lane, Policy};
-use crate::reservation::Ask;
+use crate::reservation::ReservationRequest;
 
 /// Weight of a new window in the moving average of a lane's throughput.
 const WINDOW_WEIGHT: f64 = 0.3;
@@ -26,7 +26,7 @@
 
 impl Forecast {
     /// Predicted time from now until the request completes, in ms.
-    pub fn end_in_ms(&self) -> u64 {
+    pub fn completion_ms(&self) -> u64 {
         (self.wait_ms + self.service_ms).ceil() as u64
     }
 }
@@ -35,14 +35,14 @@
 /// policy. `rates` are the prefill and decode times per token, in ms.
 pub(crate) fn estimate_service_ms(
     policy: &Policy,
-    ask: &Ask,
+    request: &ReservationRequest,
     lane: Lane,
     rates: (f64, f64),
 ) -> f64 {
     let (prefill_ms_per_token, decode_ms_per_token) = rates;
     let prefill_factor = if lane.is_heavy() { HEAVY_PREFILL_FACTOR } else { 1.0 };
-    let prefill_ms = ask.prompt_tokens as f64 * prefill_ms_per_token * prefill_factor;
-    let decode_ms = ask.max_output_tokens as f64 * decode_ms_per_token;
+    let prefill_ms = request.prompt_tokens as f64 * prefill_ms_per_token * prefill_factor;
+    let decode_ms = request.max_output_tokens as f64 * decode_ms_per_token;
     (prefill_ms + decode_ms) * policy.finish_margin
 }
 
--- a/clayplank-schedule/src/lib.rs
+++ b/clayplank-schedule/src/lib.rs
@@ -6,14 +6,14 @@
 //! [`Scheduler::take_decisions`].
 //!
 //! ```
-//! use clayplank_schedule::{Ask, Decision, EngineSpec, Holder, Policy, Scheduler};
+//! use clayplank_schedule::{ReservationRequest, Decision, EngineSpec, GrantHolder, Policy, Scheduler};
 //! use clayplank_types::{AccountId, AttemptId, Partner, RequestId, UpstreamId};
 //!
 //! let mut scheduler = Scheduler::new(Policy::default());
 //! scheduler.add_engine(EngineSpec::new(UpstreamId::new("e1"), 400_000, ["base"]));
 //! let account = AccountId::new(Partner::new("dala"), "times");
-//! let ask = Ask::new(RequestId(1), AttemptId::from_bits(1), account, "base", 1_000, 5_000);
-//! scheduler.submit(0, Holder::default(), ask);
+//! let request = ReservationRequest::new(RequestId(1), AttemptId::from_bits(1), account, "base", 1_000, 5_000);
+//! scheduler.submit(0, GrantHolder::default(), request);
 //! assert!(matches!(scheduler.take_decisions().as_slice(), [Decision::Granted(_)]));
 //! ```
 
@@ -36,9 +36,11 @@
 
 pub use admission::Forecast;
 pub use engine::{EngineReport, EngineSpec};
-pub use grants::HeldGrant;
-pub use limits::{RateLimit, RetryBudget};
+pub use grants::RenewedGrant;
+pub use limits::{RequestRateLimit, RetryBudget};
 pub use policy::{Discipline, Lane, Mechanisms, Policy, PolicyBuilder};
 pub use pools::{PoolLoad, choose_pool};
-pub use reservation::{Ask, Decision, Grant, GrantId, GrantPart, Holder, Usage};
+pub use reservation::{
+    Decision, Grant, GrantHolder, GrantId, GrantPart, ReservationRequest, Usage,
+};
 pub use scheduler::{Scheduler, Totals};
--- a/clayplank-state/src/command.rs
+++ b/clayplank-state/src/command.rs
@@ -3,13 +3,14 @@
 use std::sync::Arc;
 
 use clayplank_types::{
-    AttemptId, DataCentre, HostId, Incarnation, Partner, RequestFingerprint, Sighting, UpstreamId,
+    AttemptId, DataCentre, HostId, Incarnation, Partner, RequestFingerprint, RequestObservation,
+    UpstreamId,
 };
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::claims::{Answer, ClaimKey};
-use crate::quarantine::{Trial, Verdicts};
+use crate::claims::{ClaimKey, StoredAnswer};
+use crate::quarantine::{QuarantineChanges, TrialReply};
 use crate::settings::{SettingKey, SettingValue, Versioned};
 
 /// The bytes do not decode to the requested type, or the value cannot be encoded.
@@ -39,12 +40,12 @@
     /// Wall time at which a keeper proposed the command, in ms since the Unix epoch.
     pub at_ms: u64,
     /// The operation to apply.
-    pub body: Body,
+    pub body: CommandBody,
 }
 
 /// The operation of a [`Command`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum CommandBody {
     /// An operator creates, replaces or removes a setting.
     Change(SettingChange),
     /// A host is about to dispatch a request that must run at most once.
@@ -56,7 +57,7 @@
         /// Dispatch that took the claim; a claim of another dispatch is left as it is.
         attempt_id: AttemptId,
         /// Answer of the request; `None` if the outcome is unknown (the request may have run).
-        answer: Option<Answer>,
+        answer: Option<StoredAnswer>,
     },
     /// The claimed request was not sent to any upstream, so its key is free again.
     Release {
@@ -77,7 +78,7 @@
         lease_ms: u64,
     },
     /// A host reports upstreams that terminated or survived while they ran certain requests.
-    NoteSightings(Vec<Sighting>),
+    NoteSightings(Vec<RequestObservation>),
     /// A host requests permission to send a quarantined request to an upstream once, as a trial.
     ClaimTrial(RequestFingerprint),
     /// An operator lifts the quarantine of a request.
@@ -166,7 +167,7 @@
     /// The claim is granted: the claiming host may dispatch the request once.
     Claimed,
     /// The request has already run; this is its answer.
-    Repeated(Answer),
+    Repeated(StoredAnswer),
     /// The request has been claimed by another dispatch and may still be running.
     InProgress {
         /// Remaining time until the deadline of the claim, in ms.
@@ -196,9 +197,9 @@
         wait_ms: u64,
     },
     /// The reported observations were applied; these changes of the quarantine resulted.
-    Noted(Verdicts),
+    Noted(QuarantineChanges),
     /// Whether the requesting host may send the request to an upstream.
-    Trial(Trial),
+    Trial(TrialReply),
     /// The request is not quarantined now.
     Lifted {
         /// Whether it was quarantined before the command.
--- a/clayplank-state/src/machine.rs
+++ b/clayplank-state/src/machine.rs
@@ -2,19 +2,21 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use clayplank_types::{DataCentre, HeldBack, HostId, RequestFingerprint, Sighting, UpstreamId};
+use clayplank_types::{
+    DataCentre, HostId, QuarantinedRequest, RequestFingerprint, RequestObservation, UpstreamId,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::claims::Claims;
-use crate::command::{Body, CodecError, Command, PlanDocument, Reply, decode, encode};
+use crate::command::{CodecError, Command, CommandBody, PlanDocument, Reply, decode, encode};
 use crate::cordons::Cordons;
 use crate::plan::Plan;
-use crate::quarantine::{Suspects, Trial};
+use crate::quarantine::{Suspects, TrialReply};
 use crate::settings::{Delta, Settings};
 
 /// Latest revision and sizes of a machine's state, for status reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct MachineStats {
     /// Latest revision.
     pub revision: u64,
     /// Number of settings, including removed ones.
@@ -55,33 +57,35 @@
     pub fn apply(&mut self, command: &Command) -> Reply {
         self.now_ms = self.now_ms.max(command.at_ms);
         match &command.body {
-            Body::Change(change) => self.settings.apply(change),
-            Body::Claim(claim) => self.claims.claim(self.now_ms, claim),
-            Body::Settle { key, attempt_id, answer } => {
+            CommandBody::Change(change) => self.settings.apply(change),
+            CommandBody::Claim(claim) => self.claims.claim(self.now_ms, claim),
+            CommandBody::Settle { key, attempt_id, answer } => {
                 self.claims.settle(key, *attempt_id, answer.clone())
             }
-            Body::Release { key, attempt_id } => self.claims.release(key, *attempt_id),
-            Body::Publish(document) => self.publish(document),
-            Body::Fence { upstream, host, lease_ms } => self.fence(upstream, host, *lease_ms),
-            Body::NoteSightings(sightings) => self.apply_sightings(sightings),
-            Body::ClaimTrial(fingerprint) => self.claim_trial(*fingerprint),
-            Body::Lift(fingerprint) => self.lift(*fingerprint),
-            Body::Cordon(data_centre) => self.set_cordon(data_centre, true),
-            Body::Uncordon(data_centre) => self.set_cordon(data_centre, false),
+            CommandBody::Release { key, attempt_id } => self.claims.release(key, *attempt_id),
+            CommandBody::Publish(document) => self.publish(document),
+            CommandBody::Fence { upstream, host, lease_ms } => {
+                self.fence(upstream, host, *lease_ms)
+            }
+            CommandBody::NoteSightings(observations) => self.apply_observations(observations),
+            CommandBody::ClaimTrial(fingerprint) => self.claim_trial(*fingerprint),
+            CommandBody::Lift(fingerprint) => self.lift(*fingerprint),
+            CommandBody::Cordon(data_centre) => self.set_cordon(data_centre, true),
+            CommandBody::Uncordon(data_centre) => self.set_cordon(data_centre, false),
         }
     }
 
-    fn apply_sightings(&mut self, sightings: &[Sighting]) -> Reply {
-        let verdicts = self.suspects.apply(self.now_ms, sightings);
-        if !verdicts.is_empty() {
+    fn apply_observations(&mut self, observations: &[RequestObservation]) -> Reply {
+        let changes = self.suspects.apply(self.now_ms, observations);
+        if !changes.is_empty() {
             self.bump_quarantine_revision();
         }
-        Reply::Noted(verdicts)
+        Reply::Noted(changes)
     }
 
     fn claim_trial(&mut self, fingerprint: RequestFingerprint) -> Reply {
         let trial = self.suspects.claim_trial(self.now_ms, fingerprint);
-        if trial == Trial::Granted {
+        if trial == TrialReply::Granted {
             // The other hosts receive the time of the next trial.
             self.bump_quarantine_revision();
         }
@@ -142,18 +146,18 @@
         let mut delta = self.settings.delta_after(revision);
         delta.plan = self.plan.changed_after(revision);
         let has_changed = self.suspects.revision > revision;
-        delta.held_back = has_changed.then(|| self.held_back());
+        delta.held_back = has_changed.then(|| self.quarantined());
         delta.cordoned = self.cordons.changed_after(revision);
         delta
     }
 
     /// All quarantined requests.
-    pub fn held_back(&self) -> Vec<HeldBack> {
+    pub fn quarantined(&self) -> Vec<QuarantinedRequest> {
         self.suspects.quarantined(self.now_ms)
     }
 
     /// All cordoned data centres: no requests are sent to their upstreams.
-    pub fn cordoned(&self) -> &BTreeSet<DataCentre> {
+    pub fn cordoned_data_centres(&self) -> &BTreeSet<DataCentre> {
         self.cordons.data_centres()
     }
 
@@ -163,8 +167,8 @@
     }
 
     /// Latest revision, and the numbers of settings and claims.
-    pub fn counts(&self) -> Counts {
-        Counts {
+    pub fn stats(&self) -> MachineStats {
+        MachineStats {
             revision: self.revision(),
             settings: self.settings.len(),
             claims: self.claims.len(),
--- a/clayplank-wire/tests/broken_bytes.rs
+++ b/clayplank-wire/tests/broken_bytes.rs
@@ -5,13 +5,18 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use clayplank_agreement::{Configuration, Envelope, Introduction, ReplicaId};
-use clayplank_members::Rumour;
-use clayplank_placement::{Ask, Event, Placed, PlacementId, Renewed};
+use clayplank_members::MemberUpdate;
+use clayplank_placement::{
+    Event, PlacementId, PlacementOutcome, PlacementRequest, RunningPlacement,
+};
 use clayplank_registry::{Buckets, Changes, Cursor, Digest, Heartbeat, Record};
 use clayplank_state::{
-    Body, Command, Delta, Machine, PlanDocument, PlanEdit, Reply, decode, encode, pack, unpack,
+    Command, CommandBody, Delta, Machine, PlanDocument, PlanEdit, Reply, decode, encode, pack,
+    unpack,
+};
+use clayplank_types::{
+    ObservedOutcome, QuarantinedRequest, RequestFingerprint, RequestObservation, UpstreamId,
 };
-use clayplank_types::{HeldBack, RequestFingerprint, SeenOutcome, Sighting, UpstreamId};
 use proptest::prelude::*;
 use serde::de::DeserializeOwned;
 
@@ -25,30 +30,30 @@
     read::<Introduction>(bytes);
     read::<ReplicaId>(bytes);
     read::<Configuration>(bytes);
-    read::<Vec<Rumour>>(bytes);
-    read::<Ask>(bytes);
-    read::<Placed>(bytes);
-    read::<Vec<Renewed>>(bytes);
+    read::<Vec<MemberUpdate>>(bytes);
+    read::<PlacementRequest>(bytes);
+    read::<PlacementOutcome>(bytes);
+    read::<Vec<RunningPlacement>>(bytes);
     read::<Vec<(PlacementId, Event)>>(bytes);
     read::<Vec<Heartbeat>>(bytes);
     read::<Cursor>(bytes);
     read::<Digest>(bytes);
     read::<Buckets>(bytes);
     read::<Changes>(bytes);
-    read::<Body>(bytes);
+    read::<CommandBody>(bytes);
     read::<Command>(bytes);
     read::<Reply>(bytes);
     read::<Delta>(bytes);
-    read::<Vec<HeldBack>>(bytes);
+    read::<Vec<QuarantinedRequest>>(bytes);
     Machine::from_snapshot(bytes).ok();
     PlanEdit::unpack(bytes).ok();
 }
 
-fn sighting(number: u64) -> Sighting {
-    Sighting {
+fn observation(number: u64) -> RequestObservation {
+    RequestObservation {
         fingerprint: RequestFingerprint::new(u128::from(number) << 70),
         caller: "clubs".to_owned(),
-        outcome: SeenOutcome::Ended(UpstreamId::new(format!("u{number}"))),
+        outcome: ObservedOutcome::Ended(UpstreamId::new(format!("u{number}"))),
         ago_ms: number * 40,
         seen: None,
     }
@@ -58,14 +63,16 @@
 fn samples() -> Vec<Vec<u8>> {
     let mut machine = Machine::default();
     let document = PlanDocument { version: 7, text: "{\"version\":7}".into() };
-    machine.apply(&Command { at_ms: 9, body: Body::Publish(document) });
-    let repeated = (0..3)
-        .map(|number| Sighting { fingerprint: RequestFingerprint::new(1), ..sighting(number) });
-    let body = Body::NoteSightings(repeated.collect());
+    machine.apply(&Command { at_ms: 9, body: CommandBody::Publish(document) });
+    let repeated = (0..3).map(|number| RequestObservation {
+        fingerprint: RequestFingerprint::new(1),
+        ..observation(number)
+    });
+    let body = CommandBody::NoteSightings(repeated.collect());
     let command = Command { at_ms: 1_000, body };
     let reply = machine.apply(&command);
-    assert_eq!(machine.held_back().len(), 1);
-    let heartbeat = Heartbeat { service: "pool".to_owned(), ..Heartbeat::default() }.named("u");
+    assert_eq!(machine.quarantined().len(), 1);
+    let heartbeat = Heartbeat { service: "pool".to_owned(), ..Heartbeat::default() }.with_name("u");
     let record = Record { heartbeat: heartbeat.clone(), is_silent: true };
     let changes = Changes { cursor: Cursor { life: 3, change: 4 }, records: vec![record] };
     vec![
@@ -82,7 +89,7 @@
 /// No proper prefix of an encoded value may be decoded as a value.
 #[test]
 fn a_truncated_value_is_rejected() {
-    let body = Body::NoteSightings((0..3).map(sighting).collect());
+    let body = CommandBody::NoteSightings((0..3).map(observation).collect());
     let bytes = encode(&Command { at_ms: 1_000, body }).unwrap();
     for length in 0..bytes.len() {
         assert!(decode::<Command>(&bytes[..length]).is_err(), "{length} of {} bytes", bytes.len());
--- a/clayplankd/src/doors/callers.rs
+++ b/clayplankd/src/doors/callers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use clayplank_clock::Instant;
-use clayplank_settings::Effective;
+use clayplank_settings::EffectiveSettings;
 use clayplank_state::SettingsView;
 use clayplank_types::{AccountId, Refusal, RefusalReason, RequestFingerprint, RequestIdentity};
 use clayplank_upstream::ServiceRequest;
@@ -19,7 +19,7 @@
 use crate::doors::serve::{bearer_key, read_body};
 use crate::doors::services::{ServiceCall, is_service_path, run_call};
 use crate::process::clock::millis;
-use crate::process::host::{Host, InProgressGuard};
+use crate::process::host_state::{Host, InProgressGuard};
 
 /// Header with the name of the request's template.
 const TEMPLATE_HEADER: &str = "x-clayplank-template";
@@ -68,13 +68,13 @@
 }
 
 fn identify(host: &Host, request: &Request<Incoming>) -> Option<AccountId> {
-    let view = host.current.view();
+    let view = host.replicated_settings.view();
     view.find_account(bearer_key(request)?).map(|(id, _)| id)
 }
 
 /// Answers the health check; it fails while this host should get no requests.
 pub(crate) fn health(host: &Host) -> Response<Body> {
-    match (host.progress.is_leaving(), host.current.is_confirmed()) {
+    match (host.progress.is_leaving(), host.replicated_settings.is_confirmed()) {
         (true, _) => text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n".to_owned()),
         (false, false) => {
             text(StatusCode::SERVICE_UNAVAILABLE, "settings not confirmed\n".to_owned())
@@ -111,7 +111,7 @@
     if host.progress.is_closed() {
         return reject(RefusalReason::Leaving);
     }
-    let Some(view) = host.current.confirmed() else {
+    let Some(view) = host.replicated_settings.confirmed() else {
         return reject(RefusalReason::SettingsStale);
     };
     let key = bearer_key(request).ok_or(Problem::Unauthorized)?;
@@ -127,9 +127,12 @@
 
 impl Caller {
     /// The effective settings of the request, and its deadline.
-    fn settings_and_deadline(&self, headers: &HeaderMap) -> Result<(Effective, Instant), Problem> {
+    fn settings_and_deadline(
+        &self,
+        headers: &HeaderMap,
+    ) -> Result<(EffectiveSettings, Instant), Problem> {
         let template = header(headers, TEMPLATE_HEADER)?;
-        let effective = self.view.effective(&self.account, template);
+        let effective = self.view.effective_settings(&self.account, template);
         let effective = effective.ok_or_else(|| {
             Problem::Malformed(format!(
                 "{TEMPLATE_HEADER}: there is no template `{}`",
--- a/clayplankd/src/doors/claims.rs
+++ b/clayplankd/src/doors/claims.rs
@@ -2,14 +2,14 @@
 //! once.
 
 use clayplank_clock::Instant;
-use clayplank_state::{Answer, Body, Claim, ClaimHolder, ClaimKey, Reply};
+use clayplank_state::{Claim, ClaimHolder, ClaimKey, CommandBody, Reply, StoredAnswer};
 use clayplank_types::{AccountId, AttemptId, Refusal, RefusalReason};
 
 use crate::doors::replies::Problem;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::millis;
-use crate::process::host::Host;
-use crate::process::logging::part;
+use crate::process::host_state::Host;
+use crate::process::logging::log_target;
 
 /// Retry delay for a request whose claim the keepers did not grant.
 const CLAIM_RETRY_MS: u64 = 1_000;
@@ -23,7 +23,7 @@
     /// The claim is granted: the request may be dispatched once.
     Run(HeldClaim),
     /// The request ran before, with this answer.
-    Repeated(Answer),
+    Repeated(StoredAnswer),
 }
 
 /// A granted claim that this host has to settle or release.
@@ -45,7 +45,7 @@
     let attempt_id = AttemptId::random();
     let key = ClaimKey { account: account.clone(), key: key.to_owned() };
     let held_claim = HeldClaim { key: key.clone(), attempt_id };
-    let body = Body::Claim(Claim {
+    let body = CommandBody::Claim(Claim {
         key,
         fingerprint,
         holder: ClaimHolder { host: host.settings.host.clone(), incarnation: host.incarnation },
@@ -53,7 +53,7 @@
         deadline_in_ms: remaining.as_millis() as u64,
         keep_ms: host.settings.timing.claim_keep_ms,
     });
-    let timeout = remaining.min(KeeperClient::usual_patience(host.settings.timing.election_ms));
+    let timeout = remaining.min(KeeperClient::default_timeout(host.settings.timing.election_ms));
     match host.keepers.execute(&body, timeout).await {
         Ok(Reply::Claimed) if Instant::now() < deadline => Ok(Claimed::Run(held_claim)),
         Ok(Reply::Repeated(answer)) => Ok(Claimed::Repeated(answer)),
@@ -74,9 +74,10 @@
 
 /// Settles a claim. A repeat of the request gets the stored answer from then on, or an error that
 /// the answer is not known.
-pub(crate) async fn settle(host: &Host, held_claim: HeldClaim, answer: Option<Answer>) {
-    let body = Body::Settle { key: held_claim.key, attempt_id: held_claim.attempt_id, answer };
-    let timeout = KeeperClient::usual_patience(host.settings.timing.election_ms);
+pub(crate) async fn settle(host: &Host, held_claim: HeldClaim, answer: Option<StoredAnswer>) {
+    let body =
+        CommandBody::Settle { key: held_claim.key, attempt_id: held_claim.attempt_id, answer };
+    let timeout = KeeperClient::default_timeout(host.settings.timing.election_ms);
     if host.keepers.execute(&body, timeout).await.is_err() {
         // The caller still gets its answer; repeats wait until the claim is settled.
         execute_in_background(host, body);
@@ -87,15 +88,15 @@
 pub(crate) fn release(host: &Host, held_claim: HeldClaim) {
     execute_in_background(
         host,
-        Body::Release { key: held_claim.key, attempt_id: held_claim.attempt_id },
+        CommandBody::Release { key: held_claim.key, attempt_id: held_claim.attempt_id },
     );
 }
 
-fn execute_in_background(host: &Host, body: Body) {
+fn execute_in_background(host: &Host, body: CommandBody) {
     let keepers = host.keepers.clone();
     tokio::spawn(async move {
         if let Err(error) = keepers.execute(&body, millis(SETTLE_TIMEOUT_MS)).await {
-            log::warn!(target: part::CALLERS, "Could not settle or release a claim, which stays open: {error}.");
+            log::warn!(target: log_target::CALLERS, "Could not settle or release a claim, which stays open: {error}.");
         }
     });
 }
--- a/clayplankd/src/doors/completions.rs
+++ b/clayplankd/src/doors/completions.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use clayplank_state::Answer;
+use clayplank_state::StoredAnswer;
 use clayplank_types::Outcome;
 use clayplank_upstream::{Chunk, Finish, ServiceRequest};
 use http::header::{CONTENT_TYPE, HeaderValue};
@@ -20,7 +20,7 @@
 use crate::doors::dispatch::{PromptJob, Sink, run_job};
 use crate::doors::replies::{BodyAborted, Problem, full, json, set_outcome};
 use crate::doors::services::{fingerprint, repeat_response};
-use crate::process::host::{Host, InProgressGuard};
+use crate::process::host_state::{Host, InProgressGuard};
 
 /// Number of chunks buffered for a slow caller before backpressure stops reading from the engine.
 const STREAM_CHUNKS: usize = 64;
@@ -189,7 +189,11 @@
             settle(
                 host,
                 held_claim,
-                Some(Answer { status: 200, content_type, body: body.map(String::into_bytes) }),
+                Some(StoredAnswer {
+                    status: 200,
+                    content_type,
+                    body: body.map(String::into_bytes),
+                }),
             )
             .await;
         }
--- a/clayplankd/src/doors/control_endpoint.rs
+++ b/clayplankd/src/doors/control_endpoint.rs
@@ -8,24 +8,24 @@
 
 use bytes::Bytes;
 use clayplank_forward::now_ms;
-use clayplank_registry::{Heartbeat, Standing};
+use clayplank_registry::{Heartbeat, UpstreamStatus};
 use clayplank_routes::ServingPlan;
 use clayplank_settings::Faults;
-use clayplank_state::{Body, Delta, PlanDocument, Reply};
-use clayplank_types::{DataCentre, HeldBack, HostId, RequestFingerprint};
+use clayplank_state::{CommandBody, Delta, PlanDocument, Reply};
+use clayplank_types::{DataCentre, HostId, QuarantinedRequest, RequestFingerprint};
 use http::{HeaderValue, Request, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use serde_json::Value;
 use xtra::Address;
 
-use crate::doors::contract::{ControlCall, ControlFault, SharedContract};
+use crate::doors::contract::{ControlCall, ControlError, SharedContract};
 use crate::fleet::fleet_keeper::FleetKeeper;
-use crate::fleet::spread::Spread;
+use crate::fleet::heartbeat_relay::HeartbeatRelay;
 use crate::keepers::keeper::Keeper;
 use crate::keepers::keeper_client::KeeperClient;
-use crate::keepers::keeper_messages::WhoLeads;
-use crate::process::logging::part;
+use crate::keepers::keeper_messages::GetLeader;
+use crate::process::logging::log_target;
 
 /// Size limit of a body, such as a plan, in bytes; the platform's plans stay below four megabytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
@@ -68,7 +68,7 @@
     pub(crate) contract: SharedContract,
     pub(crate) keepers: KeeperClient,
     pub(crate) registry: RegistryAccess,
-    pub(crate) spread: Spread,
+    pub(crate) heartbeat_relay: HeartbeatRelay,
     /// Data centres of the deployment; empty if the settings do not name them.
     pub(crate) data_centres: Arc<[DataCentre]>,
 }
@@ -83,18 +83,18 @@
             Ok(body) => body.to_bytes(),
             Err(error) => return fault(StatusCode::BAD_REQUEST, &format!("the body: {error}")),
         };
-        match self.contract.scan_call(&head.method, head.uri.path(), &body) {
+        match self.contract.parse_call(&head.method, head.uri.path(), &body) {
             Ok(ControlCall::Publish(plan)) => self.publish(&plan, &body).await,
             Ok(ControlCall::ReadPlan) => self.read_plan().await,
             Ok(ControlCall::Heartbeat(heartbeat)) => self.apply_heartbeat(heartbeat).await,
-            Ok(ControlCall::Leave(departed)) => self.apply_departure(departed).await,
-            Ok(ControlCall::ReadHeldBack) => self.list_quarantined().await,
-            Ok(ControlCall::Lift(fingerprint)) => self.lift_quarantine(fingerprint).await,
-            Ok(ControlCall::ReadCordoned) => self.read_cordoned().await,
+            Ok(ControlCall::Depart(departed)) => self.apply_departure(departed).await,
+            Ok(ControlCall::ListQuarantined) => self.list_quarantined().await,
+            Ok(ControlCall::LiftQuarantine(fingerprint)) => self.lift_quarantine(fingerprint).await,
+            Ok(ControlCall::ListCordons) => self.read_cordoned().await,
             Ok(ControlCall::Cordon(data_centre)) => self.cordon(data_centre).await,
             Ok(ControlCall::Uncordon(data_centre)) => self.uncordon(data_centre).await,
-            Err(ControlFault::NotFound) => fault(StatusCode::NOT_FOUND, "no such call"),
-            Err(ControlFault::Malformed(faults)) => malformed(&faults),
+            Err(ControlError::NotFound) => fault(StatusCode::NOT_FOUND, "no such call"),
+            Err(ControlError::Malformed(faults)) => malformed(&faults),
         }
     }
 
@@ -104,7 +104,7 @@
             return fault(StatusCode::BAD_REQUEST, "the body is not UTF-8");
         };
         let document = PlanDocument { version: plan.version, text: text.into() };
-        let reply = self.keepers.execute(&Body::Publish(document), QUORUM_TIMEOUT).await;
+        let reply = self.keepers.execute(&CommandBody::Publish(document), QUORUM_TIMEOUT).await;
         let (answer, outcome) = match &reply {
             Ok(Reply::Published { .. }) => (empty(StatusCode::OK), "published"),
             Ok(Reply::OtherPlan) => {
@@ -114,7 +114,7 @@
             Ok(_) => (fault(StatusCode::INTERNAL_SERVER_ERROR, "an unfit reply"), "unfit"),
             Err(_) => (fault(StatusCode::SERVICE_UNAVAILABLE, "no quorum in time"), "no_quorum"),
         };
-        log::info!(target: part::KEEPER,
+        log::info!(target: log_target::KEEPER,
             version = plan.version, outcome = outcome, took_ms = now_ms() - started_ms,
             bytes = body.len();
             "An operator sent a plan");
@@ -127,7 +127,7 @@
         match self.keepers.watch(&self.local_host, 0, QUORUM_TIMEOUT).await {
             Ok((delta, _)) => Ok(delta),
             Err(error) => {
-                log::info!(target: part::KEEPER, "{what} not available from a quorum: {error}.");
+                log::info!(target: log_target::KEEPER, "{what} not available from a quorum: {error}.");
                 Err(Box::new(fault(StatusCode::SERVICE_UNAVAILABLE, "no quorum in time")))
             }
         }
@@ -155,7 +155,7 @@
     }
 
     async fn lift_quarantine(&self, fingerprint: RequestFingerprint) -> Answer {
-        let reply = self.keepers.execute(&Body::Lift(fingerprint), QUORUM_TIMEOUT).await;
+        let reply = self.keepers.execute(&CommandBody::Lift(fingerprint), QUORUM_TIMEOUT).await;
         let (answer, outcome) = match &reply {
             Ok(Reply::Lifted { was_held_back: true }) => (empty(StatusCode::OK), "lifted"),
             Ok(Reply::Lifted { was_held_back: false }) => {
@@ -164,21 +164,21 @@
             Ok(_) => (fault(StatusCode::INTERNAL_SERVER_ERROR, "an unfit reply"), "unfit"),
             Err(_) => (fault(StatusCode::SERVICE_UNAVAILABLE, "no quorum in time"), "no_quorum"),
         };
-        log::info!(target: part::KEEPER,
+        log::info!(target: log_target::KEEPER,
             fingerprint:% = fingerprint, outcome = outcome;
             "An operator lifted the quarantine of a request");
         answer
     }
 
     async fn apply_heartbeat(&self, heartbeat: Heartbeat) -> Answer {
-        let accepts_requests = heartbeat.standing == Standing::Ready;
+        let accepts_requests = heartbeat.standing == UpstreamStatus::Ready;
         if let RegistryAccess::Local { fleet, .. } = &self.registry {
             fleet.apply(std::slice::from_ref(&heartbeat));
         }
         if !accepts_requests {
             return self.notify_leader(&heartbeat).await;
         }
-        self.spread.push(heartbeat);
+        self.heartbeat_relay.queue_heartbeat(heartbeat);
         match self.leader().await {
             Some(_) => empty(StatusCode::OK),
             // This host may be partitioned from the keepers: the upstream should try another host.
@@ -189,9 +189,9 @@
     /// The leading keeper, as far as this host knows.
     async fn leader(&self) -> Option<HostId> {
         let RegistryAccess::Local { keeper, .. } = &self.registry else {
-            return self.keepers.leader_heard_within(MAX_LEADER_CONTACT_AGE_MS);
+            return self.keepers.recent_leader(MAX_LEADER_CONTACT_AGE_MS);
         };
-        match clayplank_clock::timeout(LOCAL_KEEPER_TIMEOUT, keeper.send(WhoLeads)).await {
+        match clayplank_clock::timeout(LOCAL_KEEPER_TIMEOUT, keeper.send(GetLeader)).await {
             Ok(leader) => leader.ok().flatten(),
             Err(_) => self.keepers.leader().filter(|leader| *leader != self.local_host),
         }
@@ -199,7 +199,7 @@
 
     async fn apply_departure(&self, departed: Heartbeat) -> Answer {
         let departed = match &self.registry {
-            RegistryAccess::Local { fleet, .. } => fleet.leave(&departed),
+            RegistryAccess::Local { fleet, .. } => fleet.record_departure(&departed),
             // The keepers determine the incarnation.
             RegistryAccess::Remote => departed,
         };
@@ -210,7 +210,7 @@
     /// once the leader has received it.
     async fn notify_leader(&self, heartbeat: &Heartbeat) -> Answer {
         let leader = self.leader().await;
-        if self.spread.push_urgent(heartbeat, leader.as_ref()).await {
+        if self.heartbeat_relay.relay_now(heartbeat, leader.as_ref()).await {
             empty(StatusCode::OK)
         } else {
             fault(StatusCode::SERVICE_UNAVAILABLE, "the leading keeper does not know yet")
@@ -218,7 +218,7 @@
     }
 }
 
-fn quarantined_json(quarantined: &HeldBack) -> Value {
+fn quarantined_json(quarantined: &QuarantinedRequest) -> Value {
     serde_json::json!({
         "fingerprint": quarantined.fingerprint.to_string(),
         "caller": quarantined.caller,
@@ -247,7 +247,7 @@
 fn malformed(faults: &Faults) -> Answer {
     // The faults may quote the body, which may be long.
     let shown: String = faults.to_string().chars().take(MAX_LOGGED_CHARS).collect();
-    log::info!(target: part::KEEPER, faults = shown; "Rejected a malformed call");
+    log::info!(target: log_target::KEEPER, faults = shown; "Rejected a malformed call");
     let body = serde_json::json!({ "error": "the body is wrong", "faults": faults });
     json(StatusCode::BAD_REQUEST, Bytes::from(body.to_string()))
 }
--- a/clayplankd/src/doors/dispatch.rs
+++ b/clayplankd/src/doors/dispatch.rs
@@ -5,21 +5,23 @@
 use std::sync::Arc;
 
 use clayplank_clock::Instant;
-use clayplank_schedule::{Ask, Usage};
-use clayplank_settings::Effective;
+use clayplank_schedule::{ReservationRequest, Usage};
+use clayplank_settings::EffectiveSettings;
 use clayplank_types::{AccountId, AttemptId, PREFIX_BLOCK_TOKENS, UpstreamId, prefix_hashes};
 use clayplank_upstream::{
-    AnswerStream, Chunk, CompletionRef, EdgeError, Finish, KvHandle, RelayOptions,
+    AnswerOptions, AnswerStream, Chunk, CompletionRequest, Finish, KvHandle, UpstreamError,
 };
 use tokio::sync::mpsc;
 
 use crate::doors::account_limits::AccountPermit;
 use crate::doors::quarantine::Identity;
 use crate::doors::replies::Problem;
-use crate::owners::reserve::{Held, finish, new_ask, reserve, tell_first_token};
+use crate::owners::reservations::{
+    OwnedGrant, finish_grant, new_request, notify_first_token, reserve,
+};
 use crate::process::clock::millis;
-use crate::process::host::Host;
-use crate::process::logging::part;
+use crate::process::host_state::Host;
+use crate::process::logging::log_target;
 use crate::process::metrics::Span;
 
 /// Limit of attempts of one request, including the first.
@@ -30,7 +32,7 @@
 pub(crate) struct PromptJob {
     pub(crate) account: AccountId,
     pub(crate) share: u64,
-    pub(crate) effective: Effective,
+    pub(crate) effective: EffectiveSettings,
     pub(crate) model: String,
     pub(crate) prompt: String,
     pub(crate) prompt_tokens: u64,
@@ -78,7 +80,7 @@
 #[derive(Debug)]
 enum AttemptError {
     /// Provably, no engine has started the attempt.
-    NotBegun,
+    NotStarted,
     /// The attempt broke off after it started, or may have started.
     Broken(String),
     /// The caller disconnected.
@@ -131,17 +133,17 @@
         }
         excluded.extend(reservation.grant.parts.iter().map(|part| part.engine.clone()));
         let is_safe = match &error {
-            AttemptError::NotBegun => true,
+            AttemptError::NotStarted => true,
             AttemptError::Broken(_) => {
                 job.effective.repeatable && sink.reset(progress.output_tokens > 0)
             }
             AttemptError::CallerLeft | AttemptError::DeadlineOver => false,
         };
-        may_have_run |= !matches!(error, AttemptError::NotBegun);
+        may_have_run |= !matches!(error, AttemptError::NotStarted);
         if !is_safe || attempt_count >= MAX_ATTEMPTS || !permit.spend_retry() {
             return Err(to_problem(error, may_have_run));
         }
-        log::info!(target: part::CALLERS,
+        log::info!(target: log_target::CALLERS,
             "Attempt {} failed and is retried: {error:?}.", reservation.grant.attempt_id);
     }
     Err(Problem::Failed("no try was left".to_owned()))
@@ -149,7 +151,7 @@
 
 /// Records that an attempt broke off at the last engine of its grant, the one that generates the
 /// answer.
-fn record_break(host: &Host, job: &PromptJob, reservation: &Held) {
+fn record_break(host: &Host, job: &PromptJob, reservation: &OwnedGrant) {
     let engine = reservation.grant.parts.last().map(|part| &part.engine);
     let address = engine.and_then(|engine| host.addresses.get(engine));
     if let (Some(engine), Some(&address)) = (engine, address) {
@@ -160,8 +162,8 @@
 
 fn to_problem(error: AttemptError, may_have_run: bool) -> Problem {
     match error {
-        AttemptError::NotBegun if may_have_run => Problem::Failed("an engine failed".to_owned()),
-        AttemptError::NotBegun => {
+        AttemptError::NotStarted if may_have_run => Problem::Failed("an engine failed".to_owned()),
+        AttemptError::NotStarted => {
             let reason = clayplank_types::RefusalReason::UpstreamRefused;
             Problem::Refused(clayplank_types::Refusal::new(reason, 500))
         }
@@ -173,7 +175,11 @@
     }
 }
 
-fn reservation_request(host: &Host, job: &PromptJob, excluded: &[UpstreamId]) -> Ask {
+fn reservation_request(
+    host: &Host,
+    job: &PromptJob,
+    excluded: &[UpstreamId],
+) -> ReservationRequest {
     let bytes_per_block = job.prompt.len() as u64 * PREFIX_BLOCK_TOKENS / job.prompt_tokens.max(1);
     let block_bytes = host
         .settings
@@ -181,13 +187,13 @@
         .bytes(PREFIX_BLOCK_TOKENS)
         .min(bytes_per_block.max(1) as usize);
     let mut request =
-        new_ask(AttemptId::random(), job.account.clone(), &job.model, job.prompt_tokens);
-    request.share = job.share;
+        new_request(AttemptId::random(), job.account.clone(), &job.model, job.prompt_tokens);
+    request.weight = job.share;
     request.priority = job.effective.priority;
     request.adapter = job.effective.adapter.clone();
     request.max_output_tokens = job.max_tokens;
     request.prefix_hashes = prefix_hashes(job.prompt.as_bytes(), block_bytes);
-    request.avoid = excluded.to_vec();
+    request.avoided_engines = excluded.to_vec();
     request
 }
 
@@ -195,7 +201,7 @@
 async fn run_attempt(
     host: &Host,
     job: &PromptJob,
-    reservation: &Held,
+    reservation: &OwnedGrant,
     sink: &mut Sink,
     progress: &mut Progress,
 ) -> Result<Finish, AttemptError> {
@@ -209,16 +215,16 @@
         Err(_) => Err(AttemptError::DeadlineOver),
     };
     let engine_ended = match (&result, reservation.grant.parts.len()) {
-        (Ok(_), 1) | (Err(AttemptError::NotBegun), 1) => true,
+        (Ok(_), 1) | (Err(AttemptError::NotStarted), 1) => true,
         // The other engines of a gang keep their part of the prompt until it is cancelled.
         _ => cancel_parts(host, reservation).await,
     };
     let (first, last) = (progress.first_token, progress.last_token);
     let decode_ms = first.zip(last).map_or(0, |(first, last)| (last - first).as_millis() as u64);
-    let engine_failed = matches!(result, Err(AttemptError::Broken(_) | AttemptError::NotBegun));
+    let engine_failed = matches!(result, Err(AttemptError::Broken(_) | AttemptError::NotStarted));
     let usage =
         Usage { engine_ended, engine_failed, output_tokens: progress.output_tokens, decode_ms };
-    finish(host, reservation, usage).await;
+    finish_grant(host, reservation, usage).await;
     if result.is_ok() {
         host.metrics.record(
             &job.account,
@@ -231,7 +237,7 @@
 }
 
 /// Cancels the attempt at every engine; true if each of them confirmed it.
-async fn cancel_parts(host: &Host, reservation: &Held) -> bool {
+async fn cancel_parts(host: &Host, reservation: &OwnedGrant) -> bool {
     let mut all_ended = true;
     for part in &reservation.grant.parts {
         let Some(&address) = host.addresses.get(&part.engine) else {
@@ -245,7 +251,7 @@
 async fn relay(
     host: &Host,
     job: &PromptJob,
-    reservation: &Held,
+    reservation: &OwnedGrant,
     sink: &mut Sink,
     progress: &mut Progress,
 ) -> Result<Finish, AttemptError> {
@@ -270,7 +276,7 @@
     }
 }
 
-fn record_token(host: &Host, job: &PromptJob, reservation: &Held, progress: &mut Progress) {
+fn record_token(host: &Host, job: &PromptJob, reservation: &OwnedGrant, progress: &mut Progress) {
     let now = Instant::now();
     match progress.last_token {
         None => {
@@ -289,10 +295,10 @@
 }
 
 impl Host {
-    fn report_first_token_in_background(&self, reservation: &Held) {
+    fn report_first_token_in_background(&self, reservation: &OwnedGrant) {
         if let Some(host) = self.shared() {
             let reservation = reservation.clone();
-            tokio::spawn(async move { tell_first_token(&host, &reservation).await });
+            tokio::spawn(async move { notify_first_token(&host, &reservation).await });
         }
     }
 }
@@ -302,7 +308,7 @@
 async fn start(
     host: &Host,
     job: &PromptJob,
-    reservation: &Held,
+    reservation: &OwnedGrant,
 ) -> Result<AnswerStream, AttemptError> {
     let attempt_id = reservation.grant.attempt_id;
     let remaining = job.deadline.saturating_duration_since(Instant::now());
@@ -311,7 +317,7 @@
     let mut last_address = None;
     for (position, part) in reservation.grant.parts.iter().enumerate() {
         let address = engine_address(host, &part.engine)?;
-        let completion = CompletionRef {
+        let completion = CompletionRequest {
             attempt_id,
             model: &job.model,
             adapter: job.effective.adapter.as_deref(),
@@ -337,28 +343,28 @@
                 .map_err(|error| classify(&error))?,
         ));
     }
-    let (address, response) = last_address.ok_or(AttemptError::NotBegun)?;
-    let options = RelayOptions {
-        silence: millis(host.settings.timing.upstream_silence_ms),
-        ..RelayOptions::default()
+    let (address, response) = last_address.ok_or(AttemptError::NotStarted)?;
+    let options = AnswerOptions {
+        event_timeout: millis(host.settings.timing.upstream_silence_ms),
+        ..AnswerOptions::default()
     };
     Ok(AnswerStream::new(Arc::clone(&host.engines), address, attempt_id, response, options))
 }
 
 fn engine_address(host: &Host, engine: &UpstreamId) -> Result<SocketAddr, AttemptError> {
-    host.addresses.get(engine).copied().ok_or(AttemptError::NotBegun)
+    host.addresses.get(engine).copied().ok_or(AttemptError::NotStarted)
 }
 
-fn classify(error: &EdgeError) -> AttemptError {
-    if error.proves_not_begun() {
-        AttemptError::NotBegun
+fn classify(error: &UpstreamError) -> AttemptError {
+    if error.proves_not_started() {
+        AttemptError::NotStarted
     } else {
         AttemptError::Broken(error.to_string())
     }
 }
 
 /// Splits the prompt, at character boundaries, into the parts that the engines of a gang prefill.
-fn split_prompt<'a>(prompt: &'a str, reservation: &Held) -> Vec<&'a str> {
+fn split_prompt<'a>(prompt: &'a str, reservation: &OwnedGrant) -> Vec<&'a str> {
     let total_tokens: u64 = reservation.grant.parts.iter().map(|part| part.prompt_tokens).sum();
     let mut remainder = prompt;
     let mut parts = Vec::new();
--- a/clayplankd/src/doors/quarantine.rs
+++ b/clayplankd/src/doors/quarantine.rs
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 
 use clayplank_clock::Instant;
-use clayplank_forward::{Break, EndCause, has_stopped_listening};
+use clayplank_forward::{BrokenRequest, TerminationEvidence, has_stopped_listening};
 use clayplank_types::{Refusal, RefusalReason, RequestFingerprint, UpstreamId};
 
-use crate::process::host::Host;
-use crate::process::logging::part;
+use crate::process::host_state::Host;
+use crate::process::logging::log_target;
 
 /// Identity of a request, by which a repeat of it is recognized.
 #[derive(Clone, Debug)]
@@ -30,13 +30,13 @@
     ) -> Result<(), Refusal> {
         let fingerprint = identity.fingerprint;
         let quarantined_for_ms = match is_first_attempt {
-            true => self.suspicion.let_through(fingerprint).await.err(),
-            false => self.suspicion.held_for(fingerprint).map(|span| span.as_millis() as u64),
+            true => self.quarantine.admit(fingerprint).await.err(),
+            false => self.quarantine.time_to_trial(fingerprint).map(|span| span.as_millis() as u64),
         };
         let Some(retry_after_ms) = quarantined_for_ms else {
             return Ok(());
         };
-        log::info!(target: part::CALLERS,
+        log::info!(target: log_target::CALLERS,
             fingerprint:% = fingerprint;
             "Does not send a request that is held back");
         Err(Refusal::new(RefusalReason::HeldBack, retry_after_ms))
@@ -55,13 +55,13 @@
             return;
         };
         let Identity { fingerprint, caller } = identity.clone();
-        let broken_attempt = Break { fingerprint, caller, at: Instant::now() };
+        let broken_attempt = BrokenRequest { fingerprint, caller, at: Instant::now() };
         let upstream_incarnation = UpstreamId::new(format!("{upstream}@{attempt}"));
         tokio::spawn(async move {
             if has_stopped_listening(address).await {
-                host.suspicion.note_upstream_ended(
+                host.quarantine.report_termination(
                     &upstream_incarnation,
-                    EndCause::Refused,
+                    TerminationEvidence::Refused,
                     vec![broken_attempt],
                 );
             }
@@ -70,6 +70,6 @@
 
     /// Records that an upstream answered a request completely.
     pub(crate) fn record_answered(&self, identity: &Identity) {
-        self.suspicion.note_answered(identity.fingerprint, &identity.caller);
+        self.quarantine.note_answered(identity.fingerprint, &identity.caller);
     }
 }
--- a/clayplankd/src/doors/services.rs
+++ b/clayplankd/src/doors/services.rs
@@ -8,9 +8,9 @@
 use bytes::Bytes;
 use clayplank_clock::Instant;
 use clayplank_settings::ServiceSettings;
-use clayplank_state::Answer;
+use clayplank_state::StoredAnswer;
 use clayplank_types::{AccountId, AttemptId, Outcome, Refusal, RefusalReason, UpstreamId};
-use clayplank_upstream::{EdgeError, ServiceAnswer, ServiceRequest, forward};
+use clayplank_upstream::{ServiceAnswer, ServiceRequest, UpstreamError, forward};
 use http::header::{CONTENT_TYPE, HeaderValue};
 use http::{Response, StatusCode};
 use siphasher::sip128::{Hasher128, SipHasher13};
@@ -18,7 +18,7 @@
 use crate::doors::account_limits::AccountPermit;
 use crate::doors::claims::{Claimed, claim, release, settle};
 use crate::doors::replies::{Body, Problem, full, set_outcome};
-use crate::process::host::Host;
+use crate::process::host_state::Host;
 
 /// Retry delay while no service can take a call.
 const BUSY_RETRY_MS: u64 = 200;
@@ -141,13 +141,13 @@
                 }
                 Err(error) => error,
             };
-        if !error.proves_not_begun() {
+        if !error.proves_not_started() {
             let attempt_id = AttemptId::random().to_string();
             host.record_break(&call.identity, &service.id, service.address, &attempt_id);
         }
         excluded.push(service.id.clone());
-        may_have_run |= !error.proves_not_begun();
-        let is_safe = error.proves_not_begun() || call.is_repeatable;
+        may_have_run |= !error.proves_not_started();
+        let is_safe = error.proves_not_started() || call.is_repeatable;
         let in_time = Instant::now() < call.deadline;
         if !is_safe || !in_time || attempt_count == MAX_ATTEMPTS || !permit.spend_retry() {
             return Err(to_problem(&error, may_have_run));
@@ -156,7 +156,7 @@
     Err(Problem::Unknown("no service gave an answer".to_owned()))
 }
 
-fn to_problem(error: &EdgeError, may_have_run: bool) -> Problem {
+fn to_problem(error: &UpstreamError, may_have_run: bool) -> Problem {
     match may_have_run {
         true => Problem::Unknown(error.to_string()),
         false => Problem::Refused(Refusal::new(RefusalReason::UpstreamRefused, BUSY_RETRY_MS)),
@@ -199,10 +199,10 @@
     hasher.finish128().as_u128()
 }
 
-fn to_stored(answer: &ServiceAnswer) -> Answer {
+fn to_stored(answer: &ServiceAnswer) -> StoredAnswer {
     let content_type =
         answer.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).map(str::to_owned);
-    Answer { status: answer.status, content_type, body: Some(answer.body.to_vec()) }
+    StoredAnswer { status: answer.status, content_type, body: Some(answer.body.to_vec()) }
 }
 
 fn to_response(answer: &ServiceAnswer) -> Response<Body> {
@@ -217,7 +217,7 @@
 const REPEATED_HEADER: &str = "x-clayplank-repeated";
 
 /// The stored answer of the first run; without its body if that was too large to store.
-pub(crate) fn repeat_response(answer: Answer) -> Response<Body> {
+pub(crate) fn repeat_response(answer: StoredAnswer) -> Response<Body> {
     let mut response = Response::new(full(Bytes::from(answer.body.unwrap_or_default())));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     if let Some(value) = answer.content_type.and_then(|text| HeaderValue::from_str(&text).ok()) {
--- a/clayplankd/src/fleet/spread.rs
+++ b/clayplankd/src/fleet/heartbeat_relay.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clayplank_registry::{AgedLimit, Heartbeat, ObservedLimit};
+use clayplank_registry::{AgedLimit, Heartbeat, LimitObservation};
 use clayplank_state::encode;
 use clayplank_types::{HostId, UpstreamId};
 use clayplank_wire::SpreadRequest;
@@ -13,8 +13,8 @@
 
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::now_ms;
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 use crate::process::peers::Peers;
 
 /// Interval at which a keeper sends the collected heartbeats, in one call to each other keeper.
@@ -34,21 +34,21 @@
 
 /// Queue of heartbeats and limits for the other keepers.
 #[derive(Clone, Debug)]
-pub(crate) struct Spread {
+pub(crate) struct HeartbeatRelay {
     local_host: HostId,
     peers: Peers,
     keepers: KeeperClient,
     pending: Arc<Mutex<Vec<Heartbeat>>>,
-    pending_limits: Arc<Mutex<BTreeMap<UpstreamId, ObservedLimit>>>,
+    pending_limits: Arc<Mutex<BTreeMap<UpstreamId, LimitObservation>>>,
 }
 
-impl Spread {
+impl HeartbeatRelay {
     pub(crate) fn new(local_host: HostId, peers: Peers, keepers: KeeperClient) -> Self {
         Self { local_host, peers, keepers, pending: Arc::default(), pending_limits: Arc::default() }
     }
 
     fn take_pending(&self) -> Vec<Heartbeat> {
-        std::mem::take(&mut *lock(&self.pending))
+        std::mem::take(&mut *lock_ignoring_poison(&self.pending))
     }
 
     /// Tries the keepers in random order until one accepts the heartbeats.
@@ -60,39 +60,41 @@
                 return;
             }
         }
-        log::warn!(target: part::KEEPER, heartbeats = heartbeats.len(); "No keeper accepted the collected heartbeats");
+        log::warn!(target: log_target::KEEPER, heartbeats = heartbeats.len(); "No keeper accepted the collected heartbeats");
     }
 
     fn peer_keepers(&self) -> Vec<HostId> {
-        let mut hosts = self.keepers.hosts();
+        let mut hosts = self.keepers.keepers();
         hosts.retain(|host| *host != self.local_host);
         hosts
     }
 
     /// Queues a heartbeat for the next call.
-    pub(crate) fn push(&self, heartbeat: Heartbeat) {
-        lock(&self.pending).push(heartbeat);
+    pub(crate) fn queue_heartbeat(&self, heartbeat: Heartbeat) {
+        lock_ignoring_poison(&self.pending).push(heartbeat);
     }
 
     /// Queues a limit for the next call. It replaces an earlier one of the same upstream.
-    pub(crate) fn push_limit(&self, limit: ObservedLimit) {
-        lock(&self.pending_limits).insert(limit.upstream.clone(), limit);
+    pub(crate) fn queue_limit(&self, limit: LimitObservation) {
+        lock_ignoring_poison(&self.pending_limits).insert(limit.upstream.clone(), limit);
     }
 
     fn take_pending_limits(&self) -> Vec<AgedLimit> {
-        let limits = std::mem::take(&mut *lock(&self.pending_limits));
+        let limits = std::mem::take(&mut *lock_ignoring_poison(&self.pending_limits));
         limits.values().map(|limit| limit.to_aged(now_ms())).collect()
     }
 
     /// Relays immediately that an upstream accepts no new work. Returns whether the leader knows
     /// it, from which the entry hosts learn it.
-    pub(crate) async fn push_urgent(&self, heartbeat: &Heartbeat, leader: Option<&HostId>) -> bool {
+    pub(crate) async fn relay_now(&self, heartbeat: &Heartbeat, leader: Option<&HostId>) -> bool {
         let hosts: Vec<_> =
             self.peer_keepers().into_iter().filter(|host| Some(host) != leader).collect();
         for host in hosts {
-            let spread = self.clone();
+            let heartbeat_relay = self.clone();
             let heartbeat = heartbeat.clone();
-            tokio::spawn(async move { spread.send(&host, &[heartbeat], CALL_TIMEOUT).await });
+            tokio::spawn(
+                async move { heartbeat_relay.send(&host, &[heartbeat], CALL_TIMEOUT).await },
+            );
         }
         match leader {
             Some(leader) if *leader == self.local_host => true,
@@ -127,40 +129,41 @@
             .call(host, timeout, |mut client| async move { client.spread(request).await })
             .await;
         if let Err(error) = &sent {
-            log::debug!(target: part::KEEPER, "Failed to relay heartbeats to {host}: {error}.");
+            log::debug!(target: log_target::KEEPER, "Failed to relay heartbeats to {host}: {error}.");
         }
         sent.is_ok()
     }
 }
 
 /// Relays what a keeper collected to all other keepers, at a fixed interval.
-pub(crate) async fn run_spread(spread: Spread) {
+pub(crate) async fn run_heartbeat_relay(heartbeat_relay: HeartbeatRelay) {
     loop {
         clayplank_clock::sleep(BATCH_INTERVAL).await;
-        let (heartbeats, limits) = (spread.take_pending(), spread.take_pending_limits());
+        let (heartbeats, limits) =
+            (heartbeat_relay.take_pending(), heartbeat_relay.take_pending_limits());
         if heartbeats.is_empty() && limits.is_empty() {
             continue;
         }
         let (Ok(heartbeats), Ok(limits)) = (encode(&heartbeats), encode(&limits)) else {
-            log::error!(target: part::KEEPER, "Failed to encode heartbeats and limits for relaying.");
+            log::error!(target: log_target::KEEPER, "Failed to encode heartbeats and limits for relaying.");
             continue;
         };
         let request = SpreadRequest { heartbeats, limits, passes_on: false };
-        for host in spread.peer_keepers() {
-            let (spread, request) = (spread.clone(), request.clone());
-            tokio::spawn(async move { spread.call(&host, request, CALL_TIMEOUT).await });
+        for host in heartbeat_relay.peer_keepers() {
+            let (heartbeat_relay, request) = (heartbeat_relay.clone(), request.clone());
+            tokio::spawn(async move { heartbeat_relay.call(&host, request, CALL_TIMEOUT).await });
         }
     }
 }
 
 /// Sends what a host without a disk collected to one keeper, which relays it to the others.
-pub(crate) async fn run_spread_to_one(spread: Spread) {
+pub(crate) async fn run_diskless_heartbeat_relay(heartbeat_relay: HeartbeatRelay) {
     loop {
         clayplank_clock::sleep(DISKLESS_BATCH_INTERVAL).await;
-        let collected = spread.take_pending();
+        let collected = heartbeat_relay.take_pending();
         if !collected.is_empty() {
-            let spread = spread.clone();
-            tokio::spawn(async move { spread.send_to_one_keeper(&collected).await });
+            let heartbeat_relay = heartbeat_relay.clone();
+            tokio::spawn(async move { heartbeat_relay.send_to_one_keeper(&collected).await });
         }
     }
 }
--- a/clayplankd/src/fleet/limit_reports.rs
+++ b/clayplankd/src/fleet/limit_reports.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use clayplank_placement::{Event, PlacementId};
-use clayplank_registry::{AgedLimit, ObservedLimit};
+use clayplank_registry::{AgedLimit, LimitObservation};
 use clayplank_state::encode;
 use clayplank_types::UpstreamId;
 use clayplank_wire::ReportRequest;
 use tokio::sync::mpsc;
 
-use crate::fleet::fleet_link::FleetLink;
+use crate::fleet::placement_client::PlacementClient;
 use crate::process::clock::now_ms;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Time for which limits are collected into one call.
 const BATCH_DELAY: Duration = Duration::from_millis(15);
@@ -25,13 +25,13 @@
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Newest limit of each upstream that no keeper has accepted yet.
-type PendingLimits = BTreeMap<UpstreamId, ObservedLimit>;
+type PendingLimits = BTreeMap<UpstreamId, LimitObservation>;
 
 /// Reports limits, and repeats them until a keeper accepts them: a single answer of the upstream
 /// may be the only one that shows that a limit was lifted.
 pub(crate) async fn run_limit_reports(
-    link: Arc<FleetLink>,
-    mut observed: mpsc::UnboundedReceiver<ObservedLimit>,
+    placement_client: Arc<PlacementClient>,
+    mut observed: mpsc::UnboundedReceiver<LimitObservation>,
 ) {
     let mut pending = PendingLimits::new();
     loop {
@@ -45,7 +45,7 @@
         while let Ok(next) = observed.try_recv() {
             pending.insert(next.upstream.clone(), next);
         }
-        if report(&link, &pending).await {
+        if report(&placement_client, &pending).await {
             pending.clear();
         } else {
             clayplank_clock::sleep(RETRY_DELAY).await;
@@ -54,22 +54,22 @@
 }
 
 /// Sends the limits to the keeper that places prompts. Returns whether it accepted them.
-async fn report(link: &FleetLink, pending: &PendingLimits) -> bool {
+async fn report(placement_client: &PlacementClient, pending: &PendingLimits) -> bool {
     let now_ms = now_ms();
     let limits: Vec<AgedLimit> = pending.values().map(|one| one.to_aged(now_ms)).collect();
     let no_events: Vec<(PlacementId, Event)> = Vec::new();
     let (Some(keeper), Ok(events), Ok(limits)) =
-        (link.placing_keeper(), encode(&no_events), encode(&limits))
+        (placement_client.placing_keeper(), encode(&no_events), encode(&limits))
     else {
         return false;
     };
     let request = ReportRequest { events, limits, ..ReportRequest::default() };
-    let sent = link
+    let sent = placement_client
         .peers()
         .call(&keeper, REPORT_TIMEOUT, |mut client| async move { client.report(request).await })
         .await;
     if let Err(error) = &sent {
-        log::debug!(target: part::MEMBERS, "Failed to report limits of upstreams, retries: {error}.");
+        log::debug!(target: log_target::MEMBERS, "Failed to report limits of upstreams, retries: {error}.");
     }
     sent.is_ok()
 }
--- a/clayplankd/src/fleet/fleet_link.rs
+++ b/clayplankd/src/fleet/placement_client.rs
@@ -6,9 +6,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clayplank_forward::{BoxFuture, Placer, Turn};
-use clayplank_placement::{Ask, Event, Fleet, Placed, PlacementId, Renewed};
-use clayplank_registry::{ObservedLimit, Record};
+use clayplank_forward::{BoxFuture, PermitReply, Placer};
+use clayplank_placement::{
+    Event, Fleet, PlacementId, PlacementOutcome, PlacementRequest, RunningPlacement,
+};
+use clayplank_registry::{LimitObservation, Record};
 use clayplank_routes::PlanIndex;
 use clayplank_state::{decode, encode};
 use clayplank_types::{DataCentre, HostId};
@@ -18,9 +20,9 @@
 use crate::fleet::fleet_engines::{set_cordoned, set_engines, update_engines};
 use crate::fleet::unreachable::Unreachable;
 use crate::keepers::keeper_client::KeeperClient;
-use crate::process::clock::{fleet_now_ms, millis, now_ms};
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::clock::{millis, monotonic_now_ms, now_ms};
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 use crate::process::peers::Peers;
 
 /// Time-out of a placement or permit request to a keeper. Without an answer, the host decides by
@@ -41,11 +43,11 @@
 #[derive(Debug)]
 pub(crate) struct Reports {
     pub(crate) events: mpsc::UnboundedReceiver<(PlacementId, Event)>,
-    pub(crate) limits: mpsc::UnboundedReceiver<ObservedLimit>,
+    pub(crate) limits: mpsc::UnboundedReceiver<LimitObservation>,
 }
 
 /// Link of an entry host to the keepers that place its prompts, shared by all its requests.
-pub(crate) struct FleetLink {
+pub(crate) struct PlacementClient {
     /// Incarnation of the host in the ids of its placements: a random number chosen at its start.
     incarnation: u64,
     next_number: AtomicU64,
@@ -54,24 +56,24 @@
     /// Engines as known to this host, for placements while no keeper answers.
     local_fleet: Mutex<Fleet>,
     /// Placements of this host that are still running.
-    active: Mutex<HashMap<PlacementId, Renewed>>,
+    active: Mutex<HashMap<PlacementId, RunningPlacement>>,
     events: mpsc::UnboundedSender<(PlacementId, Event)>,
-    limits: mpsc::UnboundedSender<ObservedLimit>,
+    limits: mpsc::UnboundedSender<LimitObservation>,
     leader_unresponsive_until_ms: AtomicU64,
     deputy_unresponsive_until_ms: AtomicU64,
     unreachable: Mutex<Unreachable>,
 }
 
-impl FleetLink {
+impl PlacementClient {
     pub(crate) fn new(peers: Peers, keepers: KeeperClient) -> (Self, Reports) {
         let (events, event_receiver) = mpsc::unbounded_channel();
         let (limits, limit_receiver) = mpsc::unbounded_channel();
-        let link = Self {
+        let placement_client = Self {
             incarnation: rand::random(),
             next_number: AtomicU64::new(0),
             peers,
             keepers,
-            local_fleet: Mutex::new(Fleet::alone(rand::random())),
+            local_fleet: Mutex::new(Fleet::standalone(rand::random())),
             active: Mutex::default(),
             events,
             limits,
@@ -79,21 +81,24 @@
             deputy_unresponsive_until_ms: AtomicU64::new(0),
             unreachable: Mutex::default(),
         };
-        (link, Reports { events: event_receiver, limits: limit_receiver })
+        (placement_client, Reports { events: event_receiver, limits: limit_receiver })
     }
 
     /// Sends a placement request to the leader, then to its deputy if the leader does not answer.
     /// `None` if neither answers.
-    async fn place_at_leader_or_deputy(&self, ask: &Ask) -> Option<Placed> {
+    async fn place_at_leader_or_deputy(
+        &self,
+        placement_request: &PlacementRequest,
+    ) -> Option<PlacementOutcome> {
         if let Some(leader) = self.keepers.leader()
             && let Some(placed) =
-                self.place_at(&leader, &self.leader_unresponsive_until_ms, ask).await
+                self.place_at(&leader, &self.leader_unresponsive_until_ms, placement_request).await
         {
             return Some(placed);
         }
-        self.keepers.doubt_leader();
+        self.keepers.suspect_leader();
         let deputy = self.keepers.deputy()?;
-        self.place_at(&deputy, &self.deputy_unresponsive_until_ms, ask).await
+        self.place_at(&deputy, &self.deputy_unresponsive_until_ms, placement_request).await
     }
 
     /// Sends a placement request to one keeper. `None` if it does not answer, and until the end of
@@ -102,12 +107,12 @@
         &self,
         keeper: &HostId,
         unresponsive_until_ms: &AtomicU64,
-        ask: &Ask,
-    ) -> Option<Placed> {
+        placement_request: &PlacementRequest,
+    ) -> Option<PlacementOutcome> {
         if now_ms() < unresponsive_until_ms.load(Ordering::SeqCst) {
             return None;
         }
-        let request = PlaceRequest { ask: encode(ask).ok()? };
+        let request = PlaceRequest { ask: encode(placement_request).ok()? };
         let placed = self
             .peers
             .call(keeper, PLACE_TIMEOUT, |mut client| async move { client.place(request).await })
@@ -115,7 +120,7 @@
         match placed {
             Ok(reply) => decode(&reply.placed).ok(),
             Err(error) => {
-                log::info!(target: part::MEMBERS,
+                log::info!(target: log_target::MEMBERS,
                     keeper = keeper.as_str(), cause:% = error;
                     "A keeper does not choose engines");
                 unresponsive_until_ms.store(now_ms() + KEEPER_BACKOFF_MS, Ordering::SeqCst);
@@ -128,7 +133,7 @@
     /// `None` if it does not answer.
     async fn request_permit(
         &self,
-        limit: &ObservedLimit,
+        limit: &LimitObservation,
         max_wait: Duration,
     ) -> Option<TakeTurnReply> {
         let request = TakeTurnRequest {
@@ -142,7 +147,7 @@
         match call.await {
             Ok(reply) => Some(reply),
             Err(error) => {
-                log::info!(target: part::MEMBERS,
+                log::info!(target: log_target::MEMBERS,
                     keeper = keeper.as_str(), cause:% = error;
                     "A keeper did not answer a request for a permit");
                 None
@@ -158,49 +163,55 @@
         if is_unresponsive { self.keepers.deputy() } else { self.keepers.leader() }
     }
 
-    fn place_locally(&self, ask: &Ask) -> Placed {
-        log::info!(target: part::MEMBERS, prompt_tokens = ask.prompt_tokens; "Chooses engines by itself");
-        lock(&self.local_fleet).place(fleet_now_ms(), ask)
+    fn place_locally(&self, placement_request: &PlacementRequest) -> PlacementOutcome {
+        log::info!(target: log_target::MEMBERS, prompt_tokens = placement_request.prompt_tokens; "Chooses engines by itself");
+        lock_ignoring_poison(&self.local_fleet).place(monotonic_now_ms(), placement_request)
     }
 
     /// Returns the request with the engines that this host failed to connect to recently excluded.
-    fn without_unreachable(&self, ask: &Ask) -> Ask {
-        let mut ask = ask.clone();
-        ask.avoid.extend(lock(&self.unreachable).ids(now_ms()).cloned());
-        ask
+    fn without_unreachable(&self, placement_request: &PlacementRequest) -> PlacementRequest {
+        let mut placement_request = placement_request.clone();
+        placement_request
+            .avoid
+            .extend(lock_ignoring_poison(&self.unreachable).ids(now_ms()).cloned());
+        placement_request
     }
 
     /// Avoids the engine of a placement for a while, after a failed connection.
     fn avoid_engine(&self, id: PlacementId) {
-        let active = lock(&self.active);
+        let active = lock_ignoring_poison(&self.active);
         if let Some(renewed) = active.get(&id) {
-            lock(&self.unreachable).insert(now_ms(), renewed.assignment.engine.clone());
+            lock_ignoring_poison(&self.unreachable)
+                .insert(now_ms(), renewed.assignment.engine.clone());
         }
     }
 
     /// Records a placement until it ends, so that a new leader can be told of it.
-    fn record_placement(&self, ask: &Ask, placed: &Placed) {
-        let Placed::At(assignment) = placed else {
+    fn record_placement(&self, placement_request: &PlacementRequest, placed: &PlacementOutcome) {
+        let PlacementOutcome::At(assignment) = placed else {
             return;
         };
-        let renewed =
-            Renewed { ask: ask.clone(), assignment: assignment.clone(), is_started: false };
-        lock(&self.active).insert(ask.id, renewed);
+        let renewed = RunningPlacement {
+            ask: placement_request.clone(),
+            assignment: assignment.clone(),
+            is_started: false,
+        };
+        lock_ignoring_poison(&self.active).insert(placement_request.id, renewed);
     }
 
     /// Incarnation of this host in the ids of its placements.
-    pub(crate) fn life(&self) -> u64 {
+    pub(crate) fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
     /// Placements that are still running, for the periodic renewal at the leader.
-    pub(crate) fn renewed(&self) -> Vec<Renewed> {
-        lock(&self.active).values().cloned().collect()
+    pub(crate) fn running_placements(&self) -> Vec<RunningPlacement> {
+        lock_ignoring_poison(&self.active).values().cloned().collect()
     }
 
     /// Adds or updates some of the engines for local placement.
-    pub(crate) fn change_engines(&self, plan: &PlanIndex, records: &[Record]) {
-        update_engines(&mut lock(&self.local_fleet), plan, records);
+    pub(crate) fn update_engines(&self, plan: &PlanIndex, records: &[Record]) {
+        update_engines(&mut lock_ignoring_poison(&self.local_fleet), plan, records);
     }
 
     pub(crate) fn peers(&self) -> &Peers {
@@ -208,54 +219,66 @@
     }
 
     /// Applies the rate limit that an engine named, or its lifting, to local placement.
-    pub(crate) fn set_named_limit(&self, observed: &ObservedLimit) {
-        lock(&self.local_fleet).set_named_limit(&observed.upstream, observed.requests_per_s);
+    pub(crate) fn set_declared_limit(&self, observed: &LimitObservation) {
+        lock_ignoring_poison(&self.local_fleet)
+            .set_declared_limit(&observed.upstream, observed.requests_per_s);
     }
 
     /// Queues a limit for the report to the keeper that places prompts.
-    pub(crate) fn tell_limit(&self, observed: ObservedLimit) {
+    pub(crate) fn report_limit(&self, observed: LimitObservation) {
         self.limits.send(observed).ok();
     }
 
     /// Excludes the engines of cordoned data centres from local placement.
     pub(crate) fn set_cordoned(&self, plan: &PlanIndex, cordoned: &BTreeSet<DataCentre>) {
-        set_cordoned(&mut lock(&self.local_fleet), plan, cordoned);
+        set_cordoned(&mut lock_ignoring_poison(&self.local_fleet), plan, cordoned);
     }
 
     /// Sets the number of hosts that may place locally at the same time.
-    pub(crate) fn set_hosts(&self, hosts: u64) {
-        lock(&self.local_fleet).set_hosts(hosts);
+    pub(crate) fn set_host_count(&self, hosts: u64) {
+        lock_ignoring_poison(&self.local_fleet).set_hosts(hosts);
     }
 
     /// Replaces the engines for local placement.
     pub(crate) fn set_engines(&self, plan: &PlanIndex, records: &[Record]) {
-        set_engines(&mut lock(&self.local_fleet), plan, records);
+        set_engines(&mut lock_ignoring_poison(&self.local_fleet), plan, records);
     }
 }
 
-impl Placer for FleetLink {
-    fn place<'a>(&'a self, ask: &'a Ask) -> BoxFuture<'a, Placed> {
+impl Placer for PlacementClient {
+    fn place<'a>(
+        &'a self,
+        placement_request: &'a PlacementRequest,
+    ) -> BoxFuture<'a, PlacementOutcome> {
         Box::pin(async move {
-            let ask = self.without_unreachable(ask);
-            let placed = match self.place_at_leader_or_deputy(&ask).await {
+            let placement_request = self.without_unreachable(placement_request);
+            let placed = match self.place_at_leader_or_deputy(&placement_request).await {
                 Some(placed) => placed,
-                None => self.place_locally(&ask),
+                None => self.place_locally(&placement_request),
             };
-            self.record_placement(&ask, &placed);
-            let running = self.renewed();
-            lock(&self.local_fleet).renew(fleet_now_ms(), self.incarnation, &running);
+            self.record_placement(&placement_request, &placed);
+            let running = self.running_placements();
+            lock_ignoring_poison(&self.local_fleet).sync_host(
+                monotonic_now_ms(),
+                self.incarnation,
+                &running,
+            );
             placed
         })
     }
 
-    fn note(&self, id: PlacementId, event: Event) {
+    fn record_event(&self, id: PlacementId, event: Event) {
         if event == Event::Unreached {
             self.avoid_engine(id);
         }
-        lock(&self.local_fleet).note(fleet_now_ms(), id, local_event(event));
+        lock_ignoring_poison(&self.local_fleet).apply_event(
+            monotonic_now_ms(),
+            id,
+            local_event(event),
+        );
         match event {
             Event::Started { .. } => {
-                if let Some(renewed) = lock(&self.active).get_mut(&id) {
+                if let Some(renewed) = lock_ignoring_poison(&self.active).get_mut(&id) {
                     renewed.is_started = true;
                 }
             }
@@ -264,27 +287,27 @@
             | Event::Broken
             | Event::Unreached
             | Event::HelperFailed { .. } => {
-                lock(&self.active).remove(&id);
+                lock_ignoring_poison(&self.active).remove(&id);
             }
         }
         self.events.send((id, event)).ok();
     }
 
-    fn note_limit(&self, observed: &ObservedLimit) {
-        self.set_named_limit(observed);
-        self.tell_limit(observed.clone());
+    fn record_limit(&self, observed: &LimitObservation) {
+        self.set_declared_limit(observed);
+        self.report_limit(observed.clone());
     }
 
-    fn take_turn<'a>(
+    fn request_permit<'a>(
         &'a self,
-        limit: &'a ObservedLimit,
+        limit: &'a LimitObservation,
         max_wait: Duration,
-    ) -> BoxFuture<'a, Turn> {
+    ) -> BoxFuture<'a, PermitReply> {
         Box::pin(async move {
             match self.request_permit(limit, max_wait).await {
-                Some(reply) if reply.is_taken => Turn::After(millis(reply.wait_ms)),
-                Some(reply) => Turn::NotBefore(millis(reply.wait_ms)),
-                None => Turn::Unknown,
+                Some(reply) if reply.is_taken => PermitReply::After(millis(reply.wait_ms)),
+                Some(reply) => PermitReply::NotBefore(millis(reply.wait_ms)),
+                None => PermitReply::Unknown,
             }
         })
     }
@@ -305,17 +328,17 @@
 }
 
 /// Ends the backoff of both keepers as soon as another leader is found.
-pub(crate) async fn run_return_to_leader(link: Arc<FleetLink>) {
-    let mut leader_changes = link.keepers.subscribe();
+pub(crate) async fn run_backoff_reset(placement_client: Arc<PlacementClient>) {
+    let mut leader_changes = placement_client.keepers.subscribe_leader();
     while leader_changes.changed().await.is_ok() {
-        link.leader_unresponsive_until_ms.store(0, Ordering::SeqCst);
-        link.deputy_unresponsive_until_ms.store(0, Ordering::SeqCst);
+        placement_client.leader_unresponsive_until_ms.store(0, Ordering::SeqCst);
+        placement_client.deputy_unresponsive_until_ms.store(0, Ordering::SeqCst);
     }
 }
 
 /// Reports events of placements to the keeper that places prompts.
-pub(crate) async fn run_reports(
-    link: Arc<FleetLink>,
+pub(crate) async fn run_event_reports(
+    placement_client: Arc<PlacementClient>,
     mut events: mpsc::UnboundedReceiver<(PlacementId, Event)>,
 ) {
     while let Some(first) = events.recv().await {
@@ -324,16 +347,16 @@
         while let Ok(event) = events.try_recv() {
             batch.push(event);
         }
-        let (Some(keeper), Ok(events)) = (link.placing_keeper(), encode(&batch)) else {
+        let (Some(keeper), Ok(events)) = (placement_client.placing_keeper(), encode(&batch)) else {
             continue;
         };
         let request = ReportRequest { events, ..ReportRequest::default() };
-        let sent = link
+        let sent = placement_client
             .peers
             .call(&keeper, REPORT_TIMEOUT, |mut client| async move { client.report(request).await })
             .await;
         if let Err(error) = sent {
-            log::debug!(target: part::MEMBERS, "Failed to report events of placements to {keeper}: {error}.");
+            log::debug!(target: log_target::MEMBERS, "Failed to report events of placements to {keeper}: {error}.");
         }
     }
 }
--- a/clayplankd/src/fleet/mirror.rs
+++ b/clayplankd/src/fleet/placement_replication.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use clayplank_placement::{Ask, Assignment, Event, PlacementId, Renewed};
+use clayplank_placement::{Assignment, Event, PlacementId, PlacementRequest, RunningPlacement};
 use clayplank_state::encode;
 use clayplank_types::HostId;
 use clayplank_wire::ReportRequest;
@@ -16,10 +16,10 @@
 
 use crate::fleet::fleet_keeper::FleetKeeper;
 use crate::keepers::keeper::Keeper;
-use crate::keepers::keeper_messages::{Placing, WhoPlaces};
+use crate::keepers::keeper_messages::{GetPlacementKeepers, PlacementKeepers};
 use crate::process::clock::now_ms;
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 use crate::process::peers::Peers;
 
 /// Interval at which collected updates are sent, in one call.
@@ -48,7 +48,7 @@
 /// A placement, and the time at which this keeper learned of it.
 #[derive(Debug)]
 struct KnownPlacement {
-    renewed: Renewed,
+    renewed: RunningPlacement,
     since_ms: u64,
 }
 
@@ -60,16 +60,23 @@
     /// Time of the last update that was received or made here, in ms.
     updated_ms: u64,
     /// Placements made here that were not sent yet.
-    placed: Vec<Renewed>,
+    placed: Vec<RunningPlacement>,
     /// Events that were not sent yet.
     events: Vec<(PlacementId, Event)>,
 }
 
 impl PlacementMirror {
     /// Records a placement that this keeper made.
-    pub(crate) fn record_placement(&mut self, ask: &Ask, assignment: &Assignment) {
-        let renewed =
-            Renewed { ask: ask.clone(), assignment: assignment.clone(), is_started: false };
+    pub(crate) fn record_placement(
+        &mut self,
+        placement_request: &PlacementRequest,
+        assignment: &Assignment,
+    ) {
+        let renewed = RunningPlacement {
+            ask: placement_request.clone(),
+            assignment: assignment.clone(),
+            is_started: false,
+        };
         if self.placed.len() < MAX_PENDING_UPDATES {
             self.placed.push(renewed.clone());
         }
@@ -77,11 +84,11 @@
     }
 
     /// Adds placements that another keeper made.
-    pub(crate) fn take_over(&mut self, placed: Vec<Renewed>) {
+    pub(crate) fn take_over(&mut self, placed: Vec<RunningPlacement>) {
         placed.into_iter().for_each(|renewed| self.insert(renewed));
     }
 
-    fn insert(&mut self, renewed: Renewed) {
+    fn insert(&mut self, renewed: RunningPlacement) {
         let since_ms = now_ms();
         self.updated_ms = since_ms;
         self.known.insert(renewed.ask.id, KnownPlacement { renewed, since_ms });
@@ -156,7 +163,7 @@
 
 /// Placements and events that one keeper sends to another.
 pub(crate) struct PlacementUpdates {
-    placed: Vec<Renewed>,
+    placed: Vec<RunningPlacement>,
     events: Vec<(PlacementId, Event)>,
 }
 
@@ -167,7 +174,7 @@
 }
 
 /// Sends updates to the deputy while this keeper leads, and all known placements to a new leader.
-pub(crate) async fn run_mirror(
+pub(crate) async fn run_placement_replication(
     local_host: HostId,
     keeper: Address<Keeper>,
     fleet: Arc<FleetKeeper>,
@@ -179,10 +186,10 @@
     let mut informed_deputy = None;
     loop {
         clayplank_clock::sleep(BATCH_INTERVAL).await;
-        let Ok(placing) = keeper.send(WhoPlaces).await else {
+        let Ok(placing) = keeper.send(GetPlacementKeepers).await else {
             return;
         };
-        let Some(Placing { leader, deputy }) = placing else {
+        let Some(PlacementKeepers { leader, deputy }) = placing else {
             continue;
         };
         let (to, updates) = if leader == local_host {
@@ -190,7 +197,7 @@
             fleet.keepers().set_deputy(deputy.clone());
             let is_new = deputy.is_some() && informed_deputy != deputy;
             informed_deputy.clone_from(&deputy);
-            let mut mirror = lock(fleet.mirror());
+            let mut mirror = lock_ignoring_poison(fleet.mirror());
             (deputy, if is_new { mirror.all_as_updates() } else { mirror.take_updates() })
         } else if informed_leader.as_ref() != Some(&leader) {
             informed_deputy = None;
@@ -198,7 +205,7 @@
             (Some(leader), fleet.take_placements())
         } else {
             fleet.clear_stale_placements();
-            (None, lock(fleet.mirror()).take_updates())
+            (None, lock_ignoring_poison(fleet.mirror()).take_updates())
         };
         if let Some(to) = to.filter(|_| !updates.is_empty()) {
             tokio::spawn(send(peers.clone(), to, updates));
@@ -208,7 +215,7 @@
 
 async fn send(peers: Peers, to: HostId, updates: PlacementUpdates) {
     let (Ok(placed), Ok(events)) = (encode(&updates.placed), encode(&updates.events)) else {
-        log::error!(target: part::KEEPER, "Failed to encode placements for another keeper.");
+        log::error!(target: log_target::KEEPER, "Failed to encode placements for another keeper.");
         return;
     };
     let request = ReportRequest { events, placed, ..ReportRequest::default() };
@@ -216,6 +223,6 @@
         .call(&to, CALL_TIMEOUT, |mut client| async move { client.report(request).await })
         .await;
     if let Err(error) = sent {
-        log::debug!(target: part::KEEPER, "Failed to send placements to {to}: {error}.");
+        log::debug!(target: log_target::KEEPER, "Failed to send placements to {to}: {error}.");
     }
 }
--- a/clayplankd/src/fleet/upstream_memory.rs
+++ b/clayplankd/src/fleet/saved_upstreams.rs
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use clayplank_agreement::{Notes, StoreError};
+use clayplank_agreement::{SideFiles, StoreError};
 use clayplank_registry::{Cursor, Heartbeat};
 
 use crate::fleet::fleet_keeper::FleetKeeper;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Name of the stored note.
 const NOTE_NAME: &str = "upstreams";
@@ -24,22 +24,22 @@
 const SAVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Restores the upstreams that an earlier process saved.
-pub(crate) fn recall_upstreams(fleet: &FleetKeeper, notes: &Notes) {
+pub(crate) fn restore_upstreams(fleet: &FleetKeeper, notes: &SideFiles) {
     match notes.load::<Vec<Heartbeat>>(NOTE_NAME) {
         Ok(Some(known)) => {
-            log::info!(target: part::KEEPER, upstreams = known.len(); "Restored the saved upstreams");
-            fleet.remember(&known);
+            log::info!(target: log_target::KEEPER, upstreams = known.len(); "Restored the saved upstreams");
+            fleet.restore(&known);
         }
         Ok(None) => {}
         // Not fatal: heartbeats rebuild the registry.
         Err(error) => {
-            log::warn!(target: part::KEEPER, cause:% = error; "Failed to load the saved upstreams");
+            log::warn!(target: log_target::KEEPER, cause:% = error; "Failed to load the saved upstreams");
         }
     }
 }
 
 /// Saves the registered upstreams whenever one has changed.
-pub(crate) async fn run_upstream_memory(fleet: Arc<FleetKeeper>, notes: Notes) {
+pub(crate) async fn run_upstream_saves(fleet: Arc<FleetKeeper>, notes: SideFiles) {
     let mut saved = Cursor::default();
     loop {
         clayplank_clock::sleep(SAVE_INTERVAL).await;
@@ -47,7 +47,7 @@
             continue;
         };
         if let Err(error) = save(notes.clone(), known).await {
-            log::warn!(target: part::KEEPER, cause:% = error; "Failed to save the registered upstreams; retries");
+            log::warn!(target: log_target::KEEPER, cause:% = error; "Failed to save the registered upstreams; retries");
             continue;
         }
         saved = cursor;
@@ -64,6 +64,6 @@
 }
 
 /// Writes on a blocking thread, so that the disk does not stall the async runtime.
-async fn save(notes: Notes, known: Vec<Heartbeat>) -> Result<(), SaveError> {
+async fn save(notes: SideFiles, known: Vec<Heartbeat>) -> Result<(), SaveError> {
     Ok(tokio::task::spawn_blocking(move || notes.save(NOTE_NAME, &known)).await??)
 }
--- a/clayplankd/src/fleet/sightings.rs
+++ b/clayplankd/src/fleet/termination_reports.rs
@@ -6,13 +6,13 @@
 
 use std::time::Duration;
 
-use clayplank_forward::{BoxFuture, Judge, Observation, now_ms};
-use clayplank_state::{Body, Reply, Trial, Verdicts};
-use clayplank_types::{HeldBack, HostMoment, RequestFingerprint, Sighting};
+use clayplank_forward::{BoxFuture, Observation, QuarantineAuthority, now_ms};
+use clayplank_state::{CommandBody, QuarantineChanges, Reply, TrialReply};
+use clayplank_types::{HostTimestamp, QuarantinedRequest, RequestFingerprint, RequestObservation};
 use tokio::sync::mpsc;
 
 use crate::keepers::keeper_client::KeeperClient;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Time for which observations are collected into one command: an upstream that terminates runs up
 /// to a few tens of requests, each of which yields an observation.
@@ -35,33 +35,33 @@
 const MAX_QUEUED_OBSERVATIONS: usize = 4_096;
 
 /// Connects the requests of a host to the keepers: queues their observations and claims trials.
-pub(crate) struct SightingLink {
+pub(crate) struct TerminationReporter {
     keepers: KeeperClient,
     observations: mpsc::Sender<Observation>,
 }
 
-impl SightingLink {
-    /// Returns the link and the receiving end of its queue, for [`run_sightings`].
+impl TerminationReporter {
+    /// Returns the link and the receiving end of its queue, for [`run_termination_reports`].
     pub(crate) fn new(keepers: KeeperClient) -> (Self, mpsc::Receiver<Observation>) {
         let (observations, receiver) = mpsc::channel(MAX_QUEUED_OBSERVATIONS);
         (Self { keepers, observations }, receiver)
     }
 }
 
-impl Judge for SightingLink {
-    fn tell(&self, observation: Observation) {
+impl QuarantineAuthority for TerminationReporter {
+    fn report(&self, observation: Observation) {
         if let Err(error) = self.observations.try_send(observation) {
-            log::warn!(target: part::KEEPER, cause:% = error; "Discarded an observation of a request before it was reported to the keepers");
+            log::warn!(target: log_target::KEEPER, cause:% = error; "Discarded an observation of a request before it was reported to the keepers");
         }
     }
 
     fn claim_trial(&self, fingerprint: RequestFingerprint) -> BoxFuture<'_, bool> {
         Box::pin(async move {
-            match self.keepers.execute(&Body::ClaimTrial(fingerprint), TRIAL_TIMEOUT).await {
-                Ok(Reply::Trial(Trial::Granted | Trial::NotNeeded)) => true,
+            match self.keepers.execute(&CommandBody::ClaimTrial(fingerprint), TRIAL_TIMEOUT).await {
+                Ok(Reply::Trial(TrialReply::Granted | TrialReply::NotNeeded)) => true,
                 Ok(_) => false,
                 Err(error) => {
-                    log::info!(target: part::KEEPER, cause:% = error; "The keepers did not answer a trial claim");
+                    log::info!(target: log_target::KEEPER, cause:% = error; "The keepers did not answer a trial claim");
                     false
                 }
             }
@@ -70,7 +70,7 @@
 }
 
 /// Reports observations to the keepers until the host stops.
-pub(crate) async fn run_sightings(
+pub(crate) async fn run_termination_reports(
     keepers: KeeperClient,
     mut observations: mpsc::Receiver<Observation>,
 ) {
@@ -95,18 +95,18 @@
             return;
         }
         // Repeating is safe: for each request, the keepers count a terminated upstream only once.
-        let sightings = batch.iter().map(|one| to_sighting(incarnation, one)).collect();
-        match keepers.execute(&Body::NoteSightings(sightings), COMMAND_TIMEOUT).await {
-            Ok(Reply::Noted(verdicts)) => {
-                log_verdicts(&verdicts);
+        let observations = batch.iter().map(|one| to_observation(incarnation, one)).collect();
+        match keepers.execute(&CommandBody::NoteSightings(observations), COMMAND_TIMEOUT).await {
+            Ok(Reply::Noted(changes)) => {
+                log_quarantine_changes(&changes);
                 return;
             }
             Ok(_) => {
-                log::error!(target: part::KEEPER, "The keepers answered a report of observations with a reply of another type.");
+                log::error!(target: log_target::KEEPER, "The keepers answered a report of observations with a reply of another type.");
                 return;
             }
             Err(error) => {
-                log::info!(target: part::KEEPER,
+                log::info!(target: log_target::KEEPER,
                     cause:% = error, observations = batch.len();
                     "Could not report the requests of terminated upstreams to the keepers; retries");
             }
@@ -115,10 +115,10 @@
 }
 
 /// Converts an observation to its form in keeper commands. `incarnation` is that of this task.
-fn to_sighting(incarnation: u64, observation: &Observation) -> Sighting {
+fn to_observation(incarnation: u64, observation: &Observation) -> RequestObservation {
     let ago_ms = observation.at.elapsed().as_millis() as u64;
-    let observed = HostMoment { life: incarnation, at_ms: now_ms().saturating_sub(ago_ms) };
-    Sighting {
+    let observed = HostTimestamp { life: incarnation, at_ms: now_ms().saturating_sub(ago_ms) };
+    RequestObservation {
         fingerprint: observation.fingerprint,
         caller: observation.caller.clone(),
         outcome: observation.outcome.clone(),
@@ -127,15 +127,15 @@
     }
 }
 
-fn log_verdicts(verdicts: &Verdicts) {
-    for HeldBack { fingerprint, caller, ended, .. } in &verdicts.held_back {
+fn log_quarantine_changes(changes: &QuarantineChanges) {
+    for QuarantinedRequest { fingerprint, caller, ended, .. } in &changes.held_back {
         let ended: Vec<_> = ended.iter().map(ToString::to_string).collect();
-        log::warn!(target: part::KEEPER,
+        log::warn!(target: log_target::KEEPER,
             fingerprint:% = fingerprint, caller = caller, ended = ended.join(" ");
             "A request terminated several upstreams in succession and is quarantined");
     }
-    for fingerprint in &verdicts.lifted {
-        log::info!(target: part::KEEPER,
+    for fingerprint in &changes.lifted {
+        log::info!(target: log_target::KEEPER,
             fingerprint:% = fingerprint;
             "The quarantine of a request was lifted");
     }
--- a/clayplankd/src/follow/exchange.rs
+++ b/clayplankd/src/follow/exchange.rs
@@ -6,8 +6,8 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
-use crate::follow::follow_log::ExchangeOutcome;
-use crate::follow::following::{Following, Position};
+use crate::follow::follow_metrics::ExchangeOutcome;
+use crate::follow::follow_task::{FollowTask, Position};
 use crate::process::clock::{millis, now_ms};
 
 /// Maximum number of hedged requests in one exchange. More would overload keepers that are slow because
@@ -42,7 +42,7 @@
 /// The keepers to which requests were sent, and the times in ms.
 type SentRequests = Vec<(HostId, u64)>;
 
-impl Following {
+impl FollowTask {
     /// Sends requests to one keeper after the other until one answers with confirmed state, or all have
     /// failed. The next request starts when one fails, or as a hedge when none has answered in time. After
     /// [`MAX_HEDGES`] hedges, only the running requests are awaited.
@@ -56,7 +56,7 @@
         let mut sent = SentRequests::new();
         let mut failures = Vec::new();
         let mut unqueried = ranked_keepers.iter().peekable();
-        let mut wait_ms = times.hedge_ms;
+        let mut wait_ms = times.hedge_delay_ms;
         let mut hedges = 0;
         loop {
             if let Some(keeper) = unqueried.next_if(|_| hedges <= MAX_HEDGES) {
@@ -69,13 +69,13 @@
             }
             match clayplank_clock::timeout(millis(wait_ms), pending.next()).await {
                 Ok(Some(Ok(answer))) => {
-                    failures.extend(unresponsive(&sent, &failures, &answer, times.hedge_ms));
+                    failures.extend(unresponsive(&sent, &failures, &answer, times.hedge_delay_ms));
                     return ExchangeResult { answer: Some(answer), failures };
                 }
                 Ok(Some(Err(failure))) => failures.push(failure),
                 Ok(None) => {}
                 Err(_) => {
-                    wait_ms = times.step_ms;
+                    wait_ms = times.hedge_interval_ms;
                     hedges += 1;
                 }
             }
@@ -99,7 +99,7 @@
         let Some(request) = self.request(keeper, position, is_hedge) else {
             return Err(failure(ExchangeOutcome::Failed, "the request cannot be encoded"));
         };
-        let timeout = millis(self.times().patience_ms());
+        let timeout = millis(self.times().timeout_ms());
         let call = self
             .keepers
             .peers()
--- a/clayplankd/src/follow/fleet_followers.rs
+++ b/clayplankd/src/follow/follow_responder.rs
@@ -1,6 +1,6 @@
 //! Answers follow requests at a keeper: of entry hosts, and of other keepers on behalf of their hosts.
 
-use clayplank_placement::Renewed;
+use clayplank_placement::RunningPlacement;
 use clayplank_registry::{Cursor, Digest, Heartbeat};
 use clayplank_state::{Delta, decode, encode};
 use clayplank_types::HostId;
@@ -8,15 +8,15 @@
 use tonic::Status;
 use xtra::Address;
 
-use crate::fleet::fleet_keeper::{FleetKeeper, News};
-use crate::follow::relay::{Relay, Renewals};
+use crate::fleet::fleet_keeper::{FleetKeeper, UpstreamUpdate};
+use crate::follow::leader_confirmation::{Relay, RenewalsByIncarnation};
 use crate::keepers::keeper::Keeper;
-use crate::keepers::keeper_messages::{GetDelta, Watch, Watched};
-use crate::process::inner::malformed;
+use crate::keepers::keeper_messages::{GetDelta, Watch, WatchOutcome};
+use crate::process::peer_service::invalid_message;
 
 /// The parts of a keeper that answer its followers.
 #[derive(Clone, Copy)]
-pub(crate) struct Followers<'a> {
+pub(crate) struct FollowResponder<'a> {
     pub(crate) fleet: &'a FleetKeeper,
     pub(crate) keeper: &'a Address<Keeper>,
     pub(crate) relay: &'a Relay,
@@ -36,27 +36,28 @@
     is_hedge: bool,
 }
 
-impl Followers<'_> {
+impl FollowResponder<'_> {
     /// Answers a follow request.
-    pub(crate) async fn answer(
+    pub(crate) async fn answer_follow(
         self,
         request: FollowRequest,
     ) -> Result<follow_reply::Result, Status> {
-        let known: Vec<Heartbeat> = decode(&request.known).map_err(malformed)?;
+        let known: Vec<Heartbeat> = decode(&request.known).map_err(invalid_message)?;
         let decoded = DecodedRequest {
             host: HostId::new(request.from_host),
             revision: request.applied_revision,
             plan_version: request.plan_version,
-            cursor: decode(&request.cursor).map_err(malformed)?,
+            cursor: decode(&request.cursor).map_err(invalid_message)?,
             digest: decode_digest(&request.digest)?,
-            limits_cursor: decode(&request.limits_cursor).map_err(malformed)?,
+            limits_cursor: decode(&request.limits_cursor).map_err(invalid_message)?,
             is_hedge: request.is_hedge,
         };
-        self.fleet.learn(&known);
+        self.fleet.apply_follower_records(&known);
         match request.keeper {
             Some(keeper_part) => self.answer_keeper(&decoded, &keeper_part).await,
             None => {
-                let renewed: Vec<Renewed> = decode(&request.renewed).map_err(malformed)?;
+                let renewed: Vec<RunningPlacement> =
+                    decode(&request.renewed).map_err(invalid_message)?;
                 self.relay.record_renewals(request.life, renewed);
                 self.answer_host(&decoded).await
             }
@@ -67,7 +68,7 @@
     /// includes all that was acknowledged before the request came.
     async fn answer_host(self, request: &DecodedRequest) -> Result<follow_reply::Result, Status> {
         let newest_round = self.relay.newest_round();
-        self.fleet.note_entry_host(request.host.clone());
+        self.fleet.record_follower(request.host.clone());
         self.relay.wait_for_updates(request.revision, request.cursor).await;
         let Some(leader) = self.relay.confirm_after(newest_round).await else {
             return Ok(follow_reply::Result::NotLeaderHint(String::new()));
@@ -83,19 +84,20 @@
         request: &DecodedRequest,
         keeper_part: &KeeperFollow,
     ) -> Result<follow_reply::Result, Status> {
-        let renewals: Renewals = decode(&keeper_part.renewals).map_err(malformed)?;
+        let renewals: RenewalsByIncarnation =
+            decode(&keeper_part.renewals).map_err(invalid_message)?;
         let watch =
             Watch { host: request.host.clone(), applied_revision: request.revision, wait_ms: 0 };
         let answer = self.keeper.send(watch).await.map_err(|_| stopping_status())?;
         let delta = match answer.await.map_err(|_| stopping_status())? {
-            Watched::Delta(delta) => delta,
-            Watched::NotLeader(hint) => {
+            WatchOutcome::Delta(delta) => delta,
+            WatchOutcome::NotLeader(hint) => {
                 let hint = hint.map_or_else(String::new, |host| host.to_string());
                 return Ok(follow_reply::Result::NotLeaderHint(hint));
             }
         };
         self.fleet.renew_all(&renewals);
-        self.fleet.note_relayed_hosts(request.host.clone(), keeper_part.entry_hosts);
+        self.fleet.record_peer_host_count(request.host.clone(), keeper_part.entry_hosts);
         // The keeper receives the rest of the state with the replicated log.
         let delta = Delta { revision: delta.revision, ..Delta::default() };
         self.reply(request, delta, self.relay.local_host())
@@ -110,19 +112,19 @@
     ) -> Result<follow_reply::Result, Status> {
         let fleet = self.fleet;
         let updates = match request.is_hedge {
-            true => News::later(request.cursor),
-            false => fleet.news_for(request.cursor, request.digest.as_ref()),
+            true => UpstreamUpdate::without_changes(request.cursor),
+            false => fleet.update_for(request.cursor, request.digest.as_ref()),
         };
-        let updates = updates.map_err(malformed)?;
-        let plan_edit = fleet.take_edit(&mut delta, request.plan_version);
+        let updates = updates.map_err(invalid_message)?;
+        let plan_edit = fleet.take_plan_edit(&mut delta, request.plan_version);
         Ok(follow_reply::Result::Followed(Followed {
-            delta: encode(&delta).map_err(malformed)?,
+            delta: encode(&delta).map_err(invalid_message)?,
             plan_edit,
             changes: updates.changes,
             entry_hosts: fleet.count_entry_hosts(),
-            asks_digest: updates.asks_digest,
-            asks_known: updates.asks_known.0,
-            keepers: fleet.keepers().hosts().iter().map(ToString::to_string).collect(),
+            asks_digest: updates.needs_digest,
+            asks_known: updates.requested_buckets.0,
+            keepers: fleet.keepers().keepers().iter().map(ToString::to_string).collect(),
             deputy: fleet.keepers().deputy().map_or_else(String::new, |host| host.to_string()),
             leader: leader.to_string(),
             limits: encode_limits(fleet, request.limits_cursor)?,
@@ -140,7 +142,7 @@
     if changes.cursor == cursor {
         return Ok(Vec::new());
     }
-    encode(&changes).map_err(malformed)
+    encode(&changes).map_err(invalid_message)
 }
 
 /// The digest that a follower sent; `None` if it sent none.
@@ -148,5 +150,5 @@
     if bytes.is_empty() {
         return Ok(None);
     }
-    decode(bytes).map(Some).map_err(malformed)
+    decode(bytes).map(Some).map_err(invalid_message)
 }
--- a/clayplankd/src/follow/following.rs
+++ b/clayplankd/src/follow/follow_task.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use clayplank_forward::{Directory, Entry, Gate};
-use clayplank_members::{FollowTimes, KeeperChoice};
-use clayplank_registry::{Buckets, Changes, Cursor, LimitChanges, Noted, Record};
+use clayplank_members::{FollowTimeouts, KeeperRanking};
+use clayplank_registry::{Buckets, Changes, Cursor, LimitChanges, LimitUpdateResult, Record};
 use clayplank_routes::PlanIndex;
 use clayplank_state::{
     Delta, EditError, PackError, PlanDocument, PlanEdit, decode, encode, unpack,
@@ -18,12 +18,12 @@
 use tokio::task::JoinSet;
 
 use crate::doors::contract::SharedContract;
-use crate::fleet::fleet_link::FleetLink;
+use crate::fleet::placement_client::PlacementClient;
 use crate::follow::exchange::Failure;
-use crate::follow::follow_log::{ExchangeOutcome, FollowFigures, FollowLog};
+use crate::follow::follow_metrics::{ExchangeOutcome, FollowLog, FollowMetrics};
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::{millis, now_ms};
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Maximum random pause, in ms, after the first exchange in which no keeper confirmed the plan.
 const RETRY_PAUSE_MS: u64 = 100;
@@ -33,15 +33,15 @@
 const MAX_PAUSE_DOUBLINGS: u32 = 3;
 
 /// The parts of an entry host that the updates of the keepers change.
-pub(crate) struct Following {
+pub(crate) struct FollowTask {
     pub(crate) host: HostId,
     pub(crate) contract: SharedContract,
     pub(crate) keepers: KeeperClient,
-    pub(crate) link: Arc<FleetLink>,
+    pub(crate) placement_client: Arc<PlacementClient>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) directory: Arc<Directory>,
     pub(crate) entry: Arc<Entry>,
-    pub(crate) figures: Arc<FollowFigures>,
+    pub(crate) metrics: Arc<FollowMetrics>,
     /// Time, in ms, within which a change must be in force on this host.
     pub(crate) apply_ms: Arc<AtomicU64>,
 }
@@ -66,45 +66,45 @@
 }
 
 /// Follows the keepers until the task is dropped.
-pub(crate) async fn run_following(following: Following) {
+pub(crate) async fn run_follow_task(task: FollowTask) {
     let mut position = Position::default();
-    let mut choice = KeeperChoice::new(following.host.clone());
-    let mut log = FollowLog::new(Arc::clone(&following.figures));
-    let mut leader_changes = following.keepers.subscribe();
+    let mut ranking = KeeperRanking::new(task.host.clone());
+    let mut log = FollowLog::new(Arc::clone(&task.metrics));
+    let mut leader_changes = task.keepers.subscribe_leader();
     let mut probes = JoinSet::new();
     let mut failed_exchanges = 0;
     loop {
-        record_probes(&mut probes, &mut choice);
-        let keepers = following.keepers.hosts();
-        following.figures.set_keepers(keepers.len());
-        following.start_probes(&mut probes, choice.take_due(now_ms(), &keepers));
-        let outcome = following.exchange(&choice.order(&keepers), &position).await;
+        record_probes(&mut probes, &mut ranking);
+        let keepers = task.keepers.keepers();
+        task.metrics.set_keepers(keepers.len());
+        task.start_probes(&mut probes, ranking.take_retries(now_ms(), &keepers));
+        let outcome = task.exchange(&ranking.ranked(&keepers), &position).await;
         for failure in &outcome.failures {
-            following.record_failure(failure, outcome.answer.is_some(), &mut choice, &mut log);
+            task.record_failure(failure, outcome.answer.is_some(), &mut ranking, &mut log);
         }
         if let Some(answer) = outcome.answer {
             failed_exchanges = 0;
-            choice.note_answered(&answer.keeper);
+            ranking.record_success(&answer.keeper);
             position.keeper = Some(answer.keeper);
-            following.apply_answer(&mut position, &mut log, &answer.followed, answer.requested_ms);
+            task.apply_answer(&mut position, &mut log, &answer.followed, answer.requested_ms);
             continue;
         }
-        following.keepers.doubt_leader();
+        task.keepers.suspect_leader();
         let pause_ms = RETRY_PAUSE_MS << failed_exchanges.min(MAX_PAUSE_DOUBLINGS);
         failed_exchanges += 1;
-        wait_for_leader(pause_ms, &mut leader_changes, &mut choice).await;
+        wait_for_leader(pause_ms, &mut leader_changes, &mut ranking).await;
     }
 }
 
 /// Records which of the probed keepers hear a leader.
-fn record_probes(probes: &mut JoinSet<(HostId, bool)>, choice: &mut KeeperChoice) {
+fn record_probes(probes: &mut JoinSet<(HostId, bool)>, ranking: &mut KeeperRanking) {
     while let Some(probed) = probes.try_join_next() {
         match probed {
-            Ok((keeper, true)) => choice.note_answered(&keeper),
-            Ok((keeper, false)) => choice.note_failed(now_ms(), keeper),
+            Ok((keeper, true)) => ranking.record_success(&keeper),
+            Ok((keeper, false)) => ranking.record_failure(now_ms(), keeper),
             // The keeper stays suspect, and is probed again.
             Err(error) => {
-                log::error!(target: part::SETTINGS, "A keeper probe task failed: {error}")
+                log::error!(target: log_target::SETTINGS, "A keeper probe task failed: {error}")
             }
         }
     }
@@ -115,7 +115,7 @@
 async fn wait_for_leader(
     pause_ms: u64,
     leader_changes: &mut watch::Receiver<Option<HostId>>,
-    choice: &mut KeeperChoice,
+    ranking: &mut KeeperRanking,
 ) {
     let pause = clayplank_clock::sleep(millis(rand::random_range(0..pause_ms)));
     tokio::select! {
@@ -123,16 +123,16 @@
         // The channel stays open as long as the host runs.
         _ = leader_changes.changed() => {
             if let Some(leader) = &*leader_changes.borrow_and_update() {
-                choice.note_answered(leader);
+                ranking.record_success(leader);
             }
         }
     }
 }
 
-impl Following {
+impl FollowTask {
     /// Time-outs of requests to keepers, derived from the time within which a change must be in force.
-    pub(crate) fn times(&self) -> FollowTimes {
-        FollowTimes::of_bound(self.apply_ms.load(Ordering::SeqCst))
+    pub(crate) fn times(&self) -> FollowTimeouts {
+        FollowTimeouts::for_bound(self.apply_ms.load(Ordering::SeqCst))
     }
 
     /// Probes the suspect keepers that are due, concurrently with the followed one: whether they hear a
@@ -141,8 +141,8 @@
         for keeper in due {
             let keepers = self.keepers.clone();
             probes.spawn(async move {
-                let hears_leader = keepers.query_leader(&keeper).await.is_some();
-                (keeper, hears_leader)
+                let has_leader_contact = keepers.query_leader(&keeper).await.is_some();
+                (keeper, has_leader_contact)
             });
         }
     }
@@ -153,7 +153,7 @@
         &self,
         failure: &Failure,
         has_answer: bool,
-        choice: &mut KeeperChoice,
+        ranking: &mut KeeperRanking,
         log: &mut FollowLog,
     ) {
         let Failure { keeper, requested_ms, outcome, cause } = failure;
@@ -162,14 +162,14 @@
             self.suspect_if_leader(keeper);
         }
         if has_answer || *outcome == ExchangeOutcome::Failed {
-            choice.note_failed(now_ms(), keeper.clone());
+            ranking.record_failure(now_ms(), keeper.clone());
         }
     }
 
     /// Starts a search for the next leader if an unresponsive keeper is the last known leader.
     fn suspect_if_leader(&self, keeper: &HostId) {
         if self.keepers.leader().as_ref() == Some(keeper) {
-            self.keepers.doubt_leader();
+            self.keepers.suspect_leader();
         }
     }
 
@@ -188,11 +188,11 @@
         let known = self.directory.heartbeats_in(buckets);
         Some(FollowRequest {
             from_host: self.host.to_string(),
-            life: self.link.life(),
+            life: self.placement_client.incarnation(),
             applied_revision: position.revision,
             plan_version: position.plan.version,
             cursor: encode(&position.cursor).ok()?,
-            renewed: encode(&self.link.renewed()).ok()?,
+            renewed: encode(&self.placement_client.running_placements()).ok()?,
             known: encode(&known).ok()?,
             digest,
             keeper: None,
@@ -213,13 +213,13 @@
         let (Ok(delta), Ok(changes)) =
             (decode::<Delta>(&followed.delta), unpack::<Changes>(&followed.changes))
         else {
-            log::error!(target: part::SETTINGS, "Could not decode the answer of a keeper.");
+            log::error!(target: log_target::SETTINGS, "Could not decode the answer of a keeper.");
             return;
         };
         let plan = match new_plan(position, &delta, &followed.plan_edit) {
             Ok(plan) => plan,
             Err(error) => {
-                log::warn!(target: part::SETTINGS, cause:% = error;
+                log::warn!(target: log_target::SETTINGS, cause:% = error;
                     "Could not apply an edit of the plan; requests the complete plan");
                 position.plan = PlanDocument::default();
                 return;
@@ -233,7 +233,7 @@
             position.plan = plan;
         }
         if let Some(quarantined) = delta.held_back {
-            self.entry.set_held_back(quarantined);
+            self.entry.set_quarantined(quarantined);
         }
         if let Some(cordoned) = delta.cordoned {
             self.set_cordoned(cordoned);
@@ -251,7 +251,7 @@
             self.gate.confirm(requested_ms);
         }
         self.entry.set_hosts(followed.entry_hosts);
-        self.link.set_hosts(followed.entry_hosts);
+        self.placement_client.set_host_count(followed.entry_hosts);
         self.directory.set_hosts(followed.entry_hosts);
         self.keepers.set_keepers(followed.keepers.iter().map(HostId::new));
         let deputy = Some(&followed.deputy).filter(|host| !host.is_empty());
@@ -276,18 +276,20 @@
         let changes = match decode::<LimitChanges>(limits) {
             Ok(changes) => changes,
             Err(error) => {
-                log::error!(target: part::SETTINGS,
+                log::error!(target: log_target::SETTINGS,
                     "Could not decode the limits of upstreams: {error}");
                 return;
             }
         };
         let now_ms = now_ms();
         for limit in changes.limits {
-            let observed = limit.into_observed(now_ms);
-            match self.directory.learn_limit(&observed) {
-                Noted::Changed => self.link.set_named_limit(&observed),
-                Noted::Unchanged => {}
-                Noted::Outdated(local_limit) => self.link.tell_limit(local_limit),
+            let observed = limit.into_observation(now_ms);
+            match self.directory.apply_reported_limit(&observed) {
+                LimitUpdateResult::Changed => self.placement_client.set_declared_limit(&observed),
+                LimitUpdateResult::Unchanged => {}
+                LimitUpdateResult::Outdated(local_limit) => {
+                    self.placement_client.report_limit(local_limit)
+                }
             }
         }
         position.limits_cursor = changes.cursor;
@@ -298,13 +300,13 @@
         let version = document.version;
         match self.contract.parse_plan(&document.text) {
             Ok(plan) => {
-                log::info!(target: part::SETTINGS, version = version; "A plan is in force");
+                log::info!(target: log_target::SETTINGS, version = version; "A plan is in force");
                 self.directory.set_cold_starts(&plan);
                 self.gate.set_plan(PlanIndex::new(plan));
                 true
             }
             Err(faults) => {
-                log::error!(target: part::SETTINGS,
+                log::error!(target: log_target::SETTINGS,
                     "Could not parse version {version} of the plan: {faults}");
                 false
             }
@@ -314,24 +316,27 @@
     /// Cordons data centres: no further requests are sent to their upstreams.
     fn set_cordoned(&self, cordoned: BTreeSet<DataCentre>) {
         let names: Vec<_> = cordoned.iter().map(DataCentre::as_str).collect();
-        log::info!(target: part::SETTINGS, cordoned = names.join(","); "Cordons are in force");
+        log::info!(target: log_target::SETTINGS, cordoned = names.join(","); "Cordons are in force");
         let plan = self.gate.plan().unwrap_or_default();
-        self.link.set_cordoned(&plan, &cordoned);
+        self.placement_client.set_cordoned(&plan, &cordoned);
         self.directory.set_cordoned(cordoned);
     }
 
     /// Replaces all engines of the plan, with their limits.
     fn set_engines(&self) {
         if let Some(plan) = self.gate.plan() {
-            self.link.set_engines(&plan, &self.directory.records());
-            self.directory.limits().iter().for_each(|limit| self.link.set_named_limit(limit));
+            self.placement_client.set_engines(&plan, &self.directory.records());
+            self.directory
+                .limits()
+                .iter()
+                .for_each(|limit| self.placement_client.set_declared_limit(limit));
         }
     }
 
     /// Updates the engines whose records changed.
     fn update_engines(&self, changed: &[Record]) {
         if let Some(plan) = self.gate.plan() {
-            self.link.change_engines(&plan, changed);
+            self.placement_client.update_engines(&plan, changed);
         }
     }
 }
--- a/clayplankd/src/follow/relay.rs
+++ b/clayplankd/src/follow/leader_confirmation.rs
@@ -11,8 +11,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clayplank_members::FollowTimes;
-use clayplank_placement::Renewed;
+use clayplank_members::FollowTimeouts;
+use clayplank_placement::RunningPlacement;
 use clayplank_registry::{Buckets, Changes, Cursor, LimitChanges};
 use clayplank_state::{CodecError, Delta, PackError, decode, encode, unpack};
 use clayplank_types::HostId;
@@ -21,11 +21,11 @@
 use xtra::Address;
 
 use crate::fleet::fleet_keeper::FleetKeeper;
-use crate::keepers::keeper::{Applied, Keeper};
-use crate::keepers::keeper_messages::{Watch, Watched};
+use crate::keepers::keeper::{AppliedState, Keeper};
+use crate::keepers::keeper_messages::{Watch, WatchOutcome};
 use crate::process::clock::{millis, now_ms};
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 use crate::process::peers::{PeerError, Peers};
 
 /// Pause between two rounds. The answer of a round serves all followers that wait.
@@ -43,8 +43,8 @@
 /// Minimum interval between two log lines on unconfirmed followers, in ms.
 const UNCONFIRMED_LOG_INTERVAL_MS: u64 = 1_000;
 
-/// Renewed placements, by the incarnation of the host that runs them.
-pub(crate) type Renewals = HashMap<u64, Vec<Renewed>>;
+/// Running placements, by the incarnation of the host that runs them.
+pub(crate) type RenewalsByIncarnation = HashMap<u64, Vec<RunningPlacement>>;
 
 /// Number of a round of requests to the leader. Timestamps are too coarse: a follower's request and the
 /// round that answers it may fall into the same millisecond.
@@ -96,8 +96,8 @@
     keeper: Address<Keeper>,
     fleet: Arc<FleetKeeper>,
     peers: Peers,
-    applied: watch::Receiver<Applied>,
-    times: FollowTimes,
+    applied: watch::Receiver<AppliedState>,
+    times: FollowTimeouts,
     /// Notified when a follower waits for a round.
     round_requested: Notify,
     confirmed: watch::Sender<Confirmed>,
@@ -126,10 +126,10 @@
     }
 }
 
-/// Renewed placements that hosts reported since the last round.
+/// Running placements that hosts reported since the last round.
 #[derive(Debug, Default)]
 struct PendingRenewals {
-    by_incarnation: Renewals,
+    by_incarnation: RenewalsByIncarnation,
     /// Incarnations with placements in their last report: the leader must be told when they have none
     /// any more.
     busy: HashSet<u64>,
@@ -141,8 +141,8 @@
         keeper: Address<Keeper>,
         fleet: Arc<FleetKeeper>,
         peers: Peers,
-        applied: watch::Receiver<Applied>,
-        times: FollowTimes,
+        applied: watch::Receiver<AppliedState>,
+        times: FollowTimeouts,
     ) -> Self {
         Self {
             local_host,
@@ -165,8 +165,8 @@
     }
 
     /// Records the placements that an incarnation of a host runs, for the next report to the leader.
-    pub(crate) fn record_renewals(&self, incarnation: u64, renewed: Vec<Renewed>) {
-        let mut pending = lock(&self.renewals);
+    pub(crate) fn record_renewals(&self, incarnation: u64, renewed: Vec<RunningPlacement>) {
+        let mut pending = lock_ignoring_poison(&self.renewals);
         let was_busy = if renewed.is_empty() {
             pending.busy.remove(&incarnation)
         } else {
@@ -196,7 +196,7 @@
             }
         };
         // After the time-out the follower is answered without updates.
-        clayplank_clock::timeout(millis(self.times.hold_ms), updates).await.ok();
+        clayplank_clock::timeout(millis(self.times.long_poll_ms), updates).await.ok();
     }
 
     /// The newest started round.
@@ -231,7 +231,7 @@
         self.unconfirmed_logged_ms.store(now_ms, Ordering::SeqCst);
         let (confirmed, failed) = self.rounds.finished();
         let leader = self.applied.borrow().leader.clone();
-        log::warn!(target: part::KEEPER,
+        log::warn!(target: log_target::KEEPER,
             leader = leader.as_ref().map_or("", HostId::as_str),
             rounds_confirmed = confirmed - before.0, rounds_failed = failed - before.1;
             "A follower is not confirmed");
@@ -257,8 +257,8 @@
         let watch = Watch { host: self.local_host.clone(), applied_revision, wait_ms: 0 };
         let answer = self.keeper.send(watch).await.map_err(|_| RoundError::Stopping)?;
         match clayplank_clock::timeout(ROUND_TIMEOUT, answer).await {
-            Ok(Ok(Watched::Delta(_))) => Ok(()),
-            Ok(Ok(Watched::NotLeader(_))) | Err(_) => Err(RoundError::NoLeader),
+            Ok(Ok(WatchOutcome::Delta(_))) => Ok(()),
+            Ok(Ok(WatchOutcome::NotLeader(_))) | Err(_) => Err(RoundError::NoLeader),
             Ok(Err(_)) => Err(RoundError::Stopping),
         }
     }
@@ -298,7 +298,7 @@
             Vec::new()
         };
         let keeper = KeeperFollow {
-            entry_hosts: self.fleet.count_own_hosts(),
+            entry_hosts: self.fleet.count_local_followers(),
             renewals: encode(&self.take_renewals())?,
         };
         Ok(FollowRequest {
@@ -321,10 +321,10 @@
         self.fleet.apply(&heartbeats);
         if !followed.limits.is_empty() {
             let changes: LimitChanges = decode(&followed.limits)?;
-            self.fleet.note_limits(changes.limits);
+            self.fleet.record_limits(changes.limits);
             position.limits_cursor = changes.cursor;
         }
-        self.fleet.set_told_hosts(followed.entry_hosts);
+        self.fleet.record_leader_host_count(followed.entry_hosts);
         let keepers = self.fleet.keepers();
         keepers.set_keepers(followed.keepers.iter().map(HostId::new));
         let deputy = Some(&followed.deputy).filter(|host| !host.is_empty());
@@ -335,8 +335,8 @@
         Ok(())
     }
 
-    fn take_renewals(&self) -> Renewals {
-        std::mem::take(&mut lock(&self.renewals).by_incarnation)
+    fn take_renewals(&self) -> RenewalsByIncarnation {
+        std::mem::take(&mut lock_ignoring_poison(&self.renewals).by_incarnation)
     }
 }
 
@@ -362,7 +362,7 @@
             }
             Err(cause) => {
                 relay.rounds.failed.fetch_add(1, Ordering::SeqCst);
-                log::debug!(target: part::KEEPER,
+                log::debug!(target: log_target::KEEPER,
                     "A round brought no confirmation for the followers: {cause}");
                 // The followers still wait, so another round is needed.
                 relay.round_requested.notify_one();
--- a/clayplankd/src/keepers/full_disk.rs
+++ b/clayplankd/src/keepers/full_disk.rs
@@ -5,7 +5,7 @@
 use clayplank_agreement::StoreError;
 
 use crate::process::clock::now_ms;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Pause between two write attempts: short compared with the seconds that it takes to free space on
 /// a full disk.
@@ -13,25 +13,25 @@
 
 /// State of a write that is retried while the disk is full.
 #[derive(Debug, Default)]
-pub(crate) struct FullDisk {
+pub(crate) struct FullDiskRetry {
     /// Time of the first attempt that found the disk full, in ms; `None` while the disk has space.
     since_ms: Option<u64>,
 }
 
-impl FullDisk {
+impl FullDiskRetry {
     /// Waits before the next write attempt.
     pub(crate) async fn wait(&mut self, error: &StoreError) {
         if self.since_ms.is_none() {
             self.since_ms = Some(now_ms());
-            log::error!(target: part::KEEPER, cause:% = error; "The disk is full; waits for room");
+            log::error!(target: log_target::KEEPER, cause:% = error; "The disk is full; waits for room");
         }
         clayplank_clock::sleep(RETRY_PAUSE).await;
     }
 
     /// Records that a write succeeded.
-    pub(crate) fn note_room(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         if let Some(since_ms) = self.since_ms.take() {
-            log::info!(target: part::KEEPER, waited_ms = now_ms() - since_ms;
+            log::info!(target: log_target::KEEPER, waited_ms = now_ms() - since_ms;
                 "The disk has room again");
         }
     }
--- a/clayplankd/src/keepers/keeper.rs
+++ b/clayplankd/src/keepers/keeper.rs
@@ -13,11 +13,11 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use xtra::Context;
 
-use crate::keepers::full_disk::FullDisk;
+use crate::keepers::full_disk::FullDiskRetry;
 use crate::keepers::keeper_log::KeeperLog;
-use crate::keepers::keeper_messages::{Executed, Watched};
+use crate::keepers::keeper_messages::{CommandOutcome, WatchOutcome};
 use crate::process::clock::now_ms;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Maximum number of messages that are handled before a write although more are queued.
 const MAX_BATCH_MESSAGES: usize = 512;
@@ -41,25 +41,25 @@
     pub(crate) host: HostId,
     pub(crate) applied_revision: u64,
     pub(crate) deadline_ms: u64,
-    pub(crate) reply: oneshot::Sender<Watched>,
+    pub(crate) reply: oneshot::Sender<WatchOutcome>,
 }
 
 /// A proposed command that is not applied yet.
 pub(crate) struct PendingCommand {
     pub(crate) term: u64,
-    pub(crate) reply: oneshot::Sender<Executed>,
+    pub(crate) reply: oneshot::Sender<CommandOutcome>,
 }
 
 /// A command that is applied, but not yet synced to as many disks as its acknowledgement guarantees.
 struct UnderReplicated {
     index: u64,
     reply: Reply,
-    to: oneshot::Sender<Executed>,
+    to: oneshot::Sender<CommandOutcome>,
 }
 
 /// State applied by this replica, and the leader that it knows.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Applied {
+pub(crate) struct AppliedState {
     /// Revision of the applied state.
     pub(crate) revision: u64,
     /// The leader, as far as this replica knows.
@@ -104,8 +104,8 @@
     disk_failed: mpsc::Sender<StoreError>,
     /// Messages handled since the last write.
     batched_messages: usize,
-    sizing: Sizing,
-    applied: watch::Sender<Applied>,
+    keeper_options: KeeperOptions,
+    applied: watch::Sender<AppliedState>,
     /// Time at which this keeper became leader, in ms; `None` while it does not lead.
     led_since_ms: Option<u64>,
     log: KeeperLog,
@@ -113,7 +113,7 @@
 
 /// Settings of a keeper that are not part of the replicated log.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sizing {
+pub(crate) struct KeeperOptions {
     /// Size of the log file, in bytes, above which a snapshot replaces it.
     pub(crate) compact_bytes: u64,
     /// Number of voters that a plan requires, so that it survives the tolerated losses.
@@ -123,15 +123,15 @@
     required_copies: usize,
 }
 
-impl Default for Sizing {
+impl Default for KeeperOptions {
     fn default() -> Self {
         Self { compact_bytes: COMPACT_BYTES, required_voters: 0, required_copies: 0 }
     }
 }
 
-impl Sizing {
+impl KeeperOptions {
     /// Settings for a log of complete plans that survives the loss of `losses` disks.
-    pub(crate) fn of_plans(losses: usize) -> Self {
+    pub(crate) fn for_plans(losses: usize) -> Self {
         Self {
             compact_bytes: COMPACT_PLANS_BYTES,
             required_voters: 2 * losses + 1,
@@ -146,7 +146,7 @@
         store: Store,
         state: Option<StoredState>,
         options: Options,
-        sizing: Sizing,
+        keeper_options: KeeperOptions,
         outbox: mpsc::UnboundedSender<Envelope>,
         disk_failed: mpsc::Sender<StoreError>,
     ) -> Self {
@@ -167,8 +167,8 @@
             outbox,
             disk_failed,
             batched_messages: 0,
-            sizing,
-            applied: watch::Sender::new(Applied::default()),
+            keeper_options,
+            applied: watch::Sender::new(AppliedState::default()),
             led_since_ms: None,
             log: KeeperLog::default(),
         };
@@ -181,7 +181,7 @@
 
     /// Sets whether this keeper may create the log, or count towards the majority that a peer needs to
     /// create it.
-    pub(crate) fn with_may_begin(mut self, may_begin: bool) -> Self {
+    pub(crate) fn with_may_bootstrap(mut self, may_begin: bool) -> Self {
         self.may_begin = may_begin;
         self
     }
@@ -194,19 +194,19 @@
     }
 
     /// Subscribes to changes of the applied state and the known leader.
-    pub(crate) fn applied(&self) -> watch::Receiver<Applied> {
+    pub(crate) fn subscribe_applied(&self) -> watch::Receiver<AppliedState> {
         self.applied.subscribe()
     }
 
     fn publish_applied(&mut self) {
         let leader = self.leader_host();
         let revision = self.machine.revision();
-        let (plan, cordoned) = (self.machine.plan(), self.machine.cordoned());
+        let (plan, cordoned) = (self.machine.plan(), self.machine.cordoned_data_centres());
         self.applied.send_if_modified(|current| {
             let is_new = current.revision != revision || current.leader != leader;
             if is_new {
                 let (plan, cordoned) = (plan.cloned(), cordoned.clone());
-                *current = Applied { revision, leader, plan, cordoned };
+                *current = AppliedState { revision, leader, plan, cordoned };
             }
             is_new
         });
@@ -259,7 +259,7 @@
     }
 
     async fn process_ready(&mut self, ready: Ready) -> bool {
-        let written = ready.last_written();
+        let written = ready.written();
         let Some(ready) = self.write(ready).await else {
             return false;
         };
@@ -292,7 +292,7 @@
         if !ready.must_sync() {
             return Some(ready);
         }
-        let mut full = FullDisk::default();
+        let mut full = FullDiskRetry::default();
         loop {
             let mut store = self.store.take()?;
             let hard_state = self.replica.as_ref()?.hard_state().clone();
@@ -305,7 +305,7 @@
             ready = returned;
             match result {
                 Ok(()) => {
-                    full.note_room();
+                    full.record_success();
                     return Some(ready);
                 }
                 Err(error) if error.is_full() => full.wait(&error).await,
@@ -319,7 +319,7 @@
 
     /// Stops this replica permanently and reports the disk failure, which ends the process.
     pub(crate) fn stop_on_disk_failure(&mut self, error: StoreError) {
-        log::error!(target: part::KEEPER,
+        log::error!(target: log_target::KEEPER,
             "Writing to the disk failed, stopping this replica: {error}");
         self.replica = None;
         self.disk_failed.try_send(error).ok();
@@ -347,7 +347,7 @@
             }
             // An entry of another leader was committed at this index, so the local one is lost.
             Some(_) | None => {
-                pending.reply.send(Executed::NotLeader(self.leader_host())).ok();
+                pending.reply.send(CommandOutcome::NotLeader(self.leader_host())).ok();
             }
         }
     }
@@ -360,12 +360,13 @@
         let Some(replica) = &self.replica else {
             return;
         };
-        let required = self.sizing.required_copies.min(replica.configuration().voters.len());
+        let required =
+            self.keeper_options.required_copies.min(replica.configuration().voters.len());
         while let Some(oldest) = self.under_replicated.front()
-            && replica.copies(oldest.index) >= required
+            && replica.synced_voters(oldest.index) >= required
             && let Some(UnderReplicated { reply, to, .. }) = self.under_replicated.pop_front()
         {
-            to.send(Executed::Reply(reply)).ok();
+            to.send(CommandOutcome::Reply(reply)).ok();
         }
     }
 
@@ -373,12 +374,12 @@
         let leads = self.replica.as_ref().is_some_and(Replica::is_leader);
         self.led_since_ms = match (leads, self.led_since_ms) {
             (true, None) => {
-                log::info!(target: part::KEEPER, "Leads the keepers.");
+                log::info!(target: log_target::KEEPER, "Leads the keepers.");
                 Some(now_ms())
             }
             (true, since_ms) => since_ms,
             (false, Some(_)) => {
-                log::info!(target: part::KEEPER, "This keeper is no longer the leader.");
+                log::info!(target: log_target::KEEPER, "This keeper is no longer the leader.");
                 None
             }
             (false, None) => None,
@@ -394,7 +395,8 @@
         };
         let is_in_grace_period =
             self.led_since_ms.is_none_or(|since_ms| now_ms() < since_ms + VOTERS_GRACE_MS);
-        is_in_grace_period && replica.configuration().voters.len() < self.sizing.required_voters
+        is_in_grace_period
+            && replica.configuration().voters.len() < self.keeper_options.required_voters
     }
 
     /// Host of the leader, as far as this replica knows.
@@ -417,7 +419,7 @@
         if due.is_empty() {
             return;
         }
-        if let Ok(read) = replica.read() {
+        if let Ok(read) = replica.request_read() {
             self.reads.insert(read, due);
         }
     }
@@ -428,7 +430,7 @@
             for watch in self.reads.remove(read).into_iter().flatten() {
                 let delta = self.machine.delta_after(watch.applied_revision);
                 self.in_force.insert(watch.host, watch.applied_revision);
-                watch.reply.send(Watched::Delta(delta)).ok();
+                watch.reply.send(WatchOutcome::Delta(delta)).ok();
             }
         }
     }
@@ -438,15 +440,15 @@
             return;
         }
         for (_, pending) in std::mem::take(&mut self.commands) {
-            pending.reply.send(Executed::Unknown).ok();
+            pending.reply.send(CommandOutcome::Unknown).ok();
         }
         for UnderReplicated { to, .. } in std::mem::take(&mut self.under_replicated) {
-            to.send(Executed::Unknown).ok();
+            to.send(CommandOutcome::Unknown).ok();
         }
         let hint = self.leader_host();
         let reading = std::mem::take(&mut self.reads).into_values().flatten();
         for watch in std::mem::take(&mut self.watches).into_iter().chain(reading) {
-            watch.reply.send(Watched::NotLeader(hint.clone())).ok();
+            watch.reply.send(WatchOutcome::NotLeader(hint.clone())).ok();
         }
         self.in_force.clear();
     }
@@ -456,7 +458,7 @@
         let Some(replica) = &mut self.replica else {
             return;
         };
-        if log_bytes < self.sizing.compact_bytes && replica.log_len() < COMPACT_ENTRIES {
+        if log_bytes < self.keeper_options.compact_bytes && replica.log_len() < COMPACT_ENTRIES {
             return;
         }
         let Ok(data) = self.machine.to_snapshot() else {
@@ -468,7 +470,7 @@
             return;
         };
         let task = tokio::task::spawn_blocking(move || {
-            let result = store.rewrite(&state);
+            let result = store.replace_state(&state);
             (store, result)
         });
         let Ok((store, result)) = task.await else {
@@ -477,12 +479,12 @@
         self.store = Some(store);
         match result {
             Ok(()) => {
-                log::info!(target: part::KEEPER,
+                log::info!(target: log_target::KEEPER,
                     "Replaced the log up to index {} by a snapshot.", self.applied_index)
             }
             // The previous files are still complete; the next flush tries again.
             Err(error) if error.is_full() => {
-                log::warn!(target: part::KEEPER, cause:% = error;
+                log::warn!(target: log_target::KEEPER, cause:% = error;
                     "The disk is too full to compact the log; keeps the previous files");
             }
             Err(error) => self.stop_on_disk_failure(error),
--- a/clayplankd/src/keepers/keeper_client.rs
+++ b/clayplankd/src/keepers/keeper_client.rs
@@ -6,7 +6,7 @@
 use clayplank_clock::Instant;
 use clayplank_members::KnownKeepers;
 use clayplank_settings::HostSettings;
-use clayplank_state::{Body, Delta, Reply, decode, encode};
+use clayplank_state::{CommandBody, Delta, Reply, decode, encode};
 use clayplank_types::HostId;
 use clayplank_wire::{
     ExecuteRequest, InspectRequest, StoppingRequest, WatchRequest, execute_reply, inspect_reply,
@@ -14,10 +14,10 @@
 };
 use tokio::sync::{Notify, watch};
 
-use crate::keepers::keeper_messages::WATCH_WAIT_MS;
+use crate::keepers::keeper_messages::WATCH_HOLD_MS;
 use crate::process::clock::{millis, now_ms};
-use crate::process::lock::lock;
-use crate::process::logging::part;
+use crate::process::lock::lock_ignoring_poison;
+use crate::process::logging::log_target;
 use crate::process::peers::{PeerError, Peers};
 
 /// Pause between two attempts.
@@ -89,7 +89,7 @@
     fn wait(self) -> Duration {
         match self {
             Self::Immediate => Duration::ZERO,
-            Self::AfterWatch => millis(WATCH_WAIT_MS),
+            Self::AfterWatch => millis(WATCH_HOLD_MS),
         }
     }
 }
@@ -97,17 +97,17 @@
 impl KeeperClient {
     pub(crate) fn new(settings: &HostSettings, peers: Peers) -> Self {
         let keepers = settings.hosts.iter().filter(|entry| entry.keeper);
-        let keepers = KnownKeepers::of_keepers(keepers.map(|entry| entry.host.clone()));
+        let keepers = KnownKeepers::from_keepers(keepers.map(|entry| entry.host.clone()));
         Self::from_known(None, keepers, peers)
     }
 
     /// Creates a client from bootstrap addresses: hosts that are keepers or may know some.
-    pub(crate) fn of_seeds(
+    pub(crate) fn from_bootstrap_hosts(
         local_host: HostId,
-        seeds: impl IntoIterator<Item = HostId>,
+        bootstrap_hosts: impl IntoIterator<Item = HostId>,
         peers: Peers,
     ) -> Self {
-        let keepers = KnownKeepers::of_seeds(local_host.clone(), seeds);
+        let keepers = KnownKeepers::from_bootstrap_hosts(local_host.clone(), bootstrap_hosts);
         Self::from_known(Some(local_host), keepers, peers)
     }
 
@@ -123,87 +123,87 @@
     }
 
     /// Replaces the bootstrap addresses by those that the settings now name.
-    pub(crate) fn set_seeds(&self, seeds: impl IntoIterator<Item = HostId>) {
-        lock(&self.state).hosts.set_seeds(seeds);
+    pub(crate) fn set_bootstrap_hosts(&self, bootstrap_hosts: impl IntoIterator<Item = HostId>) {
+        lock_ignoring_poison(&self.state).hosts.set_bootstrap_hosts(bootstrap_hosts);
         self.hosts_learned.notify_one();
     }
 
     /// Replaces the known keepers by the complete list of a keeper that hears the leader.
     pub(crate) fn set_keepers(&self, keepers: impl IntoIterator<Item = HostId>) {
-        lock(&self.state).hosts.set_keepers(keepers);
+        lock_ignoring_poison(&self.state).hosts.set_keepers(keepers);
     }
 
     /// Adds keepers that peers know. A peer's list may be outdated, so no keeper is removed.
-    pub(crate) fn learn(&self, keepers: impl IntoIterator<Item = HostId>) {
-        if lock(&self.state).hosts.learn_keepers(keepers) {
+    pub(crate) fn add_keepers(&self, keepers: impl IntoIterator<Item = HostId>) {
+        if lock_ignoring_poison(&self.state).hosts.add_keepers(keepers) {
             self.hosts_learned.notify_one();
         }
     }
 
     /// Adds hosts that may know keepers.
-    pub(crate) fn learn_contacts(&self, hosts: impl IntoIterator<Item = HostId>) {
-        let mut state = lock(&self.state);
-        hosts.into_iter().for_each(|host| state.hosts.learn_contact(host));
+    pub(crate) fn add_contacts(&self, hosts: impl IntoIterator<Item = HostId>) {
+        let mut state = lock_ignoring_poison(&self.state);
+        hosts.into_iter().for_each(|host| state.hosts.add_contact(host));
     }
 
     /// All known keepers.
-    pub(crate) fn hosts(&self) -> Vec<HostId> {
-        lock(&self.state).hosts.keepers().to_vec()
+    pub(crate) fn keepers(&self) -> Vec<HostId> {
+        lock_ignoring_poison(&self.state).hosts.keepers().to_vec()
     }
 
     /// Hosts that may know keepers and are not known to be keepers themselves.
     pub(crate) fn contacts(&self) -> Vec<HostId> {
-        lock(&self.state).hosts.contacts().cloned().collect()
+        lock_ignoring_poison(&self.state).hosts.contacts().cloned().collect()
     }
 
     /// The contacts to send to another host: a few of them, and only while no keeper is known.
-    pub(crate) fn named_contacts(&self) -> Vec<HostId> {
-        lock(&self.state).hosts.named_contacts(&mut rand::rng())
+    pub(crate) fn sample_contacts(&self) -> Vec<HostId> {
+        lock_ignoring_poison(&self.state).hosts.sample_contacts(&mut rand::rng())
     }
 
     /// The last known leader.
     pub(crate) fn leader(&self) -> Option<HostId> {
-        lock(&self.state).hosts.leader().cloned()
+        lock_ignoring_poison(&self.state).hosts.leader().cloned()
     }
 
     /// The keeper that chooses engines while the leader is unresponsive, as the leader named it. It is
     /// not derived from the list of known keepers, which may contain replaced ones: with a replaced
     /// keeper as deputy, each host would choose engines alone until another keeper leads.
     pub(crate) fn deputy(&self) -> Option<HostId> {
-        let state = lock(&self.state);
+        let state = lock_ignoring_poison(&self.state);
         state.deputy.clone().filter(|deputy| Some(deputy) != state.hosts.leader())
     }
 
     /// Sets the deputy that the leader named.
     pub(crate) fn set_deputy(&self, deputy: Option<HostId>) {
-        lock(&self.state).deputy = deputy;
+        lock_ignoring_poison(&self.state).deputy = deputy;
     }
 
     /// The last known leader, if it answered within the last `within_ms`.
-    pub(crate) fn leader_heard_within(&self, within_ms: u64) -> Option<HostId> {
-        let state = lock(&self.state);
+    pub(crate) fn recent_leader(&self, within_ms: u64) -> Option<HostId> {
+        let state = lock_ignoring_poison(&self.state);
         let is_recent = now_ms() <= state.last_answer_ms + within_ms;
         state.hosts.leader().filter(|_| is_recent).cloned()
     }
 
     /// Suspects the leader, as an answer of it is overdue:
     /// [`run_leader_search`](super::leader_search::run_leader_search) searches for the next one at once.
-    pub(crate) fn doubt_leader(&self) {
+    pub(crate) fn suspect_leader(&self) {
         self.leader_suspected.notify_one();
     }
 
     /// Subscribes to the found leader and its changes.
-    pub(crate) fn subscribe(&self) -> watch::Receiver<Option<HostId>> {
+    pub(crate) fn subscribe_leader(&self) -> watch::Receiver<Option<HostId>> {
         self.found_leader.subscribe()
     }
 
     pub(super) fn record_leader(&self, leader: HostId) {
-        let mut state = lock(&self.state);
+        let mut state = lock_ignoring_poison(&self.state);
         let former = state.hosts.set_leader(leader.clone());
         let last_answer_ms = state.last_answer_ms;
         drop(state);
         if former.as_ref() != Some(&leader) {
-            log::info!(target: part::KEEPER,
+            log::info!(target: log_target::KEEPER,
                 leader = leader.as_str(), former = former.as_ref().map_or("", HostId::as_str),
                 silent_ms = now_ms().saturating_sub(last_answer_ms);
                 "Found the next leader");
@@ -218,7 +218,7 @@
     /// Has a command applied. It may be sent more than once, so it must be idempotent.
     pub(crate) async fn execute(
         &self,
-        body: &Body,
+        body: &CommandBody,
         timeout: Duration,
     ) -> Result<Reply, KeeperError> {
         let command = encode(body)?;
@@ -333,7 +333,7 @@
         R: Future<Output = Result<CallOutcome<T>, PeerError>>,
     {
         let deadline = Instant::now() + timeout;
-        let mut found = self.subscribe();
+        let mut found = self.subscribe_leader();
         let mut next = self.leader().or_else(|| self.keeper_after(None));
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
@@ -355,7 +355,7 @@
                 Ok(CallOutcome::NotLeader(hint)) => self.resolve_hint(&hint),
                 Ok(CallOutcome::Retry) => None,
                 Err(error) => {
-                    log::debug!(target: part::KEEPER, "A call to a keeper failed: {error}");
+                    log::debug!(target: log_target::KEEPER, "A call to a keeper failed: {error}");
                     None
                 }
             };
@@ -380,7 +380,7 @@
         found: &mut watch::Receiver<Option<HostId>>,
     ) {
         clayplank_clock::sleep(due.wait() + SUSPECT_AFTER).await;
-        self.doubt_leader();
+        self.suspect_leader();
         while found.changed().await.is_ok() {
             let is_other =
                 found.borrow_and_update().as_ref().is_some_and(|leader| leader != keeper);
@@ -394,7 +394,7 @@
     /// Records that a keeper answered as the leader.
     pub(crate) fn record_answer(&self, keeper: HostId) {
         self.record_leader(keeper);
-        lock(&self.state).last_answer_ms = now_ms();
+        lock_ignoring_poison(&self.state).last_answer_ms = now_ms();
     }
 
     /// The host that a hint names, which is added to the known keepers; `None` if the hint is empty.
@@ -403,13 +403,13 @@
             return None;
         }
         let host = HostId::new(hint);
-        self.learn([host.clone()]);
+        self.add_keepers([host.clone()]);
         Some(host)
     }
 
     /// The known keeper after `host` in the order of the list; the first one if `host` is not in it.
     fn keeper_after(&self, host: Option<&HostId>) -> Option<HostId> {
-        let state = lock(&self.state);
+        let state = lock_ignoring_poison(&self.state);
         let keepers = state.hosts.keepers();
         let position = keepers.iter().position(|keeper| Some(keeper) == host);
         let next = position.map_or(0, |position| position + 1) % keepers.len().max(1);
@@ -417,7 +417,7 @@
     }
 
     /// Default time-out of short requests: a change of leader is over within this time.
-    pub(crate) fn usual_patience(election_ms: u64) -> Duration {
+    pub(crate) fn default_timeout(election_ms: u64) -> Duration {
         millis(election_ms * 8)
     }
 }
--- a/clayplankd/src/keepers/keeper_messages.rs
+++ b/clayplankd/src/keepers/keeper_messages.rs
@@ -5,22 +5,22 @@
 use clayplank_agreement::{
     BlankKeeper, Change, Configuration, Envelope, Introduction, Replica, ReplicaId, StoredState,
 };
-use clayplank_state::{Body, Command, Counts, Delta, Reply, encode};
+use clayplank_state::{Command, CommandBody, Delta, MachineStats, Reply, encode};
 use clayplank_types::HostId;
 use serde::Serialize;
 use tokio::sync::oneshot;
 use xtra::{Context, Handler};
 
 use crate::keepers::keeper::{Keeper, PendingCommand, PendingLeaderQuery, PendingWatch};
-use crate::process::clock::{now_ms, wall_ms};
-use crate::process::logging::part;
+use crate::process::clock::{now_ms, unix_now_ms};
+use crate::process::logging::log_target;
 
 /// Time after which a watch without updates is answered with a confirmation, in ms.
-pub(crate) const WATCH_WAIT_MS: u64 = 1_000;
+pub(crate) const WATCH_HOLD_MS: u64 = 1_000;
 
 /// Outcome of a command.
 #[derive(Clone, Debug)]
-pub(crate) enum Executed {
+pub(crate) enum CommandOutcome {
     /// The command was applied and replicated.
     Reply(Reply),
     /// The command was not and will not be applied; holds the possible leader.
@@ -31,7 +31,7 @@
 
 /// Outcome of a watch.
 #[derive(Clone, Debug)]
-pub(crate) enum Watched {
+pub(crate) enum WatchOutcome {
     /// The changes after the watched revision; they include all that was committed when the watch was
     /// requested.
     Delta(Delta),
@@ -50,7 +50,7 @@
     /// Whether the newest membership is committed. While it is not, or while there are learners, the
     /// loss of one more disk may leave the keepers without a quorum.
     pub(crate) members_committed: bool,
-    pub(crate) counts: Counts,
+    pub(crate) counts: MachineStats,
     /// Revision in force on each host that watches the leader.
     pub(crate) in_force: BTreeMap<HostId, u64>,
 }
@@ -64,7 +64,7 @@
     async fn handle(&mut self, _: Tick, context: &mut Context<Self>) {
         if let Some(replica) = &mut self.replica {
             replica.tick(now_ms());
-            if let Some(change) = replica.keep_members(now_ms()) {
+            if let Some(change) = replica.maintain_membership(now_ms()) {
                 log_member_change(&change, "membership maintenance");
             }
         }
@@ -73,7 +73,7 @@
 }
 
 fn log_member_change(change: &Change, cause: &str) {
-    log::info!(target: part::KEEPER, change:% = change, cause = cause;
+    log::info!(target: log_target::KEEPER, change:% = change, cause = cause;
         "Proposed a membership change of the keepers");
 }
 
@@ -92,19 +92,19 @@
 }
 
 /// A command for the state machine. The reply comes once it is applied and acknowledged.
-pub(crate) struct Execute(pub(crate) Body);
+pub(crate) struct Execute(pub(crate) CommandBody);
 
 impl Handler<Execute> for Keeper {
-    type Return = oneshot::Receiver<Executed>;
+    type Return = oneshot::Receiver<CommandOutcome>;
 
     async fn handle(&mut self, execute: Execute, context: &mut Context<Self>) -> Self::Return {
         let (reply, receiver) = oneshot::channel();
-        let is_plan = matches!(execute.0, Body::Publish(_));
+        let is_plan = matches!(execute.0, CommandBody::Publish(_));
         if is_plan && self.replica.as_ref().is_some_and(Replica::is_leader) && self.lacks_voters() {
-            reply.send(Executed::Unknown).ok();
+            reply.send(CommandOutcome::Unknown).ok();
             return receiver;
         }
-        let command = Command { at_ms: wall_ms(), body: execute.0 };
+        let command = Command { at_ms: unix_now_ms(), body: execute.0 };
         let proposed = match (&mut self.replica, encode(&command)) {
             (Some(replica), Ok(bytes)) => replica.propose(bytes).ok(),
             _ => None,
@@ -114,7 +114,7 @@
                 self.commands.insert(id.index, PendingCommand { term: id.term, reply });
             }
             None => {
-                reply.send(Executed::NotLeader(self.leader_host())).ok();
+                reply.send(CommandOutcome::NotLeader(self.leader_host())).ok();
             }
         }
         self.flush(context).await;
@@ -131,7 +131,7 @@
 }
 
 impl Handler<Watch> for Keeper {
-    type Return = oneshot::Receiver<Watched>;
+    type Return = oneshot::Receiver<WatchOutcome>;
 
     async fn handle(&mut self, watch: Watch, context: &mut Context<Self>) -> Self::Return {
         let (reply, receiver) = oneshot::channel();
@@ -147,7 +147,7 @@
                 reply,
             });
         } else {
-            reply.send(Watched::NotLeader(self.leader_host())).ok();
+            reply.send(WatchOutcome::NotLeader(self.leader_host())).ok();
         }
         self.flush(context).await;
         receiver
@@ -188,34 +188,38 @@
 }
 
 /// Announces that the host of a keeper is about to stop.
-pub(crate) struct Stopping(pub(crate) HostId);
+pub(crate) struct AnnounceStop(pub(crate) HostId);
 
 /// Answer to a host that is about to stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum MayStop {
+pub(crate) enum StopReply {
     /// Whether the host may stop: its vote is no longer needed, or no other keeper can replace it.
-    Known(bool),
+    Decided(bool),
     /// Another keeper decides; holds the possible leader.
     NotLeader(Option<HostId>),
 }
 
-impl Handler<Stopping> for Keeper {
-    type Return = MayStop;
+impl Handler<AnnounceStop> for Keeper {
+    type Return = StopReply;
 
-    async fn handle(&mut self, stopping: Stopping, context: &mut Context<Self>) -> Self::Return {
+    async fn handle(
+        &mut self,
+        stopping: AnnounceStop,
+        context: &mut Context<Self>,
+    ) -> Self::Return {
         let host = stopping.0.as_str();
         let Some(replica) = &mut self.replica else {
-            return MayStop::NotLeader(None);
+            return StopReply::NotLeader(None);
         };
-        replica.note_leaving(now_ms(), host);
-        if let Some(change) = replica.keep_members(now_ms()) {
+        replica.note_departure(now_ms(), host);
+        if let Some(change) = replica.maintain_membership(now_ms()) {
             log_member_change(&change, "a keeper is stopping");
             self.flush(context).await;
         }
         match &self.replica {
-            Some(replica) if replica.may_stop(now_ms(), host) => MayStop::Known(true),
-            Some(replica) if replica.is_leader() => MayStop::Known(false),
-            Some(_) | None => MayStop::NotLeader(self.leader_host()),
+            Some(replica) if replica.may_stop(now_ms(), host) => StopReply::Decided(true),
+            Some(replica) if replica.is_leader() => StopReply::Decided(false),
+            Some(_) | None => StopReply::NotLeader(self.leader_host()),
         }
     }
 }
@@ -238,16 +242,16 @@
         let Some(store) = &mut self.store else {
             return;
         };
-        match store.begin(&state, genesis) {
+        match store.initialize(&state, genesis) {
             Ok(()) => {
                 let id = store.identity().id.clone();
-                log::info!(target: part::KEEPER, "Started the local replica as {id}.");
+                log::info!(target: log_target::KEEPER, "Started the local replica as {id}.");
                 self.load_state(&state);
                 self.replica = Some(Replica::new(id, state, self.options, now_ms()));
             }
             // The join task sends this message again.
             Err(error) if error.is_full() => {
-                log::warn!(target: part::KEEPER, cause:% = error;
+                log::warn!(target: log_target::KEEPER, cause:% = error;
                     "The disk is too full to create the log");
             }
             Err(error) => self.stop_on_disk_failure(error),
@@ -284,8 +288,8 @@
         let id = self.store.as_ref()?.identity().id.clone();
         let replica = self.replica.as_ref();
         let is_active_voter = replica.is_some_and(|replica| {
-            let hears_leader = replica.is_leader() || replica.hears_leader(now_ms());
-            hears_leader && replica.configuration().voters.contains(&id)
+            let has_leader_contact = replica.is_leader() || replica.has_leader_contact(now_ms());
+            has_leader_contact && replica.configuration().voters.contains(&id)
         });
         let members = replica.map_or_else(Vec::new, |replica| {
             replica.configuration().members().map(|id| HostId::new(id.host.clone())).collect()
@@ -301,35 +305,35 @@
 }
 
 /// Requests the leader that this keeper knows, which may be itself.
-pub(crate) struct WhoLeads;
+pub(crate) struct GetLeader;
 
-impl Handler<WhoLeads> for Keeper {
+impl Handler<GetLeader> for Keeper {
     type Return = Option<HostId>;
 
-    async fn handle(&mut self, _: WhoLeads, _: &mut Context<Self>) -> Self::Return {
+    async fn handle(&mut self, _: GetLeader, _: &mut Context<Self>) -> Self::Return {
         self.leader_host()
     }
 }
 
 /// Requests the keepers that choose engines for prompts: the leader, and its deputy. Only the leader
 /// knows the deputy.
-pub(crate) struct WhoPlaces;
+pub(crate) struct GetPlacementKeepers;
 
 /// The keepers that choose engines for prompts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Placing {
+pub(crate) struct PlacementKeepers {
     pub(crate) leader: HostId,
     /// The keeper that takes over while the leader is unresponsive.
     pub(crate) deputy: Option<HostId>,
 }
 
-impl Handler<WhoPlaces> for Keeper {
-    type Return = Option<Placing>;
+impl Handler<GetPlacementKeepers> for Keeper {
+    type Return = Option<PlacementKeepers>;
 
-    async fn handle(&mut self, _: WhoPlaces, _: &mut Context<Self>) -> Self::Return {
+    async fn handle(&mut self, _: GetPlacementKeepers, _: &mut Context<Self>) -> Self::Return {
         let leader = self.leader_host()?;
         let deputy = self.replica.as_ref()?.deputy(now_ms());
-        Some(Placing { leader, deputy: deputy.map(|id| HostId::new(id.host.clone())) })
+        Some(PlacementKeepers { leader, deputy: deputy.map(|id| HostId::new(id.host.clone())) })
     }
 }
 
@@ -371,7 +375,7 @@
             voters: configuration.voters.iter().map(ToString::to_string).collect(),
             learners: configuration.learners.iter().map(ToString::to_string).collect(),
             members_committed: replica.is_configuration_committed(),
-            counts: self.machine.counts(),
+            counts: self.machine.stats(),
             in_force: self.in_force.clone(),
         })
     }
--- a/clayplankd/src/keepers/keeper_join.rs
+++ b/clayplankd/src/keepers/keeper_tasks.rs
@@ -16,7 +16,7 @@
 use crate::keepers::keeper_log::WaitLog;
 use crate::keepers::keeper_messages::{GetJoinStatus, JoinStatus, StartLog, Tick};
 use crate::process::clock::millis;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 use crate::process::peers::Peers;
 
 /// Range of the interval between two ticks of the replica, in ms. Each interval is random: with a fixed
@@ -78,7 +78,7 @@
             .call(&host, STEP_TIMEOUT, |mut client| async move { client.step(request).await })
             .await;
         if let Err(error) = sent {
-            log::debug!(target: part::KEEPER,
+            log::debug!(target: log_target::KEEPER,
                 "Dropped replication messages to a peer, as the call failed: {error}");
         }
     }
@@ -86,19 +86,19 @@
 
 /// The sources of the other keepers' addresses.
 #[derive(Clone, Debug)]
-pub(crate) struct Joining {
+pub(crate) struct JoinSources {
     /// Bootstrap addresses, without this host.
-    pub(crate) seeds: Vec<HostId>,
+    pub(crate) bootstrap_hosts: Vec<HostId>,
     /// The client that knows further keepers and contacts; `None` if the settings name all keepers.
-    pub(crate) keepers: Option<KeeperClient>,
+    pub(crate) client: Option<KeeperClient>,
 }
 
-impl Joining {
+impl JoinSources {
     /// All hosts to which this keeper is introduced while it is not an active voter.
     fn other_hosts(&self, local: &ReplicaId) -> Vec<HostId> {
-        let mut other_hosts = self.seeds.clone();
-        if let Some(keepers) = &self.keepers {
-            other_hosts.extend(keepers.hosts());
+        let mut other_hosts = self.bootstrap_hosts.clone();
+        if let Some(keepers) = &self.client {
+            other_hosts.extend(keepers.keepers());
             other_hosts.extend(keepers.contacts());
         }
         other_hosts.retain(|host| host.as_str() != local.host);
@@ -110,27 +110,27 @@
     /// Bootstrap addresses that are not keepers, as far as this keeper knows; none if the settings name
     /// all keepers.
     fn non_keepers(&self, status: &JoinStatus) -> Vec<HostId> {
-        let has_client = self.keepers.is_some();
+        let has_client = self.client.is_some();
         let non_keepers =
-            self.seeds.iter().filter(|host| has_client && !status.members.contains(host));
+            self.bootstrap_hosts.iter().filter(|host| has_client && !status.members.contains(host));
         non_keepers.cloned().collect()
     }
 
     /// Adds the keepers and contacts learned from an introduction to the client.
     fn add_introduced(&self, status: &JoinStatus, introductions: Introductions) {
-        let Some(keepers) = &self.keepers else {
+        let Some(keepers) = &self.client else {
             return;
         };
-        keepers.learn_contacts(introductions.contacts);
+        keepers.add_contacts(introductions.contacts);
         if status.is_active_voter {
             keepers.set_keepers(status.members.iter().cloned());
             return;
         }
-        keepers.learn(status.members.iter().cloned());
-        keepers.learn(introductions.keepers);
+        keepers.add_keepers(status.members.iter().cloned());
+        keepers.add_keepers(introductions.keepers);
         for answer in introductions.answers.values() {
             if let Introduction::Member { members, .. } = answer {
-                keepers.learn(members.members().map(|id| HostId::new(id.host.clone())));
+                keepers.add_keepers(members.members().map(|id| HostId::new(id.host.clone())));
             }
         }
     }
@@ -138,7 +138,7 @@
 
 /// Introduces this keeper to the other hosts while it is not a voter or hears no leader. Otherwise
 /// introduces it only to the bootstrap addresses that are not keepers.
-pub(crate) async fn run_join(keeper: Address<Keeper>, joining: Joining, peers: Peers) {
+pub(crate) async fn run_join(keeper: Address<Keeper>, join_sources: JoinSources, peers: Peers) {
     let mut wait_log = WaitLog::default();
     let mut last_announced = Instant::now();
     loop {
@@ -149,17 +149,17 @@
             true if last_announced.elapsed() < ANNOUNCE_INTERVAL => Vec::new(),
             true => {
                 last_announced = Instant::now();
-                joining.non_keepers(&status)
+                join_sources.non_keepers(&status)
             }
-            false => joining.other_hosts(&status.id),
+            false => join_sources.other_hosts(&status.id),
         };
         let introductions = introduce(&status.id, &other_hosts, &peers).await;
         if !status.has_log {
-            start_log_if_planned(&keeper, &status.to_blank_keeper(), &joining, &introductions)
+            start_log_if_planned(&keeper, &status.to_blank_keeper(), &join_sources, &introductions)
                 .await;
         }
         wait_log.record(&status, &introductions.answers);
-        joining.add_introduced(&status, introductions);
+        join_sources.add_introduced(&status, introductions);
         clayplank_clock::sleep(INTRODUCE_INTERVAL).await;
     }
 }
@@ -189,7 +189,7 @@
                 introductions.non_keepers.insert(host);
             }
             Err(error) => {
-                log::warn!(target: part::KEEPER, host = host, cause:% = error;
+                log::warn!(target: log_target::KEEPER, host = host, cause:% = error;
                     "Could not decode the answer to an introduction");
             }
         }
@@ -214,17 +214,17 @@
 async fn start_log_if_planned(
     keeper: &Address<Keeper>,
     local: &BlankKeeper,
-    joining: &Joining,
+    join_sources: &JoinSources,
     introductions: &Introductions,
 ) {
-    let bootstrap_hosts = joining.seeds.iter().map(ToString::to_string);
+    let bootstrap_hosts = join_sources.bootstrap_hosts.iter().map(ToString::to_string);
     let bootstrap_names: Vec<_> =
         bootstrap_hosts.filter(|host| !introductions.non_keepers.contains(host)).collect();
     let start = match plan_join(local, &bootstrap_names, &introductions.answers) {
-        Join::Begin(configuration) => StartLog(Some(configuration)),
-        Join::Learn => StartLog(None),
+        Join::Bootstrap(configuration) => StartLog(Some(configuration)),
+        Join::AsLearner => StartLog(None),
         Join::Wait => {
-            log::debug!(target: part::KEEPER,
+            log::debug!(target: log_target::KEEPER,
                 "Does not create the log yet: waits for answers of the other keepers");
             return;
         }
--- a/clayplankd/src/keepers/keeper_stop.rs
+++ b/clayplankd/src/keepers/planned_stop.rs
@@ -6,7 +6,7 @@
 use clayplank_types::HostId;
 
 use crate::keepers::keeper_client::KeeperClient;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Longest wait of a stopping keeper for its removal from the voters: several times the duration of
 /// an election and two membership changes. After it the keeper stops anyway, and the leader removes
@@ -22,7 +22,7 @@
 /// A voter that terminates unannounced stays a voter for another 1.5 s. If a sixth voter is added in
 /// its place during that time, the quorum is four of six; losing two disks then would leave
 /// three voters, one fewer than the quorum.
-pub(crate) async fn give_up_vote(keepers: &KeeperClient, local: &HostId) {
+pub(crate) async fn release_vote(keepers: &KeeperClient, local: &HostId) {
     let started = Instant::now();
     let outcome = loop {
         let remaining = STOP_TIMEOUT.saturating_sub(started.elapsed());
@@ -30,13 +30,13 @@
             Ok(true) => break "may stop",
             Ok(false) => clayplank_clock::sleep(REQUEST_INTERVAL.min(remaining)).await,
             Err(error) => {
-                log::warn!(target: part::KEEPER, cause:% = error;
+                log::warn!(target: log_target::KEEPER, cause:% = error;
                     "Could not reach the leader to release this keeper's vote; stops as a voter");
                 break "not answered";
             }
         }
     };
-    log::info!(target: part::KEEPER,
+    log::info!(target: log_target::KEEPER,
         outcome = outcome, waited_ms = started.elapsed().as_millis() as u64;
         "Stopped waiting for this keeper's vote to be released");
 }
