--- a/clayplankd/src/owners/commands.rs
+++ b/clayplankd/src/owners/commands.rs
@@ -5,13 +5,13 @@
 
 use clayplank_schedule::Grant;
 use clayplank_settings::{FenceCheck, HostSettings};
-use clayplank_state::{Body, Reply};
+use clayplank_state::{CommandBody, Reply};
 use clayplank_types::{HostId, Refusal, RefusalReason, UpstreamId};
-use clayplank_upstream::{EngineEdge, Order};
+use clayplank_upstream::{EngineClient, EngineCommand};
 
 use crate::keepers::keeper_client::KeeperClient;
 use crate::process::clock::millis;
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Lease of a fencing token, in ms. It is longer than a command takes.
 const COMMAND_LEASE_MS: u64 = 5_000;
@@ -37,7 +37,7 @@
     targets: Vec<CommandTarget>,
     host: HostId,
     keepers: KeeperClient,
-    edge: Arc<dyn EngineEdge>,
+    engine_client: Arc<dyn EngineClient>,
 }
 
 impl AdapterLoadPlan {
@@ -45,7 +45,7 @@
         settings: &HostSettings,
         grant: &Grant,
         keepers: &KeeperClient,
-        edge: &Arc<dyn EngineEdge>,
+        engine_client: &Arc<dyn EngineClient>,
     ) -> Self {
         let is_granted =
             |engine: &UpstreamId| grant.parts.iter().any(|part| part.engine == *engine);
@@ -61,7 +61,7 @@
             targets: targets.collect(),
             host: settings.host.clone(),
             keepers: keepers.clone(),
-            edge: Arc::clone(edge),
+            engine_client: Arc::clone(engine_client),
         }
     }
 
@@ -79,9 +79,9 @@
 pub(crate) async fn load_adapter(plan: &AdapterLoadPlan) -> Result<(), Refusal> {
     for target in &plan.targets {
         let token = acquire_token(plan, target).await?;
-        let command = Order::LoadAdapter { adapter: plan.adapter.clone() };
-        if let Err(error) = plan.edge.order(target.address, token, &command).await {
-            log::warn!(target: part::OWNER, "Engine {} failed to load adapter {}: {error}.", target.engine, plan.adapter);
+        let command = EngineCommand::LoadAdapter { adapter: plan.adapter.clone() };
+        if let Err(error) = plan.engine_client.send_command(target.address, token, &command).await {
+            log::warn!(target: log_target::OWNER, "Engine {} failed to load adapter {}: {error}.", target.engine, plan.adapter);
             return Err(Refusal::new(RefusalReason::UpstreamRefused, COMMAND_RETRY_MS));
         }
     }
@@ -91,7 +91,7 @@
 /// Acquires a fencing token. Where the engine does not check tokens, waits until the lease of
 /// another host has expired.
 async fn acquire_token(plan: &AdapterLoadPlan, target: &CommandTarget) -> Result<u64, Refusal> {
-    let body = Body::Fence {
+    let body = CommandBody::Fence {
         upstream: target.engine.clone(),
         host: plan.host.clone(),
         lease_ms: COMMAND_LEASE_MS,
--- a/clayplankd/src/owners/owner.rs
+++ b/clayplankd/src/owners/owner.rs
@@ -11,22 +11,22 @@
 use std::time::Duration;
 
 use clayplank_schedule::{
-    Ask, Decision, EngineReport, EngineSpec, Grant, GrantId, HeldGrant, Holder, Policy, Scheduler,
-    Totals, Usage,
+    Decision, EngineReport, EngineSpec, Grant, GrantHolder, GrantId, Policy, RenewedGrant,
+    ReservationRequest, Scheduler, Totals, Usage,
 };
 use clayplank_settings::HostSettings;
 use clayplank_types::{AttemptId, HostId, Incarnation, PoolId, Refusal, RequestId, UpstreamId};
-use clayplank_upstream::{CacheEvent, EngineEdge, LoadReport};
+use clayplank_upstream::{CacheEvent, EngineClient, LoadReport};
 use tokio::sync::oneshot;
 use xtra::{Address, Context, Handler};
 
 use self::engine_poll::EnginePoll;
 use crate::keepers::keeper_client::KeeperClient;
 use crate::owners::commands::{AdapterLoadPlan, load_adapter};
-use crate::owners::pools::PoolDirectory;
-use crate::owners::upstreams::UpstreamStates;
+use crate::owners::leaving_upstreams::LeavingUpstreams;
+use crate::owners::pool_directory::PoolDirectory;
 use crate::process::clock::{millis, now_ms};
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 use crate::process::membership::MembersView;
 
 /// Interval at which the owner follows membership changes and advances its schedulers.
@@ -38,7 +38,7 @@
 
 /// Result of a reservation request.
 #[derive(Clone, Debug)]
-pub(crate) enum Reserved {
+pub(crate) enum ReserveResult {
     /// The request may run on the engines of the grant.
     Granted { grant: Grant, owner: Incarnation },
     /// The request is refused.
@@ -49,8 +49,8 @@
 
 /// Reply to a reservation request, with the current wait in the pool in ms.
 #[derive(Clone, Debug)]
-pub(crate) struct ReserveAnswer {
-    pub(crate) reserved: Reserved,
+pub(crate) struct ReserveResponse {
+    pub(crate) reserved: ReserveResult,
     pub(crate) pool_wait_ms: u64,
 }
 
@@ -77,7 +77,7 @@
 struct Waiter {
     pool: PoolId,
     attempt_id: AttemptId,
-    reply: oneshot::Sender<ReserveAnswer>,
+    reply: oneshot::Sender<ReserveResponse>,
 }
 
 /// Actor that owns pools and answers reservation requests for them.
@@ -87,8 +87,8 @@
     incarnation: Incarnation,
     members: Arc<MembersView>,
     directory: Arc<PoolDirectory>,
-    upstreams: UpstreamStates,
-    engines: Arc<dyn EngineEdge>,
+    upstreams: LeavingUpstreams,
+    engines: Arc<dyn EngineClient>,
     keepers: KeeperClient,
     pools: BTreeMap<PoolId, OwnedPool>,
     waiters: HashMap<RequestId, Waiter>,
@@ -103,8 +103,8 @@
         incarnation: Incarnation,
         members: Arc<MembersView>,
         directory: Arc<PoolDirectory>,
-        upstreams: UpstreamStates,
-        engines: Arc<dyn EngineEdge>,
+        upstreams: LeavingUpstreams,
+        engines: Arc<dyn EngineClient>,
         keepers: KeeperClient,
     ) -> Self {
         Self {
@@ -139,7 +139,7 @@
         let Some(address) = self.self_address.clone() else {
             return;
         };
-        log::info!(target: part::OWNER, "Owns pool {pool}.");
+        log::info!(target: log_target::OWNER, "Owns pool {pool}.");
         let lease_ms = self.settings.timing.grant_lease_ms;
         let policy = Policy::builder().grant_lease_ms(lease_ms).seed(self.incarnation.0).build();
         // Each acquisition is a new incarnation, so that grants of earlier ones are recognized.
@@ -150,10 +150,10 @@
             let models = engine.models.iter().map(String::as_str);
             scheduler.add_engine(EngineSpec::new(engine.id.clone(), engine.memory_tokens, models));
             // The engine gets work only after a report shows what it already runs.
-            scheduler.note_silent(&engine.id);
+            scheduler.mark_unresponsive(&engine.id);
             let poll = EnginePoll {
                 owner: address.clone(),
-                edge: Arc::clone(&self.engines),
+                engine_client: Arc::clone(&self.engines),
                 pool: pool.clone(),
                 engine: engine.id.clone(),
                 address: engine.address,
@@ -164,15 +164,15 @@
         self.pools.insert(pool, OwnedPool { scheduler, acquired_at_ms: now_ms(), poll_tasks });
     }
 
-    /// Releases a pool. Waiting requests get the reply [`Reserved::NotOwner`] and are then sent to
+    /// Releases a pool. Waiting requests get the reply [`ReserveResult::NotOwner`] and are then sent to
     /// the new owner. It learns of existing grants from their holders.
     fn release(&mut self, pool: &PoolId) {
-        log::info!(target: part::OWNER, "No longer owns pool {pool}.");
+        log::info!(target: log_target::OWNER, "No longer owns pool {pool}.");
         self.pools.remove(pool);
         let owner = self.members.owner_of(pool);
         for (_, waiter) in self.waiters.extract_if(|_, waiter| waiter.pool == *pool) {
-            let reserved = Reserved::NotOwner(owner.clone());
-            waiter.reply.send(ReserveAnswer { reserved, pool_wait_ms: 0 }).ok();
+            let reserved = ReserveResult::NotOwner(owner.clone());
+            waiter.reply.send(ReserveResponse { reserved, pool_wait_ms: 0 }).ok();
         }
     }
 
@@ -193,8 +193,8 @@
                     Decision::Granted(grant) => {
                         let request_id = grant.request_id;
                         let grant_id = grant.grant_id;
-                        let reply = ReserveAnswer {
-                            reserved: Reserved::Granted { grant, owner },
+                        let reply = ReserveResponse {
+                            reserved: ReserveResult::Granted { grant, owner },
                             pool_wait_ms,
                         };
                         if !self.reply(request_id, reply) {
@@ -202,8 +202,10 @@
                         }
                     }
                     Decision::Refused(request_id, refusal) => {
-                        let reply =
-                            ReserveAnswer { reserved: Reserved::Refused(refusal), pool_wait_ms };
+                        let reply = ReserveResponse {
+                            reserved: ReserveResult::Refused(refusal),
+                            pool_wait_ms,
+                        };
                         self.reply(request_id, reply);
                     }
                     Decision::Cancel(engine, attempt_id) => self.start_cancel(&engine, attempt_id),
@@ -232,10 +234,10 @@
             let loaded = load_adapter(&plan).await;
             let (is_loaded, grant_id) = (loaded.is_ok(), grant.grant_id);
             let reserved = match loaded {
-                Ok(()) => Reserved::Granted { grant, owner },
-                Err(refusal) => Reserved::Refused(refusal),
+                Ok(()) => ReserveResult::Granted { grant, owner },
+                Err(refusal) => ReserveResult::Refused(refusal),
             };
-            let is_received = waiter.reply.send(ReserveAnswer { reserved, pool_wait_ms }).is_ok();
+            let is_received = waiter.reply.send(ReserveResponse { reserved, pool_wait_ms }).is_ok();
             let loaded = AdapterLoaded {
                 pool,
                 plan,
@@ -247,14 +249,14 @@
     }
 
     /// Replies to a waiting request. Returns whether its sender still waited.
-    fn reply(&mut self, request_id: RequestId, reply: ReserveAnswer) -> bool {
+    fn reply(&mut self, request_id: RequestId, reply: ReserveResponse) -> bool {
         self.waiters.remove(&request_id).is_some_and(|waiter| waiter.reply.send(reply).is_ok())
     }
 
     /// Ends a grant that was never used because nobody received it.
     fn cancel_unused_grant(&mut self, pool: &PoolId, grant_id: GrantId) {
         if let Some(owned) = self.pools.get_mut(pool) {
-            owned.scheduler.finish(
+            owned.scheduler.end_grant(
                 now_ms(),
                 grant_id,
                 Usage { engine_ended: true, ..Usage::default() },
@@ -266,13 +268,13 @@
         let Some(address) = self.engine_address(engine) else {
             return;
         };
-        let edge = Arc::clone(&self.engines);
+        let engine_client = Arc::clone(&self.engines);
         let engine = engine.clone();
         tokio::spawn(async move {
             // If this fails, the memory is released by the load report that no longer lists the
             // attempt.
-            if let Err(error) = edge.cancel(address, attempt_id).await {
-                log::warn!(target: part::OWNER, "Failed to cancel attempt {attempt_id} at {engine}: {error}.");
+            if let Err(error) = engine_client.cancel(address, attempt_id).await {
+                log::warn!(target: log_target::OWNER, "Failed to cancel attempt {attempt_id} at {engine}: {error}.");
             }
         });
     }
@@ -292,9 +294,9 @@
     /// Withdraws waiting requests whose sender no longer waits for a reply.
     fn withdraw_closed_waiters(&mut self) {
         for (request_id, waiter) in self.waiters.extract_if(|_, waiter| waiter.reply.is_closed()) {
-            log::debug!(target: part::OWNER, "Withdrew attempt {}: its sender stopped waiting.", waiter.attempt_id);
+            log::debug!(target: log_target::OWNER, "Withdrew attempt {}: its sender stopped waiting.", waiter.attempt_id);
             if let Some(owned) = self.pools.get_mut(&waiter.pool) {
-                owned.scheduler.withdraw(request_id);
+                owned.scheduler.cancel(request_id);
             }
         }
     }
@@ -313,7 +315,7 @@
         let leaving = self.upstreams.leaving();
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             self.with_pool(&pool, |scheduler| {
-                leaving.iter().for_each(|engine| scheduler.note_leaving(engine));
+                leaving.iter().for_each(|engine| scheduler.mark_draining(engine));
                 scheduler.tick(now_ms());
             });
         }
@@ -323,29 +325,29 @@
 /// Message: a request for engines of a pool.
 pub(crate) struct Reserve {
     pub(crate) pool: PoolId,
-    pub(crate) holder: Holder,
+    pub(crate) holder: GrantHolder,
     /// The owner sets its `request_id`. Its deadline is absolute, by the local clock.
-    pub(crate) ask: Ask,
+    pub(crate) request: ReservationRequest,
 }
 
 impl Handler<Reserve> for Owner {
-    type Return = oneshot::Receiver<ReserveAnswer>;
+    type Return = oneshot::Receiver<ReserveResponse>;
 
     async fn handle(&mut self, reserve: Reserve, _: &mut Context<Self>) -> Self::Return {
-        let Reserve { pool, holder, mut ask } = reserve;
+        let Reserve { pool, holder, mut request } = reserve;
         let (reply, receiver) = oneshot::channel();
         // A request that arrives too soon after the acquisition is repeated by its sender, as after
         // a change of the owner.
-        if self.pools.get(&pool).is_none_or(|owned| owned.awaits_reports(&ask.model)) {
-            let reserved = Reserved::NotOwner(self.members.owner_of(&pool));
-            reply.send(ReserveAnswer { reserved, pool_wait_ms: 0 }).ok();
+        if self.pools.get(&pool).is_none_or(|owned| owned.awaits_reports(&request.model)) {
+            let reserved = ReserveResult::NotOwner(self.members.owner_of(&pool));
+            reply.send(ReserveResponse { reserved, pool_wait_ms: 0 }).ok();
             return receiver;
         }
         self.next_request += 1;
-        ask.request_id = RequestId(self.next_request);
-        let waiter = Waiter { pool: pool.clone(), attempt_id: ask.attempt_id, reply };
-        self.waiters.insert(ask.request_id, waiter);
-        self.with_pool(&pool, |scheduler| scheduler.submit(now_ms(), holder, ask));
+        request.request_id = RequestId(self.next_request);
+        let waiter = Waiter { pool: pool.clone(), attempt_id: request.attempt_id, reply };
+        self.waiters.insert(request.request_id, waiter);
+        self.with_pool(&pool, |scheduler| scheduler.submit(now_ms(), holder, request));
         receiver
     }
 }
@@ -363,7 +365,7 @@
     async fn handle(&mut self, first: FirstToken, _: &mut Context<Self>) {
         self.with_pool(&first.pool, |scheduler| {
             if scheduler.incarnation() == first.owner {
-                scheduler.note_first_token(now_ms(), first.grant_id);
+                scheduler.record_first_token(now_ms(), first.grant_id);
             }
         });
     }
@@ -381,15 +383,15 @@
 
     async fn handle(&mut self, finish: Finish, _: &mut Context<Self>) {
         self.with_pool(&finish.pool, |scheduler| {
-            scheduler.finish_attempt(now_ms(), finish.attempt_id, finish.usage)
+            scheduler.end_grant_of_attempt(now_ms(), finish.attempt_id, finish.usage)
         });
     }
 }
 
 /// Message: a host renews its grants, which are listed by pool.
 pub(crate) struct Renew {
-    pub(crate) holder: Holder,
-    pub(crate) held: BTreeMap<PoolId, Vec<HeldGrant>>,
+    pub(crate) holder: GrantHolder,
+    pub(crate) held: BTreeMap<PoolId, Vec<RenewedGrant>>,
 }
 
 impl Handler<Renew> for Owner {
@@ -421,11 +423,11 @@
                     memory_tokens: report.memory_tokens,
                     running: report.running,
                     adapters: report.adapters,
-                    is_leaving: report.leaving,
+                    is_draining: report.leaving,
                 };
-                scheduler.report(now_ms(), &reported.engine, &report);
+                scheduler.apply_report(now_ms(), &reported.engine, &report);
             }
-            None => scheduler.note_silent(&reported.engine),
+            None => scheduler.mark_unresponsive(&reported.engine),
         });
     }
 }
@@ -444,10 +446,10 @@
     async fn handle(&mut self, changed: CacheChanged, _: &mut Context<Self>) {
         self.with_pool(&changed.pool, |scheduler| {
             if changed.has_gap {
-                scheduler.note_cache_gap(&changed.engine);
+                scheduler.invalidate_cached_prefixes(&changed.engine);
             }
             for event in changed.events.iter().filter(|event| !event.stored) {
-                scheduler.note_evicted(&changed.engine, event.prefix_hash);
+                scheduler.record_prefix_evicted(&changed.engine, event.prefix_hash);
             }
         });
     }
@@ -468,7 +470,7 @@
     async fn handle(&mut self, loaded: AdapterLoaded, _: &mut Context<Self>) {
         self.with_pool(&loaded.pool, |scheduler| {
             for engine in loaded.plan.engines().filter(|_| loaded.is_loaded) {
-                scheduler.note_adapter(engine, loaded.plan.adapter());
+                scheduler.record_adapter_loaded(engine, loaded.plan.adapter());
             }
         });
         if let Some(grant_id) = loaded.unused_grant {
--- a/clayplankd/src/owners/reserve.rs
+++ b/clayplankd/src/owners/reservations.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use clayplank_clock::Instant;
-use clayplank_schedule::{Ask, GrantId, GrantPart, HeldGrant, PoolLoad, Usage, choose_pool};
+use clayplank_schedule::{
+    GrantId, GrantPart, PoolLoad, RenewedGrant, ReservationRequest, Usage, choose_pool,
+};
 use clayplank_types::{
     AttemptId, EnginePriority, HostId, Incarnation, PoolId, Refusal, RefusalReason, RequestId,
     UpstreamId,
@@ -16,8 +18,8 @@
 };
 
 use crate::process::clock::millis;
-use crate::process::host::Host;
-use crate::process::logging::part;
+use crate::process::host_state::Host;
+use crate::process::logging::log_target;
 use crate::process::peers::PeerError;
 
 /// Delay before a request is repeated while the owner cannot be reached or has just changed.
@@ -35,21 +37,21 @@
 
 /// A grant that this entry host holds.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct OwnedGrant {
     pub(crate) pool: PoolId,
     pub(crate) account: String,
-    pub(crate) grant: HeldGrant,
+    pub(crate) grant: RenewedGrant,
     pub(crate) engine_priority: EnginePriority,
 }
 
 /// All grants that this host holds, by attempt.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct HeldGrants {
-    grants: Arc<Mutex<HashMap<AttemptId, Held>>>,
+pub(crate) struct OwnedGrants {
+    grants: Arc<Mutex<HashMap<AttemptId, OwnedGrant>>>,
 }
 
-impl HeldGrants {
-    fn insert(&self, held: Held) {
+impl OwnedGrants {
+    fn insert(&self, held: OwnedGrant) {
         self.grants
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -60,7 +62,7 @@
         self.grants.lock().unwrap_or_else(PoisonError::into_inner).remove(&attempt_id);
     }
 
-    fn all(&self) -> Vec<Held> {
+    fn all(&self) -> Vec<OwnedGrant> {
         self.grants.lock().unwrap_or_else(PoisonError::into_inner).values().cloned().collect()
     }
 }
@@ -82,8 +84,12 @@
 }
 
 /// Requests engines until a grant or a refusal arrives, or the deadline has passed.
-pub(crate) async fn reserve(host: &Host, ask: &Ask, deadline: Instant) -> Result<Held, Refusal> {
-    let pools = host.pools.of_model(&ask.model);
+pub(crate) async fn reserve(
+    host: &Host,
+    reservation_request: &ReservationRequest,
+    deadline: Instant,
+) -> Result<OwnedGrant, Refusal> {
+    let pools = host.pools.of_model(&reservation_request.model);
     let loads: Vec<_> = pools.iter().map(|pool| pool_load(host, pool)).collect();
     let Some(chosen) = choose_pool(&loads, &mut rand::rng()) else {
         return Err(Refusal::new(RefusalReason::NoEngine, OWNER_UNREACHABLE_RETRY_MS));
@@ -94,9 +100,9 @@
         if remaining.is_zero() {
             return Err(Refusal::new(RefusalReason::OwnerUnreachable, OWNER_UNREACHABLE_RETRY_MS));
         }
-        match reserve_in(host, &pool, ask, remaining).await {
+        match reserve_in(host, &pool, reservation_request, remaining).await {
             Ok(ReserveOutcome::Granted(held)) => {
-                host.held.insert(held.clone());
+                host.grants.insert(held.clone());
                 return Ok(held);
             }
             Ok(ReserveOutcome::Refused(refusal)) => match next_pool(pools, &pool, refusal) {
@@ -119,15 +125,15 @@
 }
 
 fn pool_load(host: &Host, pool: &PoolId) -> PoolLoad {
-    let local_data_centre = host.settings.own_entry().map(|entry| &entry.data_centre);
+    let local_data_centre = host.settings.local_entry().map(|entry| &entry.data_centre);
     let is_local = host.pools.data_centre(pool) == local_data_centre;
-    let distance_ms = if is_local { 0 } else { REMOTE_POOL_DISTANCE_MS };
-    PoolLoad { pool: pool.clone(), wait_ms: host.pool_waits.get(pool), distance_ms }
+    let round_trip_ms = if is_local { 0 } else { REMOTE_POOL_DISTANCE_MS };
+    PoolLoad { pool: pool.clone(), wait_ms: host.pool_wait_estimates.get(pool), round_trip_ms }
 }
 
 /// Result of one reservation request to an owner.
 enum ReserveOutcome {
-    Granted(Held),
+    Granted(OwnedGrant),
     Refused(Refusal),
     NotOwner,
 }
@@ -135,41 +141,54 @@
 async fn reserve_in(
     host: &Host,
     pool: &PoolId,
-    ask: &Ask,
+    reservation_request: &ReservationRequest,
     remaining: Duration,
 ) -> Result<ReserveOutcome, PeerError> {
     let Some(owner) = host.members.owner_of(pool) else {
         return Ok(ReserveOutcome::NotOwner);
     };
-    let request = to_wire(host, pool, ask, remaining);
+    let request = to_wire(host, pool, reservation_request, remaining);
     let reply = host
         .peers
         .call(&owner, remaining, |mut client| async move { client.reserve(request).await })
         .await?;
-    host.pool_waits.set(pool, reply.pool_wait_ms);
-    Ok(from_wire(pool, ask, reply))
+    host.pool_wait_estimates.set(pool, reply.pool_wait_ms);
+    Ok(from_wire(pool, reservation_request, reply))
 }
 
-fn to_wire(host: &Host, pool: &PoolId, ask: &Ask, remaining: Duration) -> ReserveRequest {
+fn to_wire(
+    host: &Host,
+    pool: &PoolId,
+    reservation_request: &ReservationRequest,
+    remaining: Duration,
+) -> ReserveRequest {
     ReserveRequest {
         pool: pool.to_string(),
         from_host: host.settings.host.to_string(),
         from_incarnation: host.incarnation.0,
-        attempt_id: ask.attempt_id.to_string(),
-        account: ask.account.to_string(),
-        share: ask.share,
-        priority_rank: ask.priority.rank() as u32,
-        model: ask.model.clone(),
-        adapter: ask.adapter.clone().unwrap_or_default(),
-        prompt_tokens: ask.prompt_tokens,
-        max_output_tokens: ask.max_output_tokens,
+        attempt_id: reservation_request.attempt_id.to_string(),
+        account: reservation_request.account.to_string(),
+        share: reservation_request.weight,
+        priority_rank: reservation_request.priority.rank() as u32,
+        model: reservation_request.model.clone(),
+        adapter: reservation_request.adapter.clone().unwrap_or_default(),
+        prompt_tokens: reservation_request.prompt_tokens,
+        max_output_tokens: reservation_request.max_output_tokens,
         deadline_in_ms: remaining.as_millis() as u64,
-        prefix_hashes: ask.prefix_hashes.clone(),
-        avoid_engines: ask.avoid.iter().map(ToString::to_string).collect(),
+        prefix_hashes: reservation_request.prefix_hashes.clone(),
+        avoid_engines: reservation_request
+            .avoided_engines
+            .iter()
+            .map(ToString::to_string)
+            .collect(),
     }
 }
 
-fn from_wire(pool: &PoolId, ask: &Ask, reply: ReserveReply) -> ReserveOutcome {
+fn from_wire(
+    pool: &PoolId,
+    reservation_request: &ReservationRequest,
+    reply: ReserveReply,
+) -> ReserveOutcome {
     let granted = match reply.result {
         Some(reserve_reply::Result::Granted(granted)) => granted,
         Some(reserve_reply::Result::Refused(refused)) => {
@@ -180,17 +199,17 @@
         }
         Some(reserve_reply::Result::NotOwner(_)) | None => return ReserveOutcome::NotOwner,
     };
-    let grant = HeldGrant {
+    let grant = RenewedGrant {
         grant_id: GrantId(granted.grant_id),
         owner: Incarnation(granted.owner_incarnation),
-        attempt_id: ask.attempt_id,
+        attempt_id: reservation_request.attempt_id,
         parts: granted.engines.into_iter().map(part_from_wire).collect(),
     };
     let engine_priority =
         EnginePriority(u8::try_from(granted.engine_priority_rank).unwrap_or(u8::MAX));
-    ReserveOutcome::Granted(Held {
+    ReserveOutcome::Granted(OwnedGrant {
         pool: pool.clone(),
-        account: ask.account.to_string(),
+        account: reservation_request.account.to_string(),
         grant,
         engine_priority,
     })
@@ -219,7 +238,7 @@
 }
 
 /// Notifies the owner that the first token arrived, which means that the prefill is complete.
-pub(crate) async fn tell_first_token(host: &Host, held: &Held) {
+pub(crate) async fn notify_first_token(host: &Host, held: &OwnedGrant) {
     let request = FirstTokenRequest {
         pool: held.pool.to_string(),
         grant_id: held.grant.grant_id.0,
@@ -238,8 +257,8 @@
 
 /// Ends a grant and notifies the owner. If the notification is lost, the grant expires at the
 /// owner.
-pub(crate) async fn finish(host: &Host, held: &Held, usage: Usage) {
-    host.held.remove(held.grant.attempt_id);
+pub(crate) async fn finish_grant(host: &Host, held: &OwnedGrant, usage: Usage) {
+    host.grants.remove(held.grant.attempt_id);
     let request = FinishRequest {
         grant_id: held.grant.grant_id.0,
         owner_incarnation: held.grant.owner.0,
@@ -257,7 +276,7 @@
         .peers
         .call(&owner, OWNER_CALL_TIMEOUT, |mut client| async move { client.finish(request).await });
     if let Err(error) = call.await {
-        log::debug!(target: part::CALLERS, "Failed to notify the owner of the end of attempt {}: {error}.", held.grant.attempt_id);
+        log::debug!(target: log_target::CALLERS, "Failed to notify the owner of the end of attempt {}: {error}.", held.grant.attempt_id);
     }
 }
 
@@ -273,7 +292,7 @@
                     client.renew(request).await
                 };
                 if let Err(error) = host.peers.call(&owner, OWNER_CALL_TIMEOUT, call).await {
-                    log::debug!(target: part::CALLERS, "Failed to renew grants at {owner}: {error}.");
+                    log::debug!(target: log_target::CALLERS, "Failed to renew grants at {owner}: {error}.");
                 }
             });
         }
@@ -282,7 +301,7 @@
 
 fn plan_renewals(host: &Host) -> BTreeMap<HostId, RenewRequest> {
     let mut requests: BTreeMap<HostId, RenewRequest> = BTreeMap::new();
-    for held in host.held.all() {
+    for held in host.grants.all() {
         let Some(owner) = host.members.owner_of(&held.pool) else {
             continue;
         };
@@ -305,11 +324,11 @@
 
 /// Creates a reservation request. The owner assigns the request id, and the caller sets the
 /// deadline.
-pub(crate) fn new_ask(
+pub(crate) fn new_request(
     attempt_id: AttemptId,
     account: clayplank_types::AccountId,
     model: &str,
     prompt_tokens: u64,
-) -> Ask {
-    Ask::new(RequestId(0), attempt_id, account, model, prompt_tokens, 0)
+) -> ReservationRequest {
+    ReservationRequest::new(RequestId(0), attempt_id, account, model, prompt_tokens, 0)
 }
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -6,10 +6,10 @@
 
 use clayplank_agreement::{Options, Store, StoreError};
 use clayplank_clock::Instant;
-use clayplank_forward::Suspicion;
+use clayplank_forward::RequestQuarantine;
 use clayplank_settings::{Faults, HostSettings, Role};
 use clayplank_types::{HostId, Incarnation};
-use clayplank_upstream::{EngineEdge, HttpClient, HttpEngines};
+use clayplank_upstream::{EngineClient, HttpClient, HttpEngineClient};
 use clayplank_wire::inner_server::InnerServer;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto;
@@ -21,23 +21,23 @@
 use crate::doors::callers;
 use crate::doors::operators::{self, OperatorsEndpoint};
 use crate::doors::serve::{ListenerLimits, serve};
-use crate::fleet::sightings::{SightingLink, run_sightings};
-use crate::follow::settings_watch::{CurrentSettings, run_settings_watch};
-use crate::keepers::keeper::{Keeper, KeeperAddress, Sizing};
+use crate::fleet::termination_reports::{TerminationReporter, run_termination_reports};
+use crate::follow::current_settings::{CurrentSettings, run_settings_watch};
+use crate::keepers::keeper::{Keeper, KeeperAddress, KeeperOptions};
 use crate::keepers::keeper_client::KeeperClient;
-use crate::keepers::keeper_join::{Joining, run_join, run_outbox, run_ticks};
+use crate::keepers::keeper_tasks::{JoinSources, run_join, run_outbox, run_ticks};
 use crate::keepers::leader_search::run_leader_search;
+use crate::owners::leaving_upstreams::LeavingUpstreams;
 use crate::owners::owner::{Owner, run_owner};
-use crate::owners::pools::PoolDirectory;
-use crate::owners::reserve::run_renewals;
-use crate::owners::upstreams::UpstreamStates;
+use crate::owners::pool_directory::PoolDirectory;
+use crate::owners::reservations::run_renewals;
 use crate::process::clock::{millis, new_incarnation};
-use crate::process::host::{Host, InProgress};
-use crate::process::inner::InnerService;
-use crate::process::logging::part;
+use crate::process::host_state::{Host, InProgress};
+use crate::process::logging::log_target;
 use crate::process::membership::{
     Leave, MembersView, Membership, run_membership, run_platform_poll,
 };
+use crate::process::peer_service::InnerService;
 use crate::process::peers::{MAX_MESSAGE_BYTES, Peers};
 use crate::process::suspension::run_suspension_watch;
 
@@ -137,14 +137,14 @@
             keepers: None,
             fleet: None,
             relay: None,
-            spread: None,
+            heartbeat_relay: None,
         };
         tokio::spawn(serve_inner(inner_listener, inner));
         let local_host = settings.host.clone();
         tokio::spawn(run_leader_search(host.keepers.clone()));
         tokio::spawn(run_settings_watch(Arc::clone(&host), local_host));
         start_endpoints(&host, owner, callers_listener, operators_listener);
-        log::info!(target: part::DAEMON, "Host {} accepts callers at {}.", settings.host, settings.listen.callers);
+        log::info!(target: log_target::DAEMON, "Host {} accepts callers at {}.", settings.host, settings.listen.callers);
         Ok(Self { host, membership, failed, _failed_sender: failed_sender })
     }
 
@@ -160,7 +160,7 @@
     /// every request in progress has ended, up to `drain_ms`.
     pub async fn leave_and_drain(&self) {
         let timing = &self.host.settings.timing;
-        log::info!(target: part::DAEMON, "Shutting down; {} requests are in progress.", self.host.progress.count());
+        log::info!(target: log_target::DAEMON, "Shutting down; {} requests are in progress.", self.host.progress.count());
         let deadline = Instant::now() + millis(timing.drain_ms);
         self.host.progress.leave();
         self.membership.send(Leave).await.ok();
@@ -171,7 +171,7 @@
             clayplank_clock::sleep(millis(20)).await;
         }
         clayplank_clock::sleep(FLUSH_DELAY).await;
-        log::info!(target: part::DAEMON, "Shutdown complete; {} requests were still in progress and are aborted.", self.host.progress.count());
+        log::info!(target: log_target::DAEMON, "Shutdown complete; {} requests were still in progress and are aborted.", self.host.progress.count());
     }
 }
 
@@ -186,30 +186,30 @@
     members: Arc<MembersView>,
     pools: Arc<PoolDirectory>,
 ) -> Arc<Host> {
-    let engines: Arc<dyn EngineEdge> = Arc::new(HttpEngines::default());
+    let engines: Arc<dyn EngineClient> = Arc::new(HttpEngineClient::default());
     let keepers = KeeperClient::new(settings, peers.clone());
-    let (sighting_link, sightings) = SightingLink::new(keepers.clone());
-    tokio::spawn(run_sightings(keepers.clone(), sightings));
+    let (termination_reporter, observations) = TerminationReporter::new(keepers.clone());
+    tokio::spawn(run_termination_reports(keepers.clone(), observations));
     Arc::new_cyclic(|weak_self| Host {
         weak_self: weak_self.clone(),
         settings: Arc::clone(settings),
         incarnation,
         keepers,
         peers,
-        current: Arc::new(CurrentSettings::new(settings.timing.settings_lease_ms)),
+        replicated_settings: Arc::new(CurrentSettings::new(settings.timing.settings_lease_ms)),
         members,
         engines,
         http: HttpClient::default(),
         addresses: settings.engines().map(|engine| (engine.id.clone(), engine.address)).collect(),
         pools,
-        upstreams: UpstreamStates::default(),
-        held: Default::default(),
-        pool_waits: Default::default(),
+        upstreams: LeavingUpstreams::default(),
+        grants: Default::default(),
+        pool_wait_estimates: Default::default(),
         account_limits: Default::default(),
         metrics: Default::default(),
         progress: InProgress::default(),
         service_loads: Default::default(),
-        suspicion: Arc::new(Suspicion::new(Arc::new(sighting_link))),
+        quarantine: Arc::new(RequestQuarantine::new(Arc::new(termination_reporter))),
     })
 }
 
@@ -245,13 +245,13 @@
     let (store, state) =
         Store::open(dir, settings.host.as_str(), incarnation.0).map_err(StartError::Store)?;
     let options = Options {
-        election_ms: settings.timing.election_ms,
-        heartbeat_ms: settings.timing.heartbeat_ms,
+        election_timeout_ms: settings.timing.election_ms,
+        heartbeat_interval_ms: settings.timing.heartbeat_ms,
         ..Options::default()
     };
     let (outbox, outbox_receiver) = mpsc::unbounded_channel();
-    let keeper =
-        Keeper::new(store, state, options, Sizing::default(), outbox, failed).with_may_begin(true);
+    let keeper = Keeper::new(store, state, options, KeeperOptions::default(), outbox, failed)
+        .with_may_bootstrap(true);
     let keeper = xtra::spawn_tokio(keeper, Mailbox::bounded(MAILBOX_CAPACITY));
     let is_peer = |host: &HostId| *host != settings.host;
     let keepers =
@@ -259,8 +259,8 @@
     let peer_keepers: Vec<_> = keepers.filter(is_peer).collect();
     tokio::spawn(run_outbox(outbox_receiver, peers.clone()));
     tokio::spawn(run_ticks(keeper.clone()));
-    let joining = Joining { seeds: peer_keepers, keepers: None };
-    tokio::spawn(run_join(keeper.clone(), joining, peers.clone()));
+    let join_sources = JoinSources { bootstrap_hosts: peer_keepers, client: None };
+    tokio::spawn(run_join(keeper.clone(), join_sources, peers.clone()));
     Ok(Some(keeper))
 }
 
@@ -307,7 +307,7 @@
                 .timer(TokioTimer::new())
                 .keep_alive_interval(Some(Duration::from_secs(5)));
             if let Err(error) = builder.serve_connection(TokioIo::new(stream), service).await {
-                log::debug!(target: part::INNER, "The connection of a peer ended with an error: {error}.");
+                log::debug!(target: log_target::INNER, "The connection of a peer ended with an error: {error}.");
             }
         });
     }
--- a/clayplankd/src/process/host.rs
+++ b/clayplankd/src/process/host_state.rs
@@ -5,18 +5,18 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Weak};
 
-use clayplank_forward::Suspicion;
+use clayplank_forward::RequestQuarantine;
 use clayplank_settings::HostSettings;
 use clayplank_types::{Incarnation, UpstreamId};
-use clayplank_upstream::{EngineEdge, HttpClient};
+use clayplank_upstream::{EngineClient, HttpClient};
 
 use crate::doors::account_limits::AccountLimits;
 use crate::doors::services::ServiceLoads;
-use crate::follow::settings_watch::CurrentSettings;
+use crate::follow::current_settings::CurrentSettings;
 use crate::keepers::keeper_client::KeeperClient;
-use crate::owners::pools::PoolDirectory;
-use crate::owners::reserve::{HeldGrants, PoolWaits};
-use crate::owners::upstreams::UpstreamStates;
+use crate::owners::leaving_upstreams::LeavingUpstreams;
+use crate::owners::pool_directory::PoolDirectory;
+use crate::owners::reservations::{OwnedGrants, PoolWaits};
 use crate::process::membership::MembersView;
 use crate::process::metrics::Metrics;
 use crate::process::peers::Peers;
@@ -31,23 +31,23 @@
     pub(crate) peers: Peers,
     pub(crate) keepers: KeeperClient,
     /// Replicated settings, with the lease for which they are confirmed.
-    pub(crate) current: Arc<CurrentSettings>,
+    pub(crate) replicated_settings: Arc<CurrentSettings>,
     pub(crate) members: Arc<MembersView>,
-    pub(crate) engines: Arc<dyn EngineEdge>,
+    pub(crate) engines: Arc<dyn EngineClient>,
     pub(crate) http: HttpClient,
     /// Addresses of the engines in the settings.
     pub(crate) addresses: HashMap<UpstreamId, SocketAddr>,
     pub(crate) pools: Arc<PoolDirectory>,
-    pub(crate) upstreams: UpstreamStates,
+    pub(crate) upstreams: LeavingUpstreams,
     /// Grants that this host holds and renews at their owners.
-    pub(crate) held: HeldGrants,
-    pub(crate) pool_waits: PoolWaits,
+    pub(crate) grants: OwnedGrants,
+    pub(crate) pool_wait_estimates: PoolWaits,
     pub(crate) account_limits: AccountLimits,
     pub(crate) metrics: Metrics,
     pub(crate) progress: InProgress,
     pub(crate) service_loads: ServiceLoads,
     /// Requests suspected of ending upstreams.
-    pub(crate) suspicion: Arc<Suspicion>,
+    pub(crate) quarantine: Arc<RequestQuarantine>,
 }
 
 impl Host {
--- a/clayplankd/src/process/inner.rs
+++ b/clayplankd/src/process/peer_service.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use clayplank_agreement::{Envelope, ReplicaId};
-use clayplank_members::Rumour;
-use clayplank_placement::{Ask, Event, PlacementId, Renewed};
+use clayplank_members::MemberUpdate;
+use clayplank_placement::{Event, PlacementId, PlacementRequest, RunningPlacement};
 use clayplank_registry::{AgedLimit, Heartbeat};
-use clayplank_schedule::{GrantId, HeldGrant, Holder, Usage};
-use clayplank_state::{Body, decode, encode};
+use clayplank_schedule::{GrantHolder, GrantId, RenewedGrant, Usage};
+use clayplank_state::{CommandBody, decode, encode};
 use clayplank_types::{AttemptId, HostId, Incarnation, PoolId, Priority, RequestId, UpstreamId};
 use clayplank_wire::inner_server::Inner;
 use clayplank_wire::{
@@ -25,17 +25,19 @@
 use xtra::Address;
 
 use crate::fleet::fleet_keeper::FleetKeeper;
-use crate::fleet::spread::Spread;
-use crate::follow::fleet_followers::Followers;
-use crate::follow::relay::Relay;
+use crate::fleet::heartbeat_relay::HeartbeatRelay;
+use crate::follow::follow_responder::FollowResponder;
+use crate::follow::leader_confirmation::Relay;
 use crate::keepers::keeper::{Keeper, KeeperAddress};
 use crate::keepers::keeper_client::KeeperClient;
 use crate::keepers::keeper_messages::{
-    Execute, Executed, FindLeader, Inspect, Introduce, MayStop, Step, Stopping, WATCH_WAIT_MS,
-    Watch, Watched,
+    AnnounceStop, CommandOutcome, Execute, FindLeader, Inspect, Introduce, Step, StopReply,
+    WATCH_HOLD_MS, Watch, WatchOutcome,
 };
-use crate::owners::owner::{Finish, FirstToken, Owner, Renew, Reserve, ReserveAnswer, Reserved};
-use crate::owners::reserve::{part_from_wire, part_to_wire};
+use crate::owners::owner::{
+    Finish, FirstToken, Owner, Renew, Reserve, ReserveResponse, ReserveResult,
+};
+use crate::owners::reservations::{part_from_wire, part_to_wire};
 use crate::process::clock::now_ms;
 use crate::process::membership::{Gossip, Membership};
 use crate::process::peers::Peers;
@@ -58,7 +60,7 @@
     /// Confirms the state of a seeded keeper to its followers.
     pub(crate) relay: Option<Arc<Relay>>,
     /// Forwards heartbeats from a seeded keeper to its peers.
-    pub(crate) spread: Option<Spread>,
+    pub(crate) heartbeat_relay: Option<HeartbeatRelay>,
 }
 
 type RpcResult<T> = Result<Response<T>, Status>;
@@ -73,11 +75,11 @@
     }
 
     fn known_keepers(&self) -> Vec<String> {
-        names(&self.keepers.as_ref().map(KeeperClient::hosts).unwrap_or_default())
+        names(&self.keepers.as_ref().map(KeeperClient::keepers).unwrap_or_default())
     }
 
     fn known_contacts(&self) -> Vec<String> {
-        names(&self.keepers.as_ref().map(KeeperClient::named_contacts).unwrap_or_default())
+        names(&self.keepers.as_ref().map(KeeperClient::sample_contacts).unwrap_or_default())
     }
 
     fn keeper(&self) -> Result<&Address<Keeper>, Status> {
@@ -94,7 +96,7 @@
 }
 
 /// Status for a message of a peer that cannot be decoded.
-pub(crate) fn malformed<E: std::fmt::Display>(error: E) -> Status {
+pub(crate) fn invalid_message<E: std::fmt::Display>(error: E) -> Status {
     Status::invalid_argument(error.to_string())
 }
 
@@ -103,7 +105,7 @@
     if bytes.is_empty() {
         return Ok(Vec::new());
     }
-    decode(bytes).map_err(malformed)
+    decode(bytes).map_err(invalid_message)
 }
 
 fn hint_text(hint: Option<HostId>) -> String {
@@ -144,7 +146,7 @@
 
     async fn finish(&self, request: Request<FinishRequest>) -> RpcResult<FinishReply> {
         let request = request.into_inner();
-        let attempt_id: AttemptId = request.attempt_id.parse().map_err(malformed)?;
+        let attempt_id: AttemptId = request.attempt_id.parse().map_err(invalid_message)?;
         let usage = Usage {
             engine_ended: request.engine_ended,
             engine_failed: request.engine_failed,
@@ -160,12 +162,15 @@
         let messages = request.into_inner().messages;
         let decoded: Result<Vec<Envelope>, _> =
             messages.iter().map(|bytes| decode(bytes)).collect();
-        self.keeper()?.send(Step(decoded.map_err(malformed)?)).await.map_err(actor_stopped)?;
+        self.keeper()?
+            .send(Step(decoded.map_err(invalid_message)?))
+            .await
+            .map_err(actor_stopped)?;
         Ok(Response::new(StepReply {}))
     }
 
     async fn execute(&self, request: Request<ExecuteRequest>) -> RpcResult<ExecuteReply> {
-        let body: Body = decode(&request.into_inner().command).map_err(malformed)?;
+        let body: CommandBody = decode(&request.into_inner().command).map_err(invalid_message)?;
         let executed = self
             .keeper()?
             .send(Execute(body))
@@ -174,11 +179,13 @@
             .await
             .map_err(actor_stopped)?;
         let result = match executed {
-            Executed::Reply(reply) => {
-                execute_reply::Result::Reply(encode(&reply).map_err(malformed)?)
+            CommandOutcome::Reply(reply) => {
+                execute_reply::Result::Reply(encode(&reply).map_err(invalid_message)?)
             }
-            Executed::NotLeader(hint) => execute_reply::Result::NotLeaderHint(hint_text(hint)),
-            Executed::Unknown => execute_reply::Result::Unknown(true),
+            CommandOutcome::NotLeader(hint) => {
+                execute_reply::Result::NotLeaderHint(hint_text(hint))
+            }
+            CommandOutcome::Unknown => execute_reply::Result::Unknown(true),
         };
         Ok(Response::new(ExecuteReply { result: Some(result) }))
     }
@@ -188,7 +195,7 @@
         let watch = Watch {
             host: HostId::new(request.from_host),
             applied_revision: request.applied_revision,
-            wait_ms: WATCH_WAIT_MS,
+            wait_ms: WATCH_HOLD_MS,
         };
         let watched = self
             .keeper()?
@@ -198,23 +205,25 @@
             .await
             .map_err(actor_stopped)?;
         let result = match watched {
-            Watched::Delta(delta) => watch_reply::Result::Delta(encode(&delta).map_err(malformed)?),
-            Watched::NotLeader(hint) => watch_reply::Result::NotLeaderHint(hint_text(hint)),
+            WatchOutcome::Delta(delta) => {
+                watch_reply::Result::Delta(encode(&delta).map_err(invalid_message)?)
+            }
+            WatchOutcome::NotLeader(hint) => watch_reply::Result::NotLeaderHint(hint_text(hint)),
         };
         Ok(Response::new(WatchReply { result: Some(result) }))
     }
 
     async fn introduce(&self, request: Request<IntroduceRequest>) -> RpcResult<IntroduceReply> {
-        let replica: ReplicaId = decode(&request.into_inner().replica).map_err(malformed)?;
+        let replica: ReplicaId = decode(&request.into_inner().replica).map_err(invalid_message)?;
         if let Some(keepers) = &self.keepers {
-            keepers.learn([HostId::new(replica.host.clone())]);
+            keepers.add_keepers([HostId::new(replica.host.clone())]);
         }
         let introduction = match &self.keeper {
             Some(keeper) => {
                 let introduced = keeper.send(Introduce(replica)).await.map_err(actor_stopped)?;
                 let introduced =
                     introduced.ok_or_else(|| Status::unavailable("the keeper is busy"))?;
-                encode(&introduced).map_err(malformed)?
+                encode(&introduced).map_err(invalid_message)?
             }
             None => Vec::new(),
         };
@@ -226,19 +235,19 @@
     }
 
     async fn stopping(&self, request: Request<StoppingRequest>) -> RpcResult<StoppingReply> {
-        let stopping = Stopping(HostId::new(request.into_inner().from_host));
+        let stopping = AnnounceStop(HostId::new(request.into_inner().from_host));
         let result = match self.keeper()?.send(stopping).await.map_err(actor_stopped)? {
-            MayStop::Known(may_stop) => stopping_reply::Result::MayStop(may_stop),
-            MayStop::NotLeader(hint) => stopping_reply::Result::NotLeaderHint(hint_text(hint)),
+            StopReply::Decided(may_stop) => stopping_reply::Result::MayStop(may_stop),
+            StopReply::NotLeader(hint) => stopping_reply::Result::NotLeaderHint(hint_text(hint)),
         };
         Ok(Response::new(StoppingReply { result: Some(result) }))
     }
 
     async fn inspect(&self, _: Request<InspectRequest>) -> RpcResult<InspectReply> {
         let result = match self.keeper()?.send(Inspect).await.map_err(actor_stopped)? {
-            Ok(status) => {
-                inspect_reply::Result::Json(serde_json::to_string(&status).map_err(malformed)?)
-            }
+            Ok(status) => inspect_reply::Result::Json(
+                serde_json::to_string(&status).map_err(invalid_message)?,
+            ),
             Err(hint) => inspect_reply::Result::NotLeaderHint(hint_text(hint)),
         };
         Ok(Response::new(InspectReply { result: Some(result) }))
@@ -246,11 +255,11 @@
 
     async fn probe(&self, request: Request<ProbeRequest>) -> RpcResult<ProbeReply> {
         let request = request.into_inner();
-        let rumours: Vec<Rumour> = decode(&request.gossip).map_err(malformed)?;
+        let updates: Vec<MemberUpdate> = decode(&request.gossip).map_err(invalid_message)?;
         let membership = self.membership.as_ref();
         let membership = membership.ok_or_else(|| Status::unimplemented("no membership here"))?;
-        let local_rumours = membership.send(Gossip(rumours)).await.map_err(actor_stopped)?;
-        let gossip = encode(&local_rumours).map_err(malformed)?;
+        let local_updates = membership.send(Gossip(updates)).await.map_err(actor_stopped)?;
+        let gossip = encode(&local_updates).map_err(invalid_message)?;
         let reached = request.via_target.is_empty() || self.probe_for_another(&request).await;
         Ok(Response::new(ProbeReply { reached, gossip }))
     }
@@ -258,16 +267,16 @@
     async fn follow(&self, request: Request<FollowRequest>) -> RpcResult<FollowReply> {
         let relay = self.relay.as_ref();
         let relay = relay.ok_or_else(|| Status::unimplemented("not a seeded keeper"))?;
-        let followers = Followers { fleet: self.fleet()?, keeper: self.keeper()?, relay };
-        let result = followers.answer(request.into_inner()).await?;
+        let responder = FollowResponder { fleet: self.fleet()?, keeper: self.keeper()?, relay };
+        let result = responder.answer_follow(request.into_inner()).await?;
         Ok(Response::new(FollowReply { result: Some(result) }))
     }
 
     async fn find_leader(&self, request: Request<FindLeaderRequest>) -> RpcResult<FindLeaderReply> {
         let request = request.into_inner();
         if let Some(keepers) = self.keepers.as_ref().filter(|_| !request.from_host.is_empty()) {
-            keepers.learn_contacts([HostId::new(request.from_host)]);
-            keepers.learn(request.keepers.into_iter().map(HostId::new));
+            keepers.add_contacts([HostId::new(request.from_host)]);
+            keepers.add_keepers(request.keepers.into_iter().map(HostId::new));
         }
         let find = FindLeader { wait_ms: request.wait_ms };
         let leader = match &self.keeper {
@@ -285,18 +294,19 @@
     }
 
     async fn place(&self, request: Request<PlaceRequest>) -> RpcResult<PlaceReply> {
-        let placement_request: Ask = decode(&request.into_inner().ask).map_err(malformed)?;
+        let placement_request: PlacementRequest =
+            decode(&request.into_inner().ask).map_err(invalid_message)?;
         let placed = self
             .fleet()?
             .place(&placement_request)
             .ok_or_else(|| Status::unavailable("not ready"))?;
-        Ok(Response::new(PlaceReply { placed: encode(&placed).map_err(malformed)? }))
+        Ok(Response::new(PlaceReply { placed: encode(&placed).map_err(invalid_message)? }))
     }
 
     async fn take_turn(&self, request: Request<TakeTurnRequest>) -> RpcResult<TakeTurnReply> {
         let request = request.into_inner();
-        let limit: AgedLimit = decode(&request.limit).map_err(malformed)?;
-        let taken = self.fleet()?.take_turn(limit, request.patience_ms);
+        let limit: AgedLimit = decode(&request.limit).map_err(invalid_message)?;
+        let taken = self.fleet()?.take_permit(limit, request.patience_ms);
         let (is_taken, wait_ms) = match taken {
             Ok(wait_ms) => (true, wait_ms),
             Err(wait_ms) => (false, wait_ms),
@@ -307,14 +317,14 @@
     async fn report(&self, request: Request<ReportRequest>) -> RpcResult<ReportReply> {
         let request = request.into_inner();
         if !request.placed.is_empty() {
-            let placed: Vec<Renewed> = decode(&request.placed).map_err(malformed)?;
-            self.fleet()?.take_over(placed);
+            let placed: Vec<RunningPlacement> = decode(&request.placed).map_err(invalid_message)?;
+            self.fleet()?.add_placements(placed);
         }
-        let events: Vec<(PlacementId, Event)> = decode(&request.events).map_err(malformed)?;
-        self.fleet()?.note(&events);
-        for limit in self.fleet()?.note_limits(decode_limits(&request.limits)?) {
-            if let Some(spread) = &self.spread {
-                spread.push_limit(limit);
+        let events: Vec<(PlacementId, Event)> = decode(&request.events).map_err(invalid_message)?;
+        self.fleet()?.record_events(&events);
+        for limit in self.fleet()?.record_limits(decode_limits(&request.limits)?) {
+            if let Some(heartbeat_relay) = &self.heartbeat_relay {
+                heartbeat_relay.queue_limit(limit);
             }
         }
         Ok(Response::new(ReportReply {}))
@@ -322,11 +332,11 @@
 
     async fn spread(&self, request: Request<SpreadRequest>) -> RpcResult<SpreadReply> {
         let request = request.into_inner();
-        let heartbeats: Vec<Heartbeat> = decode(&request.heartbeats).map_err(malformed)?;
+        let heartbeats: Vec<Heartbeat> = decode(&request.heartbeats).map_err(invalid_message)?;
         self.fleet()?.apply(&heartbeats);
-        self.fleet()?.note_limits(decode_limits(&request.limits)?);
-        if let Some(spread) = self.spread.as_ref().filter(|_| request.passes_on) {
-            heartbeats.into_iter().for_each(|heartbeat| spread.push(heartbeat));
+        self.fleet()?.record_limits(decode_limits(&request.limits)?);
+        if let Some(heartbeat_relay) = self.heartbeat_relay.as_ref().filter(|_| request.passes_on) {
+            heartbeats.into_iter().for_each(|heartbeat| heartbeat_relay.queue_heartbeat(heartbeat));
         }
         Ok(Response::new(SpreadReply {}))
     }
@@ -348,11 +358,11 @@
 }
 
 fn reserve_from_wire(request: ReserveRequest) -> Result<Reserve, Status> {
-    let account = request.account.parse().map_err(malformed)?;
-    let attempt_id: AttemptId = request.attempt_id.parse().map_err(malformed)?;
+    let account = request.account.parse().map_err(invalid_message)?;
+    let attempt_id: AttemptId = request.attempt_id.parse().map_err(invalid_message)?;
     // The deadline is by the owner's clock: only the remaining time is sent.
     let deadline_ms = now_ms() + request.deadline_in_ms;
-    let mut ask = clayplank_schedule::Ask::new(
+    let mut reservation_request = clayplank_schedule::ReservationRequest::new(
         RequestId(0),
         attempt_id,
         account,
@@ -360,32 +370,33 @@
         request.prompt_tokens,
         deadline_ms,
     );
-    ask.share = request.share;
-    ask.priority = Priority::from_rank(request.priority_rank as usize);
-    ask.adapter = Some(request.adapter).filter(|adapter| !adapter.is_empty());
-    ask.max_output_tokens = request.max_output_tokens;
-    ask.prefix_hashes = request.prefix_hashes;
-    ask.avoid = request.avoid_engines.into_iter().map(UpstreamId::new).collect();
-    let holder = Holder {
+    reservation_request.weight = request.share;
+    reservation_request.priority = Priority::from_rank(request.priority_rank as usize);
+    reservation_request.adapter = Some(request.adapter).filter(|adapter| !adapter.is_empty());
+    reservation_request.max_output_tokens = request.max_output_tokens;
+    reservation_request.prefix_hashes = request.prefix_hashes;
+    reservation_request.avoided_engines =
+        request.avoid_engines.into_iter().map(UpstreamId::new).collect();
+    let holder = GrantHolder {
         host: HostId::new(request.from_host),
         incarnation: Incarnation(request.from_incarnation),
     };
-    Ok(Reserve { pool: PoolId::new(request.pool), holder, ask })
+    Ok(Reserve { pool: PoolId::new(request.pool), holder, request: reservation_request })
 }
 
-fn reserve_to_wire(answer: ReserveAnswer) -> ReserveReply {
+fn reserve_to_wire(answer: ReserveResponse) -> ReserveReply {
     let result = match answer.reserved {
-        Reserved::Granted { grant, owner } => reserve_reply::Result::Granted(Granted {
+        ReserveResult::Granted { grant, owner } => reserve_reply::Result::Granted(Granted {
             grant_id: grant.grant_id.0,
             owner_incarnation: owner.0,
             engines: grant.parts.iter().map(part_to_wire).collect(),
             engine_priority_rank: u32::from(grant.engine_priority.0),
         }),
-        Reserved::Refused(refusal) => reserve_reply::Result::Refused(Refused {
+        ReserveResult::Refused(refusal) => reserve_reply::Result::Refused(Refused {
             reason: refusal.reason.as_str().to_owned(),
             retry_after_ms: refusal.retry_after_ms,
         }),
-        Reserved::NotOwner(owner) => {
+        ReserveResult::NotOwner(owner) => {
             reserve_reply::Result::NotOwner(NotOwner { owner: hint_text(owner) })
         }
     };
@@ -393,17 +404,17 @@
 }
 
 fn renew_from_wire(request: RenewRequest) -> Result<Renew, Status> {
-    let mut held: BTreeMap<PoolId, Vec<HeldGrant>> = BTreeMap::new();
+    let mut held: BTreeMap<PoolId, Vec<RenewedGrant>> = BTreeMap::new();
     for grant in request.grants {
-        let held_grant = HeldGrant {
+        let held_grant = RenewedGrant {
             grant_id: GrantId(grant.grant_id),
             owner: Incarnation(grant.owner_incarnation),
-            attempt_id: grant.attempt_id.parse().map_err(malformed)?,
+            attempt_id: grant.attempt_id.parse().map_err(invalid_message)?,
             parts: grant.engines.into_iter().map(part_from_wire).collect(),
         };
         held.entry(PoolId::new(grant.pool)).or_default().push(held_grant);
     }
-    let holder = Holder {
+    let holder = GrantHolder {
         host: HostId::new(request.from_host),
         incarnation: Incarnation(request.from_incarnation),
     };
--- a/clayplankd/src/process/seeded.rs
+++ b/clayplankd/src/process/seeded.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use clayplank_clock::Instant;
-use clayplank_forward::{Gate, serve_simple};
+use clayplank_forward::{Gate, serve_small_requests};
 use clayplank_settings::{Role, SeededSettings};
 use clayplank_types::HostId;
 use http::{Response, StatusCode};
@@ -22,10 +22,10 @@
 use crate::doors::control_endpoint::RegistryAccess;
 use crate::fleet::fleet_keeper::FleetKeeper;
 use crate::keepers::keeper_client::KeeperClient;
-use crate::keepers::keeper_stop::give_up_vote;
 use crate::keepers::leader_search::run_leader_search;
+use crate::keepers::planned_stop::release_vote;
 use crate::process::daemon::{StartError, bind};
-use crate::process::logging::{part, set_log_level};
+use crate::process::logging::{log_target, set_log_level};
 use crate::process::peers::Peers;
 use crate::process::seeded_entry::EntryHost;
 use crate::process::seeded_keeper::run_keeper_start;
@@ -74,8 +74,11 @@
     ) -> Result<Self, StartError> {
         let peers = Peers::with_inner_port(settings.listen.inner.port());
         let local_host = HostId::new(settings.ip.to_string());
-        let keepers =
-            KeeperClient::of_seeds(local_host.clone(), bootstrap_hosts(&settings), peers.clone());
+        let keepers = KeeperClient::from_bootstrap_hosts(
+            local_host.clone(),
+            bootstrap_hosts(&settings),
+            peers.clone(),
+        );
         let (failed_sender, failed) = mpsc::channel(1);
         let (closing, closing_receiver) = watch::channel(false);
         let context = StartContext {
@@ -93,23 +96,27 @@
             Role::Keeper => None,
         };
         let entry_metrics =
-            entry.as_ref().map(|host| (Arc::clone(&host.entry), Arc::clone(&host.following)));
+            entry.as_ref().map(|host| (Arc::clone(&host.entry), Arc::clone(&host.follow_metrics)));
         let fleet = settings.is_keeper().then(|| context.new_fleet());
         if let Some(fleet) = &fleet {
             tokio::spawn(run_keeper_start(context, Arc::clone(fleet), failed_sender));
         } else if let (Some(control), Some(_)) = (settings.listen.control, &entry) {
-            let spread = context.new_spread();
-            context.start_control_endpoint(bind(control).await?, RegistryAccess::Remote, spread);
+            let heartbeat_relay = context.new_heartbeat_relay();
+            context.start_control_endpoint(
+                bind(control).await?,
+                RegistryAccess::Remote,
+                heartbeat_relay,
+            );
         }
         serve_metrics(metrics, move || {
             let entry_text = entry_metrics
                 .as_ref()
-                .map(|(entry, following)| entry.to_text() + &following.to_text())
+                .map(|(entry, follow_metrics)| entry.metrics_text() + &follow_metrics.to_text())
                 .unwrap_or_default();
             let keeper_text = fleet.as_deref().map(FleetKeeper::to_text).unwrap_or_default();
             entry_text + &keeper_text + &suspension_metrics()
         });
-        log::info!(target: part::DAEMON,
+        log::info!(target: log_target::DAEMON,
             name = settings.name, role:? = settings.role, keeper = settings.is_keeper(),
             is_first_start = settings.is_first_start,
             seeds = bootstrap_hosts(&settings).map(|host| host.to_string()).collect::<Vec<_>>().join(" ");
@@ -128,7 +135,7 @@
     /// Applies changed settings: bootstrap addresses, bounds and the log level. Other changed
     /// fields are named in the log, and take effect at the next start.
     pub fn reload(&mut self, settings: SeededSettings) {
-        self.keepers.set_seeds(bootstrap_hosts(&settings));
+        self.keepers.set_bootstrap_hosts(bootstrap_hosts(&settings));
         set_log_level(settings.log.level);
         if let Some(entry) = &self.entry {
             entry.set_bounds(&settings.bounds);
@@ -137,7 +144,7 @@
         self.settings.seeds = settings.seeds;
         self.settings.bounds = settings.bounds;
         self.settings.log = settings.log;
-        log::info!(target: part::DAEMON,
+        log::info!(target: log_target::DAEMON,
             seeds = self.settings.seeds.len(), for_next_start = deferred.join(",");
             "Took in changed settings");
     }
@@ -164,9 +171,9 @@
     /// Graceful shutdown: a keeper gives up its vote while an entry host drains its requests.
     pub async fn leave_and_drain(&self) {
         let local_host = HostId::new(self.settings.ip.to_string());
-        let give_up_vote = async {
+        let release_vote = async {
             if self.settings.is_keeper() {
-                give_up_vote(&self.keepers, &local_host).await;
+                release_vote(&self.keepers, &local_host).await;
             }
         };
         let drain = async {
@@ -174,9 +181,9 @@
                 self.drain(gate).await;
             }
         };
-        tokio::join!(give_up_vote, drain);
+        tokio::join!(release_vote, drain);
         let cut_off = self.entry.as_ref().map_or(0, |entry| entry.gate.in_progress());
-        log::info!(target: part::DAEMON, cut_off = cut_off; "Stopped");
+        log::info!(target: log_target::DAEMON, cut_off = cut_off; "Stopped");
     }
 
     /// Fails the readiness check, then rejects new requests, and waits for those in progress until
@@ -184,8 +191,8 @@
     async fn drain(&self, gate: &Gate) {
         let end =
             Instant::now() + Duration::from_secs_f64(self.settings.bounds.grace_s) - GRACE_MARGIN;
-        log::info!(target: part::DAEMON, in_progress = gate.in_progress(); "Shutting down; draining requests");
-        gate.leave();
+        log::info!(target: log_target::DAEMON, in_progress = gate.in_progress(); "Shutting down; draining requests");
+        gate.start_shutdown();
         clayplank_clock::sleep(BALANCER_DELAY).await;
         gate.close();
         self.closing.send_replace(true);
@@ -215,7 +222,7 @@
 where
     F: Fn() -> String + Clone + Send + Sync + 'static,
 {
-    tokio::spawn(serve_simple(listener, move |_| {
+    tokio::spawn(serve_small_requests(listener, move |_| {
         let text = to_text();
         async move { plain_text(StatusCode::OK, text) }
     }));
--- a/clayplankd/src/process/seeded_entry.rs
+++ b/clayplankd/src/process/seeded_entry.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use clayplank_forward::{
-    BudgetLimits, Directory, Entry, EntryBuilder, Gate, OrderFormat, RetryBudget, serve_callers,
-    serve_simple,
+    BudgetLimits, CommandFormat, Directory, Entry, EntryBuilder, Gate, RetryBudget, serve_callers,
+    serve_small_requests,
 };
 use clayplank_settings::Bounds;
 use http::{Request, StatusCode};
@@ -14,13 +14,13 @@
 use tokio::sync::watch;
 
 use crate::doors::contract::SharedContract;
-use crate::fleet::fleet_link::{FleetLink, run_reports, run_return_to_leader};
 use crate::fleet::limit_reports::run_limit_reports;
-use crate::fleet::sightings::{SightingLink, run_sightings};
-use crate::follow::follow_log::FollowFigures;
-use crate::follow::following::{Following, run_following};
+use crate::fleet::placement_client::{PlacementClient, run_backoff_reset, run_event_reports};
+use crate::fleet::termination_reports::{TerminationReporter, run_termination_reports};
+use crate::follow::follow_metrics::FollowMetrics;
+use crate::follow::follow_task::{FollowTask, run_follow_task};
 use crate::process::daemon::{StartError, bind, serve_inner};
-use crate::process::inner::InnerService;
+use crate::process::peer_service::InnerService;
 use crate::process::seeded::{StartContext, plain_text};
 
 /// Length of the lease of a confirmation, as a share of the time within which a revoked key, or a
@@ -33,7 +33,7 @@
     pub(crate) gate: Arc<Gate>,
     pub(crate) entry: Arc<Entry>,
     /// Metrics of how this host follows the keepers.
-    pub(crate) following: Arc<FollowFigures>,
+    pub(crate) follow_metrics: Arc<FollowMetrics>,
     apply_ms: Arc<AtomicU64>,
 }
 
@@ -59,7 +59,7 @@
             keepers: Some(self.keepers.clone()),
             fleet: None,
             relay: None,
-            spread: None,
+            heartbeat_relay: None,
         };
         tokio::spawn(serve_inner(inner, service));
         Ok(())
@@ -80,37 +80,38 @@
         let bounds = &self.settings.bounds;
         let gate = Arc::new(Gate::new(lease_ms(bounds)));
         let directory = Arc::new(Directory::default());
-        let (link, reports) = FleetLink::new(self.peers.clone(), self.keepers.clone());
-        let link = Arc::new(link);
-        let (sighting_link, sightings) = SightingLink::new(self.keepers.clone());
-        tokio::spawn(run_sightings(self.keepers.clone(), sightings));
+        let (placement_client, reports) =
+            PlacementClient::new(self.peers.clone(), self.keepers.clone());
+        let placement_client = Arc::new(placement_client);
+        let (termination_reporter, observations) = TerminationReporter::new(self.keepers.clone());
+        tokio::spawn(run_termination_reports(self.keepers.clone(), observations));
         let entry = EntryBuilder::default()
             .names(self.contract.header_names())
             .budget(RetryBudget::new(budget_limits(bounds)))
-            .orders(Arc::clone(&self.contract) as Arc<dyn OrderFormat>)
-            .judge(Arc::new(sighting_link))
+            .command_format(Arc::clone(&self.contract) as Arc<dyn CommandFormat>)
+            .quarantine_authority(Arc::new(termination_reporter))
             .data_centre(self.settings.data_centre.clone())
-            .build(Arc::clone(&gate), Arc::clone(&directory), link.clone());
+            .build(Arc::clone(&gate), Arc::clone(&directory), placement_client.clone());
         let entry = Arc::new(entry);
-        tokio::spawn(run_reports(Arc::clone(&link), reports.events));
-        tokio::spawn(run_limit_reports(Arc::clone(&link), reports.limits));
-        tokio::spawn(run_return_to_leader(Arc::clone(&link)));
-        let figures = Arc::new(FollowFigures::default());
+        tokio::spawn(run_event_reports(Arc::clone(&placement_client), reports.events));
+        tokio::spawn(run_limit_reports(Arc::clone(&placement_client), reports.limits));
+        tokio::spawn(run_backoff_reset(Arc::clone(&placement_client)));
+        let metrics = Arc::new(FollowMetrics::default());
         let apply_ms = Arc::new(AtomicU64::new(bounds.apply_ms));
-        tokio::spawn(run_following(Following {
+        tokio::spawn(run_follow_task(FollowTask {
             host: self.local_host.clone(),
             contract: Arc::clone(&self.contract),
             keepers: self.keepers.clone(),
-            link,
+            placement_client,
             gate: Arc::clone(&gate),
             directory,
             entry: Arc::clone(&entry),
-            figures: Arc::clone(&figures),
+            metrics: Arc::clone(&metrics),
             apply_ms: Arc::clone(&apply_ms),
         }));
         tokio::spawn(serve_callers(callers, Arc::clone(&entry), closing));
         serve_readiness(readiness, Arc::clone(&self.contract), Arc::clone(&gate));
-        Ok(EntryHost { gate, entry, following: figures, apply_ms })
+        Ok(EntryHost { gate, entry, follow_metrics: metrics, apply_ms })
     }
 }
 
@@ -128,7 +129,7 @@
 
 /// Serves the balancer's readiness check, which asks whether to send new connections to this host.
 fn serve_readiness(listener: TcpListener, contract: SharedContract, gate: Arc<Gate>) {
-    tokio::spawn(serve_simple(listener, move |request| {
+    tokio::spawn(serve_small_requests(listener, move |request| {
         let status = readiness_status(&contract, &gate, &request);
         async move { plain_text(status, String::new()) }
     }));
--- a/clayplankd/src/process/seeded_keeper.rs
+++ b/clayplankd/src/process/seeded_keeper.rs
@@ -3,25 +3,27 @@
 use std::sync::Arc;
 
 use clayplank_agreement::{Options, Store, StoreError, StoredState};
-use clayplank_forward::serve_simple;
-use clayplank_members::FollowTimes;
+use clayplank_forward::serve_small_requests;
+use clayplank_members::FollowTimeouts;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use xtra::Mailbox;
 
 use crate::doors::control_endpoint::{ControlEndpoint, RegistryAccess};
-use crate::fleet::engine_watch::run_engine_watch;
 use crate::fleet::fleet_keeper::{FleetKeeper, run_fleet};
-use crate::fleet::mirror::run_mirror;
-use crate::fleet::spread::{Spread, run_spread, run_spread_to_one};
-use crate::fleet::upstream_memory::{recall_upstreams, run_upstream_memory};
-use crate::follow::relay::{Relay, run_relay};
-use crate::keepers::first_start::recall_first_start;
-use crate::keepers::full_disk::FullDisk;
-use crate::keepers::keeper::{Keeper, Sizing};
-use crate::keepers::keeper_join::{Joining, run_join, run_outbox, run_ticks};
+use crate::fleet::heartbeat_relay::{
+    HeartbeatRelay, run_diskless_heartbeat_relay, run_heartbeat_relay,
+};
+use crate::fleet::placement_replication::run_placement_replication;
+use crate::fleet::saved_upstreams::{restore_upstreams, run_upstream_saves};
+use crate::fleet::suspect_probe::run_engine_watch;
+use crate::follow::leader_confirmation::{Relay, run_relay};
+use crate::keepers::first_start::load_or_save_first_start;
+use crate::keepers::full_disk::FullDiskRetry;
+use crate::keepers::keeper::{Keeper, KeeperOptions};
+use crate::keepers::keeper_tasks::{JoinSources, run_join, run_outbox, run_ticks};
 use crate::process::daemon::{MAILBOX_CAPACITY, StartError, bind, serve_inner};
-use crate::process::inner::InnerService;
+use crate::process::peer_service::InnerService;
 use crate::process::seeded::{StartContext, bootstrap_hosts};
 
 /// Election time-out, in ms: an election starts once the leader was unresponsive for between one
@@ -84,8 +86,8 @@
     }
 
     /// Creates the forwarder of heartbeats from this host to the keepers.
-    pub(crate) fn new_spread(&self) -> Spread {
-        Spread::new(self.local_host.clone(), self.peers.clone(), self.keepers.clone())
+    pub(crate) fn new_heartbeat_relay(&self) -> HeartbeatRelay {
+        HeartbeatRelay::new(self.local_host.clone(), self.peers.clone(), self.keepers.clone())
     }
 
     /// Starts the control endpoint, for operators and heartbeats of upstreams.
@@ -93,21 +95,27 @@
         self,
         control: TcpListener,
         registry: RegistryAccess,
-        spread: Spread,
+        heartbeat_relay: HeartbeatRelay,
     ) {
         match &registry {
-            RegistryAccess::Local { .. } => tokio::spawn(run_spread(spread.clone())),
-            RegistryAccess::Remote => tokio::spawn(run_spread_to_one(spread.clone())),
+            RegistryAccess::Local { .. } => {
+                tokio::spawn(run_heartbeat_relay(heartbeat_relay.clone()))
+            }
+            RegistryAccess::Remote => {
+                tokio::spawn(run_diskless_heartbeat_relay(heartbeat_relay.clone()))
+            }
         };
         let endpoint = ControlEndpoint {
             local_host: self.local_host,
             contract: self.contract,
             keepers: self.keepers,
             registry,
-            spread,
+            heartbeat_relay,
             data_centres: self.settings.data_centres.clone().into(),
         };
-        tokio::spawn(serve_simple(control, move |request| endpoint.clone().answer(request)));
+        tokio::spawn(serve_small_requests(control, move |request| {
+            endpoint.clone().answer(request)
+        }));
     }
 
     /// Opens the data folder on a blocking thread, as a disk may stall. Waits while the disk is
@@ -116,20 +124,21 @@
         let dir = self.settings.data_dir.clone().ok_or(StartError::NoDataDir)?;
         let is_first_start = self.settings.is_first_start;
         let is_bootstrap_host = bootstrap_hosts(&self.settings).any(|host| host == self.local_host);
-        let mut full_disk = FullDisk::default();
+        let mut full_disk = FullDiskRetry::default();
         loop {
             let (dir, local_host) = (dir.clone(), self.local_host.clone());
             let open = move || {
                 let (store, state) = Store::open(&dir, local_host.as_str(), rand::random())?;
                 let is_candidate = state.is_none() && is_bootstrap_host;
-                let may_begin = is_candidate && recall_first_start(&store.notes(), is_first_start)?;
+                let may_begin =
+                    is_candidate && load_or_save_first_start(&store.side_files(), is_first_start)?;
                 Ok(OpenedStore { store, state, may_begin })
             };
             let opened: Result<_, StoreError> =
                 tokio::task::spawn_blocking(open).await.map_err(StartError::Opening)?;
             match opened {
                 Ok(opened) => {
-                    full_disk.note_room();
+                    full_disk.record_success();
                     return Ok(opened);
                 }
                 Err(error) if error.is_full() => full_disk.wait(&error).await,
@@ -148,20 +157,20 @@
         let listen = &self.settings.listen;
         let control = bind(listen.control.ok_or(StartError::NoListen("control"))?).await?;
         let inner = bind(listen.inner).await?;
-        let sizing = Sizing::of_plans(self.settings.tolerated_losses);
-        let notes = store.notes();
-        recall_upstreams(&fleet, &notes);
-        tokio::spawn(run_upstream_memory(Arc::clone(&fleet), notes));
+        let keeper_options = KeeperOptions::for_plans(self.settings.tolerated_losses);
+        let notes = store.side_files();
+        restore_upstreams(&fleet, &notes);
+        tokio::spawn(run_upstream_saves(Arc::clone(&fleet), notes));
         let (outbox, outbox_receiver) = mpsc::unbounded_channel();
         let (disk_failed, disk_failed_receiver) = mpsc::channel(1);
         let options = agreement_options(self.settings.tolerated_losses);
-        let keeper = Keeper::new(store, state, options, sizing, outbox, disk_failed)
-            .with_may_begin(may_begin);
-        let applied = keeper.applied();
+        let keeper = Keeper::new(store, state, options, keeper_options, outbox, disk_failed)
+            .with_may_bootstrap(may_begin);
+        let applied = keeper.subscribe_applied();
         let keeper = xtra::spawn_tokio(keeper, Mailbox::bounded(MAILBOX_CAPACITY));
         tokio::spawn(run_outbox(outbox_receiver, self.peers.clone()));
         tokio::spawn(run_ticks(keeper.clone()));
-        tokio::spawn(run_join(keeper.clone(), self.joining(), self.peers.clone()));
+        tokio::spawn(run_join(keeper.clone(), self.join_sources(), self.peers.clone()));
         tokio::spawn(run_fleet(Arc::clone(&fleet), applied.clone()));
         let relay = Arc::new(Relay::new(
             self.local_host.clone(),
@@ -169,17 +178,17 @@
             Arc::clone(&fleet),
             self.peers.clone(),
             applied,
-            FollowTimes::of_bound(self.settings.bounds.apply_ms),
+            FollowTimeouts::for_bound(self.settings.bounds.apply_ms),
         ));
         tokio::spawn(run_relay(Arc::clone(&relay)));
         tokio::spawn(run_engine_watch(Arc::clone(&fleet)));
-        tokio::spawn(run_mirror(
+        tokio::spawn(run_placement_replication(
             self.local_host.clone(),
             keeper.clone(),
             Arc::clone(&fleet),
             self.peers.clone(),
         ));
-        let spread = self.new_spread();
+        let heartbeat_relay = self.new_heartbeat_relay();
         tokio::spawn(serve_inner(
             inner,
             InnerService {
@@ -190,26 +199,30 @@
                 keepers: Some(self.keepers.clone()),
                 fleet: Some(Arc::clone(&fleet)),
                 relay: Some(relay),
-                spread: Some(spread.clone()),
+                heartbeat_relay: Some(heartbeat_relay.clone()),
             },
         ));
-        self.start_control_endpoint(control, RegistryAccess::Local { keeper, fleet }, spread);
+        self.start_control_endpoint(
+            control,
+            RegistryAccess::Local { keeper, fleet },
+            heartbeat_relay,
+        );
         Ok(disk_failed_receiver)
     }
 
-    fn joining(&self) -> Joining {
-        let seeds =
+    fn join_sources(&self) -> JoinSources {
+        let bootstrap_hosts =
             bootstrap_hosts(&self.settings).filter(|host| *host != self.local_host).collect();
-        Joining { seeds, keepers: Some(self.keepers.clone()) }
+        JoinSources { bootstrap_hosts, client: Some(self.keepers.clone()) }
     }
 }
 
 fn agreement_options(tolerated_losses: usize) -> Options {
     Options {
-        election_ms: ELECTION_TIMEOUT_MS,
-        heartbeat_ms: LEADER_HEARTBEAT_INTERVAL_MS,
-        keep_entries: MAX_RETAINED_ENTRIES,
-        replace_silent_ms: Some(REPLACE_UNRESPONSIVE_MS),
+        election_timeout_ms: ELECTION_TIMEOUT_MS,
+        heartbeat_interval_ms: LEADER_HEARTBEAT_INTERVAL_MS,
+        retained_entries: MAX_RETAINED_ENTRIES,
+        replace_unresponsive_ms: Some(REPLACE_UNRESPONSIVE_MS),
         tolerated_losses,
         ..Options::default()
     }
--- a/clayplankd/src/process/suspension.rs
+++ b/clayplankd/src/process/suspension.rs
@@ -4,7 +4,7 @@
 
 use clayplank_clock::{Suspensions, sleep, subscribe};
 
-use crate::process::logging::part;
+use crate::process::logging::log_target;
 
 /// Interval of the check for suspensions. Each read of the clock detects a suspension too, and
 /// most tasks read it more often. A wait that nothing else ends lasts at most this long after the
@@ -20,8 +20,8 @@
         sleep(CHECK_INTERVAL).await;
         let now = *suspensions.borrow_and_update();
         if now.count > reported.count {
-            log::warn!(target: part::DAEMON,
-                span_ms = now.span.saturating_sub(reported.span).as_millis() as u64,
+            log::warn!(target: log_target::DAEMON,
+                span_ms = now.total.saturating_sub(reported.total).as_millis() as u64,
                 times = now.count - reported.count;
                 "The machine was suspended");
         }
@@ -31,7 +31,7 @@
 
 /// Number and total length of suspensions, in the Prometheus text format.
 pub(crate) fn suspension_metrics() -> String {
-    let Suspensions { count, span } = *subscribe().borrow();
-    let span_ms = span.as_millis();
+    let Suspensions { count, total } = *subscribe().borrow();
+    let span_ms = total.as_millis();
     format!("clayplank_suspensions_total {count}\nclayplank_suspended_ms_total {span_ms}\n")
 }
