--- a/bench/src/log.rs
+++ b/bench/src/log.rs
@@ -101,7 +101,7 @@
             tasks.into_iter().try_for_each(|task| task.join().unwrap_or(Ok(())))
         })?;
         for (node, ready) in writes {
-            node.replica.note_persisted(ready.written());
+            node.replica.record_persisted(ready.written());
             for entry in &ready.committed {
                 if let Payload::Command(bytes) = &entry.payload {
                     node.machine.apply(&decode::<Command>(bytes)?);
--- a/bench/src/placement_simulation.rs
+++ b/bench/src/placement_simulation.rs
@@ -187,7 +187,7 @@
                 SimEvent::SuspectCheck => self.check_suspects(next.at_ms),
                 SimEvent::PaceReply(engine) => {
                     let pace = self.degradation.pace(engine, next.at_ms - PACE_LAG_MS);
-                    self.fleet.note_pace(next.at_ms, &engine_name(engine), pace);
+                    self.fleet.record_pace(next.at_ms, &engine_name(engine), pace);
                 }
                 SimEvent::LimitDeclared => self.declare_limits(),
             }
--- a/clayplank-agreement/src/leader.rs
+++ b/clayplank-agreement/src/leader.rs
@@ -347,7 +347,7 @@
     /// Records that a host has announced its departure. The record expires after
     /// `replace_unresponsive_ms`, when a stopped host counts as unresponsive anyway: the host may come
     /// back under the same name.
-    pub fn note_departure(&mut self, now_ms: u64, host: &str) {
+    pub fn record_departure(&mut self, now_ms: u64, host: &str) {
         let timeout_ms = self.options.replace_unresponsive_ms.unwrap_or_default();
         if let Role::Leader(leadership) = &mut self.role {
             leadership.departing.insert(host.to_owned(), now_ms + timeout_ms);
--- a/clayplank-agreement/src/lib.rs
+++ b/clayplank-agreement/src/lib.rs
@@ -18,11 +18,11 @@
 //! let mut replica = Replica::new(id, genesis, Options::default(), 0);
 //! replica.tick(10_000);
 //! let ready = replica.take_ready(10_000);
-//! replica.note_persisted(ready.written());
+//! replica.record_persisted(ready.written());
 //! assert!(replica.is_leader());
 //! replica.propose(b"hello".to_vec()).unwrap();
 //! let ready = replica.take_ready(10_001);
-//! replica.note_persisted(ready.written());
+//! replica.record_persisted(ready.written());
 //! assert_eq!(replica.take_ready(10_002).committed.len(), 1);
 //! ```
 
--- a/clayplank-agreement/src/ready.rs
+++ b/clayplank-agreement/src/ready.rs
@@ -6,7 +6,7 @@
 use crate::message::Envelope;
 use crate::stored::HardState;
 
-/// Last entry covered by a write, for [`Replica::note_persisted`](crate::Replica::note_persisted).
+/// Last entry covered by a write, for [`Replica::record_persisted`](crate::Replica::record_persisted).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Written {
     pub(crate) last: Option<EntryId>,
@@ -45,7 +45,7 @@
             && self.reads.is_empty()
     }
 
-    /// Argument for [`Replica::note_persisted`](crate::Replica::note_persisted), to be called
+    /// Argument for [`Replica::record_persisted`](crate::Replica::record_persisted), to be called
     /// once the write is synced.
     pub fn written(&self) -> Written {
         let entry =
--- a/clayplank-agreement/src/replica.rs
+++ b/clayplank-agreement/src/replica.rs
@@ -399,7 +399,7 @@
     }
 
     /// Records that the write of a [`Ready`] is synced.
-    pub fn note_persisted(&mut self, written: Written) {
+    pub fn record_persisted(&mut self, written: Written) {
         let Some(last) = written.last else {
             return;
         };
--- a/clayplank-agreement/tests/cluster/mod.rs
+++ b/clayplank-agreement/tests/cluster/mod.rs
@@ -245,7 +245,7 @@
             return;
         }
         write(&mut node.synced, &ready, node.replica.hard_state());
-        node.replica.note_persisted(ready.written());
+        node.replica.record_persisted(ready.written());
         if ready.installed.is_some() {
             node.applied.clear();
         }
--- a/clayplank-agreement/tests/keepers/faults.rs
+++ b/clayplank-agreement/tests/keepers/faults.rs
@@ -146,7 +146,7 @@
         else {
             return false;
         };
-        leader.note_departure(now_ms, host);
+        leader.record_departure(now_ms, host);
         leader.maintain_membership(now_ms);
         leader.may_stop(now_ms, host)
     }
--- a/clayplank-agreement/tests/keepers/mod.rs
+++ b/clayplank-agreement/tests/keepers/mod.rs
@@ -311,7 +311,7 @@
         }
         let ready = replica.take_ready(now_ms);
         write(keeper.disk.as_mut().unwrap(), &ready, replica.hard_state());
-        replica.note_persisted(ready.written());
+        replica.record_persisted(ready.written());
         for entry in &ready.committed {
             let proposal = (entry.index, entry.term, host.to_owned());
             if let (Payload::Command(command), true) =
--- a/clayplank-agreement/tests/overload.rs
+++ b/clayplank-agreement/tests/overload.rs
@@ -346,7 +346,7 @@
             if ready.is_empty() {
                 return;
             }
-            replica.note_persisted(ready.written());
+            replica.record_persisted(ready.written());
             for envelope in ready.messages {
                 self.send(keeper_index(&envelope.to), Task::Step(envelope));
             }
--- a/clayplank-agreement/tests/rules.rs
+++ b/clayplank-agreement/tests/rules.rs
@@ -26,7 +26,7 @@
 fn deliver_from_b(replica: &mut Replica, now_ms: u64, message: Message) {
     replica.receive(now_ms, Envelope { from: id("b"), to: id("a"), message });
     let ready = replica.take_ready(now_ms);
-    replica.note_persisted(ready.written());
+    replica.record_persisted(ready.written());
 }
 
 fn elect(replica: &mut Replica, now_ms: u64) {
@@ -108,7 +108,7 @@
 fn deliver_from(replica: &mut Replica, now_ms: u64, from: &str, message: Message) {
     replica.receive(now_ms, Envelope { from: id(from), to: id("a"), message });
     let ready = replica.take_ready(now_ms);
-    replica.note_persisted(ready.written());
+    replica.record_persisted(ready.written());
     replica.take_ready(now_ms);
 }
 
@@ -161,7 +161,7 @@
     let mut replica = leader_with_unresponsive_voter();
     replica.admit(&id("d"));
     deliver_from(&mut replica, 10_005, "b", matched(3));
-    replica.note_departure(10_006, "b");
+    replica.record_departure(10_006, "b");
     assert!(!replica.may_stop(10_006, "b"), "a learner may replace b");
     deliver_from(&mut replica, 10_006, "d", matched(3));
     assert_eq!(replica.maintain_membership(10_007), Some(Change::Promote(id("d"))));
--- a/clayplank-forward/src/attempt.rs
+++ b/clayplank-forward/src/attempt.rs
@@ -66,7 +66,7 @@
         let sent = exchange(record.heartbeat.address, request);
         let sent = load.unless_replaced(clayplank_clock::timeout(timeout, sent)).await;
         let Some(sent) = sent else {
-            return self.note_unanswered(
+            return self.record_unanswered(
                 &upstream,
                 load,
                 "lost",
@@ -81,15 +81,15 @@
             Ok(Err(ExchangeError::Connect(error))) => {
                 self.sent_count -= 1;
                 self.may_have_run = may_have_run_before;
-                load.note_outcome(Outcome::Unreachable);
+                load.record_outcome(Outcome::Unreachable);
                 self.log_attempt(&upstream, "unreached", &error.to_string());
                 Attempt::NotRun
             }
             Ok(Err(ExchangeError::Failed(error))) => {
-                self.note_unanswered(&upstream, load, "lost", &error.to_string())
+                self.record_unanswered(&upstream, load, "lost", &error.to_string())
             }
             Err(_) => {
-                self.note_unanswered(&upstream, load, "silent", "no response within the time-out")
+                self.record_unanswered(&upstream, load, "silent", "no response within the time-out")
             }
         }
     }
@@ -106,7 +106,7 @@
         let (head, body) = response.into_parts();
         let names = &self.entry.names;
         if let Some((running, waiting)) = parse_load(&head.headers, names) {
-            self.entry.directory.note_load(upstream, running, waiting);
+            self.entry.directory.record_load(upstream, running, waiting);
         }
         let verdict = classify_head(&head, names, &self.metadata.attempt_id);
         // Any other response may come from a different upstream.
@@ -121,18 +121,18 @@
             Verdict::NotRun => {
                 self.may_have_run = may_have_run_before;
                 let at_fault = header_text(&head.headers, &self.entry.names.at_fault);
-                self.note_at_fault(&mut load, at_fault.unwrap_or_default());
+                self.record_at_fault(&mut load, at_fault.unwrap_or_default());
                 self.log_attempt(upstream, "not_run", head.status.as_str());
                 Attempt::NotRun
             }
             Verdict::Replaced => {
                 self.may_have_run = may_have_run_before;
-                self.entry.directory.note_replaced(upstream);
+                self.entry.directory.record_replaced(upstream);
                 self.log_attempt(upstream, "replaced", head.status.as_str());
                 Attempt::NotRun
             }
             Verdict::Foreign => {
-                self.note_unanswered(upstream, load, "foreign", head.status.as_str())
+                self.record_unanswered(upstream, load, "foreign", head.status.as_str())
             }
         }
     }
@@ -185,9 +185,9 @@
 
     /// Attributes the failure to the helper that the response names, or else to the engine that
     /// responded.
-    fn note_at_fault(&mut self, load: &mut LoadGuard, at_fault: &str) {
+    fn record_at_fault(&mut self, load: &mut LoadGuard, at_fault: &str) {
         let id = self.entry.directory.find(at_fault);
-        match id.filter(|id| load.note_helper_failed(id)) {
+        match id.filter(|id| load.record_helper_failed(id)) {
             Some(helper) => {
                 log::info!(target: "forward",
                     request = self.metadata.attempt_id, upstream = helper.as_str();
@@ -196,20 +196,20 @@
                 self.tried.pop();
                 self.failed_helpers.push(helper);
             }
-            None => load.note_outcome(Outcome::Failed),
+            None => load.record_outcome(Outcome::Failed),
         }
     }
 
     /// Records an attempt that got no valid answer and may have run.
-    fn note_unanswered(
+    fn record_unanswered(
         &mut self,
         upstream: &UpstreamId,
         mut load: LoadGuard,
         outcome: &'static str,
         cause: &str,
     ) -> Attempt {
-        load.note_outcome(Outcome::Broken);
-        self.note_break(upstream);
+        load.record_outcome(Outcome::Broken);
+        self.record_break(upstream);
         self.log_attempt(upstream, outcome, cause);
         Attempt::MayHaveRun
     }
--- a/clayplank-forward/src/call.rs
+++ b/clayplank-forward/src/call.rs
@@ -160,8 +160,8 @@
     }
 
     /// Records that an upstream answered the request completely and survived it.
-    pub(crate) fn note_answered(&self) {
-        self.entry.quarantine.note_answered(self.fingerprint, &self.caller);
+    pub(crate) fn record_answered(&self) {
+        self.entry.quarantine.record_answered(self.fingerprint, &self.caller);
     }
 
     pub(crate) fn kind(&self) -> RequestKind {
--- a/clayplank-forward/src/directory.rs
+++ b/clayplank-forward/src/directory.rs
@@ -105,7 +105,7 @@
                 .entry(id.clone())
                 .or_default()
                 .rate_limit
-                .note_cold(now_ms() as f64, cold_left_ms);
+                .record_cold(now_ms() as f64, cold_left_ms);
         }
         self.records.insert(id, record.clone());
         self.mark_replaced(&record.heartbeat);
@@ -289,7 +289,7 @@
     }
 
     /// Records that an id is no longer valid: another incarnation responded at its address.
-    pub fn note_replaced(&self, id: &UpstreamId) {
+    pub fn record_replaced(&self, id: &UpstreamId) {
         let mut inner = self.lock();
         if let Some(record) = inner.records.get_mut(id) {
             record.heartbeat.standing = UpstreamStatus::Gone;
@@ -348,7 +348,7 @@
                 && !cordoned.contains(&heartbeat.data_centre);
             if let Some(start) = cold_starts.get(&heartbeat.service).filter(|_| is_uncordoned) {
                 let lasts_ms = start.lasts_ms as f64;
-                stats.entry(id.clone()).or_default().rate_limit.note_cold(now_ms, lasts_ms);
+                stats.entry(id.clone()).or_default().rate_limit.record_cold(now_ms, lasts_ms);
             }
         }
         *former = cordoned;
@@ -436,7 +436,7 @@
     }
 
     /// Records that no permit for an upstream is available within `wait`.
-    pub fn note_no_permit(&self, id: &UpstreamId, wait: Duration) {
+    pub fn record_no_permit(&self, id: &UpstreamId, wait: Duration) {
         let wait_ms = (wait.as_millis() as u64).max(1);
         self.lock().stats.entry(id.clone()).or_default().next_permit_ms = now_ms() + wait_ms;
     }
@@ -477,16 +477,16 @@
     }
 
     /// Records the end of a request to a plain service.
-    pub fn note_end(&self, id: &UpstreamId, took_ms: u64, is_good: bool) {
+    pub fn record_end(&self, id: &UpstreamId, took_ms: u64, is_good: bool) {
         let now_ms = now_ms();
         let mut inner = self.lock();
-        inner.stats.entry(id.clone()).or_default().note_end(now_ms, took_ms, is_good);
+        inner.stats.entry(id.clone()).or_default().record_end(now_ms, took_ms, is_good);
     }
 
     /// Records the load that an upstream reported: running and waiting requests.
-    pub fn note_load(&self, id: &UpstreamId, running: u64, waiting: u64) {
+    pub fn record_load(&self, id: &UpstreamId, running: u64, waiting: u64) {
         let mut inner = self.lock();
-        inner.stats.entry(id.clone()).or_default().note_load(now_ms(), running + waiting);
+        inner.stats.entry(id.clone()).or_default().record_load(now_ms(), running + waiting);
     }
 
     /// Records the limit of an upstream as observed by this host.
--- a/clayplank-forward/src/load.rs
+++ b/clayplank-forward/src/load.rs
@@ -87,7 +87,7 @@
     }
 
     /// Reports that the first event has arrived.
-    pub(crate) fn note_started(&self) {
+    pub(crate) fn record_started(&self) {
         if let Some(id) = self.placement {
             let took_ms = self.started_at.elapsed().as_secs_f64() * 1e3;
             self.entry.placer.record_event(id, Event::Started { took_ms });
@@ -101,13 +101,13 @@
 
     /// Records that a helper failed, and not the upstream; `false` if the engine is not one of its
     /// helpers.
-    pub(crate) fn note_helper_failed(&mut self, id: &UpstreamId) -> bool {
+    pub(crate) fn record_helper_failed(&mut self, id: &UpstreamId) -> bool {
         self.failed_helper = self.helpers.iter().position(|helper| helper == id);
         self.failed_helper.is_some()
     }
 
     /// Records how the attempt ended.
-    pub(crate) fn note_outcome(&mut self, outcome: Outcome) {
+    pub(crate) fn record_outcome(&mut self, outcome: Outcome) {
         self.outcome = Some(outcome);
     }
 
@@ -130,7 +130,7 @@
             None => {
                 let took_ms = self.started_at.elapsed().as_millis() as u64;
                 let is_good = outcome == Outcome::Good;
-                self.entry.directory.note_end(&self.upstream, took_ms, is_good);
+                self.entry.directory.record_end(&self.upstream, took_ms, is_good);
             }
         }
     }
--- a/clayplank-forward/src/opening.rs
+++ b/clayplank-forward/src/opening.rs
@@ -112,22 +112,22 @@
     let first = match source.next(timeout.saturating_sub(started_at.elapsed())).await {
         Next::Event(event) => Some(event),
         Next::End => None,
-        Next::Broken(cause) => return note_broken(call, source, cause, last_event_id),
-        Next::TimedOut => return note_broken(call, source, "silent", last_event_id),
+        Next::Broken(cause) => return record_broken(call, source, cause, last_event_id),
+        Next::TimedOut => return record_broken(call, source, "silent", last_event_id),
     };
-    source.load.note_started();
+    source.load.record_started();
     let first_event_ms = started_at.elapsed().as_millis() as u64;
     let timing = Timing { expected_ms, first_event_ms, helpers };
     OpenResult::Started(Box::new(StartedStream { head, source, first, timing }))
 }
 
-fn note_broken(
+fn record_broken(
     call: &Call,
     mut source: EventSource,
     cause: &str,
     last_event_id: Option<u64>,
 ) -> OpenResult {
-    source.note_broken();
+    source.record_broken();
     log_broken(call, &source.upstream, cause, last_event_id);
     OpenResult::MayHaveRun
 }
@@ -148,11 +148,11 @@
     mut load: LoadGuard,
 ) -> OpenResult {
     let is_failure = head.status.is_server_error();
-    load.note_outcome(if is_failure { Outcome::Failed } else { Outcome::Good });
+    load.record_outcome(if is_failure { Outcome::Failed } else { Outcome::Good });
     strip_hop_by_hop(&mut head.headers);
     match body.collect().await {
         Ok(collected) => {
-            call.note_answered();
+            call.record_answered();
             OpenResult::Other(Response::from_parts(head, full(collected.to_bytes())), !is_failure)
         }
         Err(error) => {
@@ -164,7 +164,7 @@
 
 /// Records and logs that an upstream did not complete its stream.
 pub(crate) fn log_broken(call: &Call, upstream: &str, cause: &str, last_event_id: Option<u64>) {
-    call.note_break(&UpstreamId::new(upstream));
+    call.record_break(&UpstreamId::new(upstream));
     call.entry.metrics.count_attempt("broken");
     log::info!(target: "forward",
         request = call.metadata.attempt_id, route = call.route.name, upstream = upstream,
--- a/clayplank-forward/src/permits.rs
+++ b/clayplank-forward/src/permits.rs
@@ -101,7 +101,7 @@
             PermitReply::Unknown => REDRAW_INTERVAL,
             PermitReply::NotBefore(wait) => wait,
         };
-        directory.note_no_permit(id, wait);
+        directory.record_no_permit(id, wait);
         PermitWait::NotBefore(wait)
     }
 }
--- a/clayplank-forward/src/pump.rs
+++ b/clayplank-forward/src/pump.rs
@@ -80,7 +80,7 @@
             StreamEnd::Complete | StreamEnd::CallerLeft => {}
         }
         if matches!(end, StreamEnd::Complete) {
-            self.call.note_answered();
+            self.call.record_answered();
         }
         self.log_end(end);
     }
@@ -123,7 +123,7 @@
                 Next::End => return StreamEnd::Complete,
                 Next::Event(_) => return StreamEnd::Broken,
                 Next::Broken(cause) => {
-                    self.note_broken(cause);
+                    self.record_broken(cause);
                     if !self.resume().await {
                         return StreamEnd::Broken;
                     }
@@ -134,8 +134,8 @@
     }
 
     /// Records that the upstream failed to complete the stream.
-    fn note_broken(&mut self, cause: &'static str) {
-        self.source.note_broken();
+    fn record_broken(&mut self, cause: &'static str) {
+        self.source.record_broken();
         log_broken(&self.call, &self.source.upstream, cause, self.last_event_id);
     }
 
@@ -153,7 +153,7 @@
         };
         match resumed {
             Ok(started) => {
-                self.note_broken("silent");
+                self.record_broken("silent");
                 self.source = started.source;
                 started.first.map_or(Next::End, Next::Event)
             }
--- a/clayplank-forward/src/quarantine.rs
+++ b/clayplank-forward/src/quarantine.rs
@@ -162,7 +162,7 @@
     }
 
     /// Records that an upstream answered a request completely.
-    pub fn note_answered(&self, fingerprint: RequestFingerprint, caller: &str) {
+    pub fn record_answered(&self, fingerprint: RequestFingerprint, caller: &str) {
         let at = Instant::now();
         let mut outcomes = self.lock();
         outcomes.answered.push_back((fingerprint, at));
@@ -179,7 +179,7 @@
 
     /// Reports that an upstream terminated under a request, unless the request has been answered
     /// since.
-    pub(crate) fn note_terminated(&self, observation: Observation) {
+    pub(crate) fn record_terminated(&self, observation: Observation) {
         let answered_at = self.answered_at(observation.fingerprint);
         if answered_at.is_some_and(|answered_at| answered_at >= observation.at) {
             return;
--- a/clayplank-forward/src/source.rs
+++ b/clayplank-forward/src/source.rs
@@ -54,8 +54,8 @@
     }
 
     /// Records that the upstream did not complete its stream, and releases the attempt's load.
-    pub(crate) fn note_broken(&mut self) {
-        self.load.note_outcome(Outcome::Broken);
+    pub(crate) fn record_broken(&mut self) {
+        self.load.record_outcome(Outcome::Broken);
         self.load.release();
     }
 }
--- a/clayplank-forward/src/termination.rs
+++ b/clayplank-forward/src/termination.rs
@@ -82,7 +82,7 @@
             "An upstream ended under requests");
         for BrokenRequest { fingerprint, caller, at } in breaks {
             let outcome = ObservedOutcome::Ended(upstream.clone());
-            self.note_terminated(Observation { fingerprint, caller, outcome, at });
+            self.record_terminated(Observation { fingerprint, caller, outcome, at });
         }
     }
 }
@@ -110,7 +110,7 @@
 
 impl Call {
     /// Records that an upstream did not complete its answer to this request.
-    pub(crate) fn note_break(&self, upstream: &UpstreamId) {
+    pub(crate) fn record_break(&self, upstream: &UpstreamId) {
         let entry = &self.entry;
         let Some(record) = entry.directory.record(upstream) else {
             return;
--- a/clayplank-forward/src/unary.rs
+++ b/clayplank-forward/src/unary.rs
@@ -109,15 +109,15 @@
     let read = load.unless_replaced(read).await.unwrap_or(Ok(None));
     drop(connection);
     let is_good = matches!(read, Ok(Some(_))) && !head.status.is_server_error();
-    load.note_outcome(match &read {
+    load.record_outcome(match &read {
         Ok(Some(_)) if is_good => Outcome::Good,
         Ok(Some(_)) => Outcome::Failed,
         Ok(None) | Err(_) => Outcome::Broken,
     });
     drop(load);
     match read {
-        Ok(Some(_)) => call.note_answered(),
-        Ok(None) | Err(_) => call.note_break(&upstream),
+        Ok(Some(_)) => call.record_answered(),
+        Ok(None) | Err(_) => call.record_break(&upstream),
     }
     match read {
         Ok(Some((bytes, buffer_permit))) if is_good => {
--- a/clayplank-forward/src/upstream_stats.rs
+++ b/clayplank-forward/src/upstream_stats.rs
@@ -39,7 +39,7 @@
     }
 
     /// Records the end of a request.
-    pub(crate) fn note_end(&mut self, now_ms: u64, took_ms: u64, is_good: bool) {
+    pub(crate) fn record_end(&mut self, now_ms: u64, took_ms: u64, is_good: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.mean_ms += MEAN_WEIGHT * (took_ms as f64 - self.mean_ms);
         if is_good {
@@ -51,7 +51,7 @@
     }
 
     /// Records the reported number of running and waiting requests.
-    pub(crate) fn note_load(&mut self, now_ms: u64, load: u64) {
+    pub(crate) fn record_load(&mut self, now_ms: u64, load: u64) {
         self.reported_load = load;
         self.reported_at_ms = now_ms;
     }
--- a/clayplank-forward/tests/components.rs
+++ b/clayplank-forward/tests/components.rs
@@ -82,9 +82,9 @@
     ]);
     let local = DataCentre::new("a");
     directory.choose("app", &local, &[]).unwrap();
-    directory.note_end(&UpstreamId::new("near"), 10, false);
+    directory.record_end(&UpstreamId::new("near"), 10, false);
     assert_eq!(directory.choose("app", &local, &[]).unwrap().record().heartbeat.id.as_str(), "far");
-    directory.note_end(&UpstreamId::new("far"), 10, true);
+    directory.record_end(&UpstreamId::new("far"), 10, true);
     tokio::time::advance(std::time::Duration::from_secs(2)).await;
     assert_eq!(
         directory.choose("app", &local, &[]).unwrap().record().heartbeat.id.as_str(),
--- a/clayplank-placement/src/engine.rs
+++ b/clayplank-placement/src/engine.rs
@@ -190,7 +190,7 @@
     }
 
     /// Records that a prompt is prefilled, and removes its helper job unless that holds memory.
-    pub(crate) fn note_started(&mut self, now_ms: f64, id: PlacementId) {
+    pub(crate) fn record_started(&mut self, now_ms: f64, id: PlacementId) {
         self.advance(now_ms);
         self.jobs
             .retain(|job| job.id != id || job.kind == JobKind::Primary || job.memory_tokens > 0);
--- a/clayplank-placement/src/fleet.rs
+++ b/clayplank-placement/src/fleet.rs
@@ -155,7 +155,7 @@
     ) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.rate_limit.set_cold_limit(requests_per_s);
-            engine.rate_limit.note_cold(now_ms, remaining_ms);
+            engine.rate_limit.record_cold(now_ms, remaining_ms);
         }
     }
 
@@ -197,24 +197,24 @@
         for engine in self.engines.values_mut() {
             engine.advance(now_ms);
         }
-        self.note_limit(request);
+        self.record_limit(request);
         let request = request.with_time_since_first_try(self.since_first_try_ms(request));
         let placed = choose(self, now_ms, &request);
         if let PlacementOutcome::At(assignment) = &placed {
-            self.note_placed(now_ms, &request, assignment, false);
-            self.note_sent(now_ms, assignment);
+            self.record_placed(now_ms, &request, assignment, false);
+            self.record_sent(now_ms, assignment);
         }
         placed
     }
 
     /// Counts the request and its parts against the rate limits of their engines.
-    fn note_sent(&mut self, now_ms: f64, assignment: &Assignment) {
+    fn record_sent(&mut self, now_ms: f64, assignment: &Assignment) {
         if let Some(engine) = self.engines.get_mut(&assignment.engine) {
-            engine.rate_limit.note_sent(now_ms, &self.sender);
+            engine.rate_limit.record_sent(now_ms, &self.sender);
         }
         for part in &assignment.helpers {
             if let Some(engine) = self.engines.get_mut(&part.engine) {
-                engine.rate_limit.note_part(now_ms, &self.sender);
+                engine.rate_limit.record_part(now_ms, &self.sender);
             }
         }
     }
@@ -222,11 +222,11 @@
     /// Records the time limit of a request on its first try. Streams that have started are skipped:
     /// they ask every 40 ms until they resume, so that a few callers that had retried would look
     /// like the typical ones.
-    fn note_limit(&mut self, request: &PlacementRequest) {
+    fn record_limit(&mut self, request: &PlacementRequest) {
         if request.has_begun || !request.avoid.is_empty() {
             return;
         }
-        self.typical_limits.note(&request.route, request.route_limit_ms, request.sent_limit_ms);
+        self.typical_limits.record(&request.route, request.route_limit_ms, request.sent_limit_ms);
     }
 
     /// Time since the caller of a prompt first tried, in ms; 0 if it seems to be new.
@@ -265,7 +265,7 @@
 
     /// Adds the load of an assignment to its engines; does nothing if the placement is already
     /// known.
-    fn note_placed(
+    fn record_placed(
         &mut self,
         now_ms: f64,
         request: &PlacementRequest,
@@ -279,7 +279,7 @@
         let reserved: u64 = assignment.helpers.iter().map(|part| part.reserve_tokens).sum();
         let primary_tokens = request.memory_tokens().saturating_sub(reserved);
         if parts > 1 {
-            self.note_split_work(now_ms, request, &assignment.engine);
+            self.record_split_work(now_ms, request, &assignment.engine);
         }
         self.add_job(now_ms, request, &assignment.engine, JobKind::Primary, parts, primary_tokens);
         for part in &assignment.helpers {
@@ -288,12 +288,12 @@
         }
         self.placements.insert(request.id, Placement::new(now_ms, request, assignment));
         if is_started {
-            self.note_started(now_ms, request.id);
+            self.record_started(now_ms, request.id);
         }
     }
 
     /// Adds the prefill time of a split prompt to the split load.
-    fn note_split_work(&mut self, now_ms: f64, request: &PlacementRequest, engine: &UpstreamId) {
+    fn record_split_work(&mut self, now_ms: f64, request: &PlacementRequest, engine: &UpstreamId) {
         let Some(engine) = self.engines.get(engine) else {
             return;
         };
@@ -336,65 +336,65 @@
     /// Applies an event that a host reported for one of its placements.
     pub fn apply_event(&mut self, now_ms: f64, id: PlacementId, event: Event) {
         match event {
-            Event::Started { took_ms } => self.note_first_token(now_ms, id, took_ms),
-            Event::Ended => self.note_ended(now_ms, id),
-            Event::Failed => self.end(now_ms, id, |engine| engine.health.note_failure(now_ms)),
+            Event::Started { took_ms } => self.record_first_token(now_ms, id, took_ms),
+            Event::Ended => self.record_ended(now_ms, id),
+            Event::Failed => self.end(now_ms, id, |engine| engine.health.record_failure(now_ms)),
             Event::Broken => self.end(now_ms, id, |engine| {
-                engine.health.note_failure(now_ms);
-                engine.reachability.note_broken();
+                engine.health.record_failure(now_ms);
+                engine.reachability.record_broken();
             }),
             Event::Unreached => self.end(now_ms, id, |engine| {
-                engine.health.note_failure(now_ms);
-                engine.reachability.note_unreachable(now_ms);
+                engine.health.record_failure(now_ms);
+                engine.reachability.record_unreachable(now_ms);
             }),
             Event::HelperFailed { position } => {
-                self.note_helper_failed(now_ms, id, position);
+                self.record_helper_failed(now_ms, id, position);
                 self.end(now_ms, id, |_| {});
             }
         }
     }
 
     /// Updates the primary engine's health from a first token; repeated reports are ignored.
-    fn note_first_token(&mut self, now_ms: f64, id: PlacementId, took_ms: f64) {
+    fn record_first_token(&mut self, now_ms: f64, id: PlacementId, took_ms: f64) {
         let Some(placement) = self.placements.get(&id).filter(|one| !one.is_started) else {
             return;
         };
         if let Some(engine) = self.engines.get_mut(&placement.engine) {
-            engine.reachability.note_answer();
-            engine.health.note_success(now_ms);
-            engine.health.note_first_token(now_ms, placement.expected_ms, took_ms);
+            engine.reachability.record_answer();
+            engine.health.record_success(now_ms);
+            engine.health.record_first_token(now_ms, placement.expected_ms, took_ms);
         }
-        self.note_started(now_ms, id);
+        self.record_started(now_ms, id);
     }
 
-    fn note_helper_failed(&mut self, now_ms: f64, id: PlacementId, position: usize) {
+    fn record_helper_failed(&mut self, now_ms: f64, id: PlacementId, position: usize) {
         let placement = self.placements.get(&id);
         let helper = placement.and_then(|one| one.helpers.get(position));
         if let Some(engine) = helper.and_then(|helper| self.engines.get_mut(helper)) {
-            engine.health.note_failure(now_ms);
+            engine.health.record_failure(now_ms);
         }
     }
 
-    fn note_started(&mut self, now_ms: f64, id: PlacementId) {
+    fn record_started(&mut self, now_ms: f64, id: PlacementId) {
         let Some(placement) = self.placements.get_mut(&id) else {
             return;
         };
         placement.is_started = true;
         for engine in placement.engines() {
             if let Some(engine) = self.engines.get_mut(engine) {
-                engine.note_started(now_ms, id);
+                engine.record_started(now_ms, id);
             }
         }
     }
 
     /// Ends a placement whose prompt was served or whose caller left. Its slot time is recorded
     /// only if the stream had started.
-    fn note_ended(&mut self, now_ms: f64, id: PlacementId) {
+    fn record_ended(&mut self, now_ms: f64, id: PlacementId) {
         if let Some(placement) = self.placements.get(&id).filter(|one| one.is_started)
             && let Some(engine) = self.engines.get(&placement.engine)
         {
-            self.slot_times.note(&engine.spec.pool, now_ms - placement.placed_at_ms);
-            return self.end(now_ms, id, |engine| engine.health.note_served(now_ms));
+            self.slot_times.record(&engine.spec.pool, now_ms - placement.placed_at_ms);
+            return self.end(now_ms, id, |engine| engine.health.record_served(now_ms));
         }
         self.end(now_ms, id, |_| {});
     }
@@ -434,8 +434,8 @@
     /// Adds placements that another keeper made.
     pub fn take_over(&mut self, now_ms: f64, placed: &[RunningPlacement]) {
         for one in placed {
-            self.note_limit(&one.ask);
-            self.note_placed(now_ms, &one.ask, &one.assignment, one.is_started);
+            self.record_limit(&one.ask);
+            self.record_placed(now_ms, &one.ask, &one.assignment, one.is_started);
         }
     }
 
@@ -471,25 +471,25 @@
     }
 
     /// Records that an engine could not be connected to for a query.
-    pub fn note_unreachable(&mut self, now_ms: f64, id: &UpstreamId) {
+    pub fn record_unreachable(&mut self, now_ms: f64, id: &UpstreamId) {
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.reachability.note_unreachable(now_ms);
+            engine.reachability.record_unreachable(now_ms);
         }
     }
 
     /// Records a heartbeat of an engine.
-    pub fn note_heartbeat(&mut self, now_ms: f64, id: &UpstreamId) {
+    pub fn record_heartbeat(&mut self, now_ms: f64, id: &UpstreamId) {
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.reachability.note_heartbeat(now_ms);
+            engine.reachability.record_heartbeat(now_ms);
         }
     }
 
     /// Records the pace that an engine reported: the factor by which its work takes longer than the
     /// cost model predicts.
-    pub fn note_pace(&mut self, now_ms: f64, id: &UpstreamId, pace: f64) {
+    pub fn record_pace(&mut self, now_ms: f64, id: &UpstreamId, pace: f64) {
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.health.note_pace(now_ms, pace);
-            engine.reachability.note_answer();
+            engine.health.record_pace(now_ms, pace);
+            engine.reachability.record_answer();
         }
     }
 
--- a/clayplank-placement/src/health.rs
+++ b/clayplank-placement/src/health.rs
@@ -102,7 +102,7 @@
         1.0 + (self.slowness - 1.0) * 0.5_f64.powf(age_ms / SLOWNESS_HALF_LIFE_MS)
     }
 
-    pub(crate) fn note_failure(&mut self, now_ms: f64) {
+    pub(crate) fn record_failure(&mut self, now_ms: f64) {
         self.failures = self.failures.saturating_add(1);
         self.avoid_until_ms = now_ms + avoid_ms(self.failures);
         self.decay_counts(now_ms);
@@ -110,7 +110,7 @@
     }
 
     /// Records that a request was served to its end.
-    pub(crate) fn note_served(&mut self, now_ms: f64) {
+    pub(crate) fn record_served(&mut self, now_ms: f64) {
         self.decay_counts(now_ms);
         self.served += 1.0;
     }
@@ -135,7 +135,7 @@
         if share < MIN_FAILURE_SHARE { 0.0 } else { share }
     }
 
-    pub(crate) fn note_success(&mut self, now_ms: f64) {
+    pub(crate) fn record_success(&mut self, now_ms: f64) {
         self.failures = 0;
         self.answered_at_ms = now_ms;
     }
@@ -146,7 +146,7 @@
     }
 
     /// Records the pace that the engine reported.
-    pub(crate) fn note_pace(&mut self, now_ms: f64, pace: f64) {
+    pub(crate) fn record_pace(&mut self, now_ms: f64, pace: f64) {
         self.pace = pace.clamp(1.0, MAX_SLOWNESS);
         self.pace_at_ms = now_ms;
         self.answered_at_ms = now_ms;
@@ -167,7 +167,7 @@
     }
 
     /// Updates the observed slowness from the time that a first token took.
-    pub(crate) fn note_first_token(&mut self, now_ms: f64, expected_ms: f64, took_ms: f64) {
+    pub(crate) fn record_first_token(&mut self, now_ms: f64, expected_ms: f64, took_ms: f64) {
         let is_late =
             took_ms > SLOW_FACTOR * expected_ms && took_ms > expected_ms + MIN_SLOW_DELAY_MS;
         let observed = if is_late { took_ms / expected_ms.max(1.0) } else { 1.0 };
--- a/clayplank-placement/src/rate_limit.rs
+++ b/clayplank-placement/src/rate_limit.rs
@@ -96,7 +96,7 @@
 impl RateLimit {
     /// Records that it stays cold for `remaining_ms` more. A report of a shorter time than an
     /// earlier report is ignored, since it may be outdated.
-    pub fn note_cold(&mut self, now_ms: f64, remaining_ms: f64) {
+    pub fn record_cold(&mut self, now_ms: f64, remaining_ms: f64) {
         self.cold_until_ms = self.cold_until_ms.max(now_ms + remaining_ms);
     }
 
@@ -203,13 +203,13 @@
     }
 
     /// Counts a request that is sent now.
-    pub(crate) fn note_sent(&mut self, now_ms: f64, sender: &Sender) {
+    pub(crate) fn record_sent(&mut self, now_ms: f64, sender: &Sender) {
         self.last_request_ms = Some(now_ms);
-        self.note_part(now_ms, sender);
+        self.record_part(now_ms, sender);
     }
 
     /// Counts a helper part for another engine's prompt, which is work but not a request.
-    pub(crate) fn note_part(&mut self, now_ms: f64, sender: &Sender) {
+    pub(crate) fn record_part(&mut self, now_ms: f64, sender: &Sender) {
         self.last_work_ms = Some(now_ms);
         if matches!(sender, Sender::Host(_)) {
             self.record_sent_without_permit(now_ms);
--- a/clayplank-placement/src/reachability.rs
+++ b/clayplank-placement/src/reachability.rs
@@ -37,7 +37,7 @@
     }
 
     /// Records that a connection was refused or not answered.
-    pub(crate) fn note_unreachable(&mut self, now_ms: f64) {
+    pub(crate) fn record_unreachable(&mut self, now_ms: f64) {
         self.needs_probe = false;
         let first = Unreachable {
             since_ms: now_ms,
@@ -48,17 +48,17 @@
     }
 
     /// Records that a connection broke without an answer: the engine may have failed.
-    pub(crate) fn note_broken(&mut self) {
+    pub(crate) fn record_broken(&mut self) {
         self.needs_probe = self.unreachable.is_none();
     }
 
     /// Records an answer of the engine.
-    pub(crate) fn note_answer(&mut self) {
+    pub(crate) fn record_answer(&mut self) {
         *self = Self::default();
     }
 
     /// Records a heartbeat of the engine's current incarnation.
-    pub(crate) fn note_heartbeat(&mut self, now_ms: f64) {
+    pub(crate) fn record_heartbeat(&mut self, now_ms: f64) {
         let Some(unreachable) = &mut self.unreachable else {
             return;
         };
--- a/clayplank-placement/src/slot_times.rs
+++ b/clayplank-placement/src/slot_times.rs
@@ -13,7 +13,7 @@
 
 impl SlotTimes {
     /// Records the slot time of a prompt that was served.
-    pub(crate) fn note(&mut self, pool: &str, slot_ms: f64) {
+    pub(crate) fn record(&mut self, pool: &str, slot_ms: f64) {
         match self.by_pool.get_mut(pool) {
             Some(mean_ms) => *mean_ms += NEWEST_SHARE * (slot_ms - *mean_ms),
             None => {
--- a/clayplank-placement/src/typical_limits.rs
+++ b/clayplank-placement/src/typical_limits.rs
@@ -50,7 +50,7 @@
 
 impl TypicalLimits {
     /// Records the limit that a caller sent to a route, and the route's own limit, both in ms.
-    pub fn note(&mut self, route: &str, route_limit_ms: f64, limit_ms: f64) {
+    pub fn record(&mut self, route: &str, route_limit_ms: f64, limit_ms: f64) {
         if !self.by_route.contains_key(route) && self.by_route.len() >= MAX_ROUTES {
             return;
         }
--- a/clayplank-placement/tests/decisions.rs
+++ b/clayplank-placement/tests/decisions.rs
@@ -279,14 +279,14 @@
     let late_ms = 2.0 * assignment.first_token_ms + 200.0;
     assert_eq!(fleet.take_engines_to_query(late_ms), used);
     assert!(fleet.take_engines_to_query(late_ms + 100.0).is_empty(), "each query has a cost");
-    fleet.note_pace(late_ms, &used[0], 5.0);
+    fleet.record_pace(late_ms, &used[0], 5.0);
     fleet.apply_event(late_ms, long(1).id, Event::Started { took_ms: late_ms });
     assert_eq!(
         fleet.take_engines_to_query(late_ms + 1_000.0),
         used[..1],
         "slow engines are queried again"
     );
-    fleet.note_pace(late_ms + 1_000.0, &used[0], 1.0);
+    fleet.record_pace(late_ms + 1_000.0, &used[0], 1.0);
     assert!(fleet.take_engines_to_query(late_ms + 2_000.0).is_empty());
 }
 
@@ -294,7 +294,7 @@
 fn an_engine_that_reported_a_slow_pace_receives_no_part() {
     let mut fleet = fleet_of(18, &EngineModel::default());
     for number in 0..3 {
-        fleet.note_pace(0.0, &engine(number), 5.0);
+        fleet.record_pace(0.0, &engine(number), 5.0);
     }
     for number in 0..3 {
         let assignment = assigned(fleet.place(0.0, &long(number)));
@@ -374,7 +374,7 @@
         fleet.apply_event(10.0 + 50.0 * number as f64, short(number).id, Event::Ended);
     }
     assert_eq!(fleet.pool_summary(5_000.0, "main").unreached, 1);
-    fleet.note_pace(5_000.0, &unreachable, 1.0);
+    fleet.record_pace(5_000.0, &unreachable, 1.0);
     assert_eq!(fleet.pool_summary(5_000.0, "main").unreached, 0, "it answered a query");
 }
 
@@ -405,7 +405,7 @@
     #[case] unreached: usize,
 ) {
     let (mut fleet, unreachable) = fleet_with_unreachable_engine();
-    fleet.note_heartbeat(heartbeat_ms, &unreachable);
+    fleet.record_heartbeat(heartbeat_ms, &unreachable);
     assert_eq!(fleet.pool_summary(heartbeat_ms, "main").unreached, unreached);
 }
 
@@ -416,7 +416,7 @@
     fleet.apply_event(10.0, short(1).id, Event::Broken);
     assert_eq!(fleet.take_engines_to_query(20.0).as_slice(), std::slice::from_ref(&broken));
     assert!(fleet.take_engines_to_query(30.0).is_empty());
-    fleet.note_unreachable(40.0, &broken);
+    fleet.record_unreachable(40.0, &broken);
     assert_eq!(fleet.pool_summary(40.0, "main").unreached, 1);
 }
 
--- a/clayplank-placement/tests/typical_limits.rs
+++ b/clayplank-placement/tests/typical_limits.rs
@@ -18,7 +18,7 @@
 ) {
     let mut typical = TypicalLimits::default();
     for limit_ms in [15_000.0, 14_996.0, 15_000.0, 4_000.0, 14_992.0, 15_000.0] {
-        typical.note("audit", 15_000.0, limit_ms);
+        typical.record("audit", 15_000.0, limit_ms);
     }
     assert_eq!(typical.since_first_try_ms(route, limit_ms), since_first_try_ms);
 }
@@ -27,10 +27,10 @@
 #[test]
 fn the_first_callers_are_compared_with_the_limit_of_their_route() {
     let mut typical = TypicalLimits::default();
-    typical.note("audit", 15_000.0, 13_900.0);
+    typical.record("audit", 15_000.0, 13_900.0);
     assert_eq!(typical.since_first_try_ms("audit", 13_900.0), 1_100.0);
     for _ in 0..20 {
-        typical.note("audit", 15_000.0, 6_000.0);
+        typical.record("audit", 15_000.0, 6_000.0);
     }
     assert_eq!(typical.since_first_try_ms("audit", 6_000.0), 0.0, "all of them wait 6 s");
 }
--- a/clayplankd/src/doors/quarantine.rs
+++ b/clayplankd/src/doors/quarantine.rs
@@ -70,6 +70,6 @@
 
     /// Records that an upstream answered a request completely.
     pub(crate) fn record_answered(&self, identity: &Identity) {
-        self.quarantine.note_answered(identity.fingerprint, &identity.caller);
+        self.quarantine.record_answered(identity.fingerprint, &identity.caller);
     }
 }
--- a/clayplankd/src/fleet/fleet_keeper.rs
+++ b/clayplankd/src/fleet/fleet_keeper.rs
@@ -127,7 +127,7 @@
 
     /// Applies heartbeats, from upstreams or from other keepers.
     pub(crate) fn apply(&self, heartbeats: &[Heartbeat]) {
-        self.note_heartbeats(heartbeats);
+        self.record_heartbeats(heartbeats);
         let now_ms = now_ms();
         let mut registry = lock_ignoring_poison(&self.registry);
         let mut is_urgent = false;
@@ -147,10 +147,10 @@
     }
 
     /// Records the heartbeats in the fleet, which then probes unreachable engines again.
-    fn note_heartbeats(&self, heartbeats: &[Heartbeat]) {
+    fn record_heartbeats(&self, heartbeats: &[Heartbeat]) {
         let mut fleet = lock_ignoring_poison(&self.fleet);
         for heartbeat in heartbeats {
-            fleet.note_heartbeat(monotonic_now_ms(), &heartbeat.id);
+            fleet.record_heartbeat(monotonic_now_ms(), &heartbeat.id);
         }
     }
 
@@ -412,7 +412,7 @@
     }
 
     /// Records the load report of an engine, unless a different incarnation of the engine answered.
-    pub(crate) fn note_report(&self, id: &UpstreamId, report: &EngineLoadReport) {
+    pub(crate) fn record_report(&self, id: &UpstreamId, report: &EngineLoadReport) {
         if !lock_ignoring_poison(&self.registry).confirm_incarnation(now_ms(), id, report.born_ms) {
             log::info!(target: log_target::KEEPER,
                 upstream = id.as_str(), answered_born_ms = report.born_ms;
@@ -420,12 +420,12 @@
             self.notify_followers();
             return;
         }
-        lock_ignoring_poison(&self.fleet).note_pace(monotonic_now_ms(), id, report.pace);
+        lock_ignoring_poison(&self.fleet).record_pace(monotonic_now_ms(), id, report.pace);
     }
 
     /// Records that a connection to an engine could not be established.
     pub(crate) fn record_unreachable(&self, id: &UpstreamId) {
-        lock_ignoring_poison(&self.fleet).note_unreachable(monotonic_now_ms(), id);
+        lock_ignoring_poison(&self.fleet).record_unreachable(monotonic_now_ms(), id);
     }
 
     pub(crate) fn contract(&self) -> &SharedContract {
--- a/clayplankd/src/fleet/suspect_probe.rs
+++ b/clayplankd/src/fleet/suspect_probe.rs
@@ -39,7 +39,7 @@
                 upstream = id.as_str(), pace = report.pace, running = report.running,
                 waiting = report.waiting, used_tokens = report.used_tokens;
                 "An engine reported its load");
-            fleet.note_report(id, &report);
+            fleet.record_report(id, &report);
         }
         Err(error) => {
             log::info!(target: log_target::KEEPER, upstream = id.as_str(), cause:% = error; "An engine did not answer a load report request");
--- a/clayplankd/src/keepers/keeper.rs
+++ b/clayplankd/src/keepers/keeper.rs
@@ -264,7 +264,7 @@
             return false;
         };
         if let Some(replica) = &mut self.replica {
-            replica.note_persisted(written);
+            replica.record_persisted(written);
         }
         for envelope in ready.messages {
             self.outbox.send(envelope).ok();
--- a/clayplankd/src/keepers/keeper_messages.rs
+++ b/clayplankd/src/keepers/keeper_messages.rs
@@ -211,7 +211,7 @@
         let Some(replica) = &mut self.replica else {
             return StopReply::NotLeader(None);
         };
-        replica.note_departure(now_ms(), host);
+        replica.record_departure(now_ms(), host);
         if let Some(change) = replica.maintain_membership(now_ms()) {
             log_member_change(&change, "a keeper is stopping");
             self.flush(context).await;
