--- a/bench/src/placement_simulation.rs
+++ b/bench/src/placement_simulation.rs
@@ -222,16 +222,19 @@
         let id = PlacementId { host: 1, number: number as u64 };
         let waited_ms = now_ms - request.last_try_ms;
         let left_ms = (kind.goal_ms - waited_ms).max(MIN_GOAL_MS);
-        let mut ask = PlacementRequest::new(id, "main", request.tokens as u64, left_ms);
-        ask.output_tokens = (f64::from(request.events) * self.mix.event_tokens()) as u64;
-        ask.pause_goal_ms = kind.pause_goal_ms;
-        ask.limit_ms = kind.first_event_limit_ms;
-        ask.waited_ms = waited_ms;
-        ask.data_centre = DataCentre::new("a");
-        ask.route = kind.name.to_owned();
-        ask.route_limit_ms = kind.time_limit_ms;
-        ask.sent_limit_ms = kind.time_limit_ms - (request.last_try_ms - request.first_try_ms);
-        match self.fleet.place(now_ms, &ask) {
+        let mut placement_request =
+            PlacementRequest::new(id, "main", request.tokens as u64, left_ms);
+        placement_request.output_tokens =
+            (f64::from(request.events) * self.mix.event_tokens()) as u64;
+        placement_request.pause_goal_ms = kind.pause_goal_ms;
+        placement_request.limit_ms = kind.first_event_limit_ms;
+        placement_request.waited_ms = waited_ms;
+        placement_request.data_centre = DataCentre::new("a");
+        placement_request.route = kind.name.to_owned();
+        placement_request.route_limit_ms = kind.time_limit_ms;
+        placement_request.sent_limit_ms =
+            kind.time_limit_ms - (request.last_try_ms - request.first_try_ms);
+        match self.fleet.place(now_ms, &placement_request) {
             PlacementOutcome::At(assignment) => {
                 let names: Vec<_> = std::iter::once(assignment.engine)
                     .chain(assignment.helpers.into_iter().map(|part| part.engine))
--- a/bench/src/replay.rs
+++ b/bench/src/replay.rs
@@ -232,7 +232,7 @@
             (RequestId(self.next_id), AttemptId::from_bits(u128::from(self.next_id)));
         let account = self.setup.mix.account_id(arrival.account);
         let deadline_ms = arrival.at_ms + arrival.deadline_ms;
-        let mut ask = ReservationRequest::new(
+        let mut reservation_request = ReservationRequest::new(
             request_id,
             attempt_id,
             account,
@@ -240,12 +240,12 @@
             arrival.prompt_tokens,
             deadline_ms,
         );
-        arrival.fill(&mut ask);
-        ask.avoided_engines = avoid;
+        arrival.fill(&mut reservation_request);
+        reservation_request.avoided_engines = avoid;
         self.by_request.insert(request_id, (request, attempt_id));
         self.outcomes[request].submissions += 1;
         let now_ms = self.now_ms();
-        self.scheduler.submit(now_ms, holder(), ask);
+        self.scheduler.submit(now_ms, holder(), reservation_request);
         self.apply_decisions();
     }
 
--- a/clayplank-forward/src/entry.rs
+++ b/clayplank-forward/src/entry.rs
@@ -156,8 +156,8 @@
     }
 
     /// Replaces the set of quarantined requests.
-    pub fn set_quarantined(&self, held_back: Vec<QuarantinedRequest>) {
-        self.quarantine.set_quarantined(held_back);
+    pub fn set_quarantined(&self, requests: Vec<QuarantinedRequest>) {
+        self.quarantine.set_quarantined(requests);
     }
 
     /// All metrics in the Prometheus text format.
--- a/clayplank-forward/src/quarantine.rs
+++ b/clayplank-forward/src/quarantine.rs
@@ -85,7 +85,9 @@
 
 impl std::fmt::Debug for RequestQuarantine {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Suspicion").field("held_back", &self.count()).finish_non_exhaustive()
+        f.debug_struct("RequestQuarantine")
+            .field("held_back", &self.count())
+            .finish_non_exhaustive()
     }
 }
 
@@ -129,11 +131,11 @@
 
     /// Replaces the set of quarantined requests. Newly quarantined requests that were recently
     /// answered here are reported: they may have been quarantined because of other requests.
-    pub fn set_quarantined(&self, held_back: Vec<QuarantinedRequest>) {
+    pub fn set_quarantined(&self, requests: Vec<QuarantinedRequest>) {
         let now = Instant::now();
         let former = self.quarantined.load_full();
         let mut next = HashMap::new();
-        for QuarantinedRequest { fingerprint, caller, next_trial_in_ms, .. } in held_back {
+        for QuarantinedRequest { fingerprint, caller, next_trial_in_ms, .. } in requests {
             next.insert(fingerprint, now + millis(next_trial_in_ms));
             if former.contains_key(&fingerprint) {
                 continue;
--- a/clayplank-placement/src/fleet.rs
+++ b/clayplank-placement/src/fleet.rs
@@ -441,9 +441,9 @@
 
     /// Adds the placements that a host reports as running, and drops those of its older placements
     /// that it does not list.
-    pub fn sync_host(&mut self, now_ms: f64, host: u64, renewed: &[RunningPlacement]) {
-        self.take_over(now_ms, renewed);
-        let is_listed = |id: &PlacementId| renewed.iter().any(|one| one.ask.id == *id);
+    pub fn sync_host(&mut self, now_ms: f64, host: u64, running: &[RunningPlacement]) {
+        self.take_over(now_ms, running);
+        let is_listed = |id: &PlacementId| running.iter().any(|one| one.ask.id == *id);
         let finished = self.placements.iter().filter(|(id, placement)| {
             id.host == host && placement.is_settled(now_ms) && !is_listed(id)
         });
--- a/clayplank-placement/tests/decisions.rs
+++ b/clayplank-placement/tests/decisions.rs
@@ -221,9 +221,9 @@
     let model = EngineModel { slots: 1, ..EngineModel::default() };
     let mut former = fleet_of(1, &model);
     let assignment = assigned(former.place(0.0, &short(1)));
-    let renewed = RunningPlacement { ask: short(1), assignment, is_started: true };
+    let running = RunningPlacement { ask: short(1), assignment, is_started: true };
     let mut fleet = fleet_of(1, &model);
-    fleet.sync_host(0.0, 1, std::slice::from_ref(&renewed));
+    fleet.sync_host(0.0, 1, std::slice::from_ref(&running));
     assert!(
         matches!(fleet.place(0.0, &short(2)), PlacementOutcome::Full { .. }),
         "the slot is occupied"
@@ -391,10 +391,10 @@
 fn an_unreachable_engine_is_probed_with_growing_intervals() {
     let (mut fleet, unreachable) = fleet_with_unreachable_engine();
     let checks = (0..60).map(|check| f64::from(check) * 100.0);
-    let asked: Vec<_> = checks
+    let probed_ms: Vec<_> = checks
         .filter(|now_ms| fleet.take_engines_to_query(*now_ms) == [unreachable.clone()])
         .collect();
-    insta::assert_json_snapshot!(asked);
+    insta::assert_json_snapshot!(probed_ms);
 }
 
 #[rstest]
--- a/clayplank-placement/tests/failover.rs
+++ b/clayplank-placement/tests/failover.rs
@@ -174,12 +174,12 @@
         }
         let host = request.id.host;
         let id = request.id;
-        let renewed = RunningPlacement { ask: request, assignment, is_started: false };
-        let renewed = std::slice::from_ref(&renewed);
-        standalone[host as usize].take_over(now_ms, renewed);
-        leader.take_over(now_ms, renewed);
+        let running = RunningPlacement { ask: request, assignment, is_started: false };
+        let running = std::slice::from_ref(&running);
+        standalone[host as usize].take_over(now_ms, running);
+        leader.take_over(now_ms, running);
         if !is_unreplicated(now_ms) {
-            deputy.take_over(now_ms, renewed);
+            deputy.take_over(now_ms, running);
         }
         events.push((now_ms + took_ms, id, Event::Started { took_ms }));
         events.push((now_ms + took_ms + STREAM_MS, id, Event::Ended));
--- a/clayplank-schedule/src/lifecycle.rs
+++ b/clayplank-schedule/src/lifecycle.rs
@@ -73,12 +73,12 @@
 
     /// Renews the listed grants of a holder and adopts those issued by an earlier owner.
     /// Grants of the host's earlier incarnations are revoked.
-    pub fn renew(&mut self, now_ms: u64, holder: &GrantHolder, held: &[RenewedGrant]) {
+    pub fn renew(&mut self, now_ms: u64, holder: &GrantHolder, renewed_grants: &[RenewedGrant]) {
         for grant_id in self.grants.of_earlier_incarnations(holder) {
             self.revoke(now_ms, grant_id);
         }
         let until_ms = now_ms + self.policy.grant_lease_ms;
-        for grant in held {
+        for grant in renewed_grants {
             match self.grants.find(grant.attempt_id) {
                 Some(grant_id) => self.renew_one(grant_id, until_ms),
                 None => self.adopt(holder, grant, until_ms),
@@ -95,17 +95,17 @@
 
     /// Adopts a grant that is not in the table. One issued by this incarnation of the owner
     /// has already ended and is ignored.
-    fn adopt(&mut self, holder: &GrantHolder, held: &RenewedGrant, until_ms: u64) {
-        if held.owner == self.incarnation || self.ended.contains(held.attempt_id) {
+    fn adopt(&mut self, holder: &GrantHolder, grant: &RenewedGrant, until_ms: u64) {
+        if grant.owner == self.incarnation || self.ended.contains(grant.attempt_id) {
             return;
         }
         let mut parts = Vec::new();
-        for part in &held.parts {
+        for part in &grant.parts {
             let Some(index) = self.find_engine(&part.engine) else {
                 continue;
             };
             let incarnation = self.fleet.update(index, |engine| {
-                engine.remove_foreign(held.attempt_id);
+                engine.remove_foreign(grant.attempt_id);
                 engine.adopt(Lane::Long, part.reserved_tokens);
                 engine.incarnation
             });
@@ -120,7 +120,7 @@
         }
         let state = GrantState::Held { until_ms };
         let record = GrantRecord {
-            attempt_id: held.attempt_id,
+            attempt_id: grant.attempt_id,
             holder: holder.clone(),
             lane: Lane::Long,
             state,
--- a/clayplank-standin/src/bin/standin-upstream.rs
+++ b/clayplank-standin/src/bin/standin-upstream.rs
@@ -71,9 +71,9 @@
     if options.engine {
         serve_pass_engine(listener, options.id, model, limit).await;
     } else {
-        let (begun, crashes) = mpsc::unbounded_channel();
+        let (started, crashes) = mpsc::unbounded_channel();
         let crashing =
-            options.ends_on.map(|text| CrashingRequest { body: Bytes::from(text), begun });
+            options.ends_on.map(|text| CrashingRequest { body: Bytes::from(text), started });
         tokio::select! {
             () = serve_upstream(listener, options.id, SharedRuns::default(), crashing, limit) => {}
             () = wait_for_exit(crashes) => {}
--- a/clayplank-standin/src/upstream.rs
+++ b/clayplank-standin/src/upstream.rs
@@ -101,7 +101,7 @@
     /// Body by which the request is recognised.
     pub body: Bytes,
     /// Receives a message each time the request starts to run; the receiver terminates the upstream.
-    pub begun: mpsc::UnboundedSender<()>,
+    pub started: mpsc::UnboundedSender<()>,
 }
 
 /// Serves one incarnation of an upstream until the task is dropped.
@@ -142,7 +142,7 @@
     }
     record_run(&runs, &id, &attempt, &head.headers);
     if let Some(crashing) = crashing.filter(|crashing| crashing.body == body) {
-        crashing.begun.send(()).ok();
+        crashing.started.send(()).ok();
         // There is no response: the upstream is terminated first.
         std::future::pending::<()>().await;
     }
--- a/clayplankd/src/doors/control_endpoint.rs
+++ b/clayplankd/src/doors/control_endpoint.rs
@@ -146,8 +146,8 @@
     async fn list_quarantined(&self) -> Answer {
         match self.confirmed("List of quarantined requests").await {
             Ok(delta) => {
-                let held_back = delta.held_back.unwrap_or_default();
-                let shown: Vec<_> = held_back.iter().map(quarantined_json).collect();
+                let requests = delta.held_back.unwrap_or_default();
+                let shown: Vec<_> = requests.iter().map(quarantined_json).collect();
                 json(StatusCode::OK, Bytes::from(Value::from(shown).to_string()))
             }
             Err(answer) => *answer,
--- a/clayplankd/src/fleet/fleet_keeper.rs
+++ b/clayplankd/src/fleet/fleet_keeper.rs
@@ -25,7 +25,7 @@
 use crate::doors::contract::{EngineLoadReport, SharedContract};
 use crate::fleet::fleet_engines::{set_cordoned, set_engines, update_engines};
 use crate::fleet::host_counts::HostCounts;
-use crate::fleet::placement_replication::{PlacementMirror, PlacementUpdates};
+use crate::fleet::placement_replication::{PlacementReplicator, PlacementUpdates};
 use crate::follow::leader_confirmation::RenewalsByIncarnation;
 use crate::follow::packed_changes::PackedChanges;
 use crate::follow::plan_edits::PlanEdits;
@@ -92,7 +92,7 @@
     /// Cursor of the registry's newest change.
     changed: watch::Sender<Cursor>,
     fleet: Mutex<Fleet>,
-    mirror: Mutex<PlacementMirror>,
+    replicator: Mutex<PlacementReplicator>,
     /// Cursor of the last registry change that was applied to the fleet.
     engines_cursor: Mutex<Cursor>,
     plan: ArcSwapOption<PlanIndex>,
@@ -117,7 +117,7 @@
             permits: Mutex::default(),
             changed: watch::Sender::new(Cursor::default()),
             fleet: Mutex::default(),
-            mirror: Mutex::default(),
+            replicator: Mutex::default(),
             engines_cursor: Mutex::default(),
             plan: ArcSwapOption::empty(),
             edits: Mutex::default(),
@@ -288,7 +288,7 @@
         let mut fleet = lock_ignoring_poison(&self.fleet);
         let placed = fleet.place(monotonic_now_ms(), request);
         if let PlacementOutcome::At(assignment) = &placed {
-            lock_ignoring_poison(&self.mirror).record_placement(request, assignment);
+            lock_ignoring_poison(&self.replicator).record_placement(request, assignment);
         }
         if let PlacementOutcome::Full { retry_after_ms } = placed {
             let since_ms = fleet.since_first_try_ms(request);
@@ -315,7 +315,7 @@
 
     /// Records events of placements.
     pub(crate) fn record_events(&self, events: &[(PlacementId, Event)]) {
-        lock_ignoring_poison(&self.mirror).record_events(events);
+        lock_ignoring_poison(&self.replicator).record_events(events);
         let mut fleet = lock_ignoring_poison(&self.fleet);
         for (id, event) in events {
             fleet.apply_event(monotonic_now_ms(), *id, *event);
@@ -381,25 +381,25 @@
     /// Adds placements that another keeper made.
     pub(crate) fn add_placements(&self, placed: Vec<RunningPlacement>) {
         lock_ignoring_poison(&self.fleet).take_over(monotonic_now_ms(), &placed);
-        lock_ignoring_poison(&self.mirror).take_over(placed);
+        lock_ignoring_poison(&self.replicator).take_over(placed);
     }
 
     /// Removes and returns the placements known here, for the new leader.
     pub(crate) fn take_placements(&self) -> PlacementUpdates {
         lock_ignoring_poison(&self.fleet).forget_placements();
-        lock_ignoring_poison(&self.mirror).take_all()
+        lock_ignoring_poison(&self.replicator).take_all()
     }
 
     /// Removes all placements if no update arrived recently. Called on keepers that do not lead.
     pub(crate) fn clear_stale_placements(&self) {
-        if !lock_ignoring_poison(&self.mirror).is_current() {
+        if !lock_ignoring_poison(&self.replicator).is_current() {
             self.take_placements();
         }
     }
 
     /// Placements and events to replicate to the keeper that may have to place prompts next.
-    pub(crate) fn mirror(&self) -> &Mutex<PlacementMirror> {
-        &self.mirror
+    pub(crate) fn replicator(&self) -> &Mutex<PlacementReplicator> {
+        &self.replicator
     }
 
     /// Removes and returns the engines that should be queried for a load report, with their
@@ -483,8 +483,8 @@
     /// Replaces the placements of each entry host incarnation in `renewals` by those it still runs.
     pub(crate) fn renew_all(&self, renewals: &RenewalsByIncarnation) {
         let mut fleet = lock_ignoring_poison(&self.fleet);
-        for (incarnation, renewed) in renewals {
-            fleet.sync_host(monotonic_now_ms(), *incarnation, renewed);
+        for (incarnation, placements) in renewals {
+            fleet.sync_host(monotonic_now_ms(), *incarnation, placements);
         }
     }
 
--- a/clayplankd/src/fleet/placement_client.rs
+++ b/clayplankd/src/fleet/placement_client.rs
@@ -180,9 +180,9 @@
     /// Avoids the engine of a placement for a while, after a failed connection.
     fn avoid_engine(&self, id: PlacementId) {
         let active = lock_ignoring_poison(&self.active);
-        if let Some(renewed) = active.get(&id) {
+        if let Some(running) = active.get(&id) {
             lock_ignoring_poison(&self.unreachable)
-                .insert(now_ms(), renewed.assignment.engine.clone());
+                .insert(now_ms(), running.assignment.engine.clone());
         }
     }
 
@@ -191,12 +191,12 @@
         let PlacementOutcome::At(assignment) = placed else {
             return;
         };
-        let renewed = RunningPlacement {
+        let running = RunningPlacement {
             ask: placement_request.clone(),
             assignment: assignment.clone(),
             is_started: false,
         };
-        lock_ignoring_poison(&self.active).insert(placement_request.id, renewed);
+        lock_ignoring_poison(&self.active).insert(placement_request.id, running);
     }
 
     /// Incarnation of this host in the ids of its placements.
@@ -278,8 +278,8 @@
         );
         match event {
             Event::Started { .. } => {
-                if let Some(renewed) = lock_ignoring_poison(&self.active).get_mut(&id) {
-                    renewed.is_started = true;
+                if let Some(running) = lock_ignoring_poison(&self.active).get_mut(&id) {
+                    running.is_started = true;
                 }
             }
             Event::Ended
--- a/clayplankd/src/fleet/placement_replication.rs
+++ b/clayplankd/src/fleet/placement_replication.rs
@@ -48,13 +48,13 @@
 /// A placement, and the time at which this keeper learned of it.
 #[derive(Debug)]
 struct KnownPlacement {
-    renewed: RunningPlacement,
+    placement: RunningPlacement,
     since_ms: u64,
 }
 
 /// Placements that this keeper knows, and the updates that were not sent yet.
 #[derive(Debug, Default)]
-pub(crate) struct PlacementMirror {
+pub(crate) struct PlacementReplicator {
     known: HashMap<PlacementId, KnownPlacement>,
     next_prune_ms: u64,
     /// Time of the last update that was received or made here, in ms.
@@ -65,33 +65,33 @@
     events: Vec<(PlacementId, Event)>,
 }
 
-impl PlacementMirror {
+impl PlacementReplicator {
     /// Records a placement that this keeper made.
     pub(crate) fn record_placement(
         &mut self,
         placement_request: &PlacementRequest,
         assignment: &Assignment,
     ) {
-        let renewed = RunningPlacement {
+        let placement = RunningPlacement {
             ask: placement_request.clone(),
             assignment: assignment.clone(),
             is_started: false,
         };
         if self.placed.len() < MAX_PENDING_UPDATES {
-            self.placed.push(renewed.clone());
+            self.placed.push(placement.clone());
         }
-        self.insert(renewed);
+        self.insert(placement);
     }
 
     /// Adds placements that another keeper made.
     pub(crate) fn take_over(&mut self, placed: Vec<RunningPlacement>) {
-        placed.into_iter().for_each(|renewed| self.insert(renewed));
+        placed.into_iter().for_each(|placement| self.insert(placement));
     }
 
-    fn insert(&mut self, renewed: RunningPlacement) {
+    fn insert(&mut self, placement: RunningPlacement) {
         let since_ms = now_ms();
         self.updated_ms = since_ms;
-        self.known.insert(renewed.ask.id, KnownPlacement { renewed, since_ms });
+        self.known.insert(placement.ask.id, KnownPlacement { placement, since_ms });
     }
 
     /// Whether the known placements are current enough to be used.
@@ -105,8 +105,8 @@
         for (id, event) in events {
             match event {
                 Event::Started { .. } => {
-                    if let Some(placement) = self.known.get_mut(id) {
-                        placement.renewed.is_started = true;
+                    if let Some(known) = self.known.get_mut(id) {
+                        known.placement.is_started = true;
                     }
                 }
                 Event::Ended
@@ -136,7 +136,7 @@
     fn all_as_updates(&mut self) -> PlacementUpdates {
         self.take_updates();
         PlacementUpdates {
-            placed: self.known.values().map(|placement| placement.renewed.clone()).collect(),
+            placed: self.known.values().map(|known| known.placement.clone()).collect(),
             events: Vec::new(),
         }
     }
@@ -155,8 +155,7 @@
     pub(crate) fn take_all(&mut self) -> PlacementUpdates {
         self.take_updates();
         let is_current = self.is_current();
-        let known =
-            self.known.drain().map(|(_, placement)| placement.renewed).filter(|_| is_current);
+        let known = self.known.drain().map(|(_, known)| known.placement).filter(|_| is_current);
         PlacementUpdates { placed: known.collect(), events: Vec::new() }
     }
 }
@@ -197,15 +196,15 @@
             fleet.keepers().set_deputy(deputy.clone());
             let is_new = deputy.is_some() && informed_deputy != deputy;
             informed_deputy.clone_from(&deputy);
-            let mut mirror = lock_ignoring_poison(fleet.mirror());
-            (deputy, if is_new { mirror.all_as_updates() } else { mirror.take_updates() })
+            let mut replicator = lock_ignoring_poison(fleet.replicator());
+            (deputy, if is_new { replicator.all_as_updates() } else { replicator.take_updates() })
         } else if informed_leader.as_ref() != Some(&leader) {
             informed_deputy = None;
             informed_leader = Some(leader.clone());
             (Some(leader), fleet.take_placements())
         } else {
             fleet.clear_stale_placements();
-            (None, lock_ignoring_poison(fleet.mirror()).take_updates())
+            (None, lock_ignoring_poison(fleet.replicator()).take_updates())
         };
         if let Some(to) = to.filter(|_| !updates.is_empty()) {
             tokio::spawn(send(peers.clone(), to, updates));
--- a/clayplankd/src/follow/current_settings.rs
+++ b/clayplankd/src/follow/current_settings.rs
@@ -58,8 +58,8 @@
                 continue;
             }
         };
-        if let Some(held_back) = delta.held_back.take() {
-            host.quarantine.set_quarantined(held_back);
+        if let Some(requests) = delta.held_back.take() {
+            host.quarantine.set_quarantined(requests);
         }
         if !delta.items.is_empty() || delta.revision > applied.revision() {
             let mut next = SettingsView::clone(&applied);
--- a/clayplankd/src/follow/follow_responder.rs
+++ b/clayplankd/src/follow/follow_responder.rs
@@ -56,9 +56,9 @@
         match request.keeper {
             Some(keeper_part) => self.answer_keeper(&decoded, &keeper_part).await,
             None => {
-                let renewed: Vec<RunningPlacement> =
+                let placements: Vec<RunningPlacement> =
                     decode(&request.renewed).map_err(invalid_message)?;
-                self.relay.record_renewals(request.life, renewed);
+                self.relay.record_renewals(request.life, placements);
                 self.answer_host(&decoded).await
             }
         }
--- a/clayplankd/src/follow/leader_confirmation.rs
+++ b/clayplankd/src/follow/leader_confirmation.rs
@@ -165,15 +165,15 @@
     }
 
     /// Records the placements that an incarnation of a host runs, for the next report to the leader.
-    pub(crate) fn record_renewals(&self, incarnation: u64, renewed: Vec<RunningPlacement>) {
+    pub(crate) fn record_renewals(&self, incarnation: u64, placements: Vec<RunningPlacement>) {
         let mut pending = lock_ignoring_poison(&self.renewals);
-        let was_busy = if renewed.is_empty() {
+        let was_busy = if placements.is_empty() {
             pending.busy.remove(&incarnation)
         } else {
             !pending.busy.insert(incarnation)
         };
-        if was_busy || !renewed.is_empty() {
-            pending.by_incarnation.insert(incarnation, renewed);
+        if was_busy || !placements.is_empty() {
+            pending.by_incarnation.insert(incarnation, placements);
         }
     }
 
--- a/clayplankd/src/owners/owner.rs
+++ b/clayplankd/src/owners/owner.rs
@@ -391,7 +391,7 @@
 /// Message: a host renews its grants, which are listed by pool.
 pub(crate) struct Renew {
     pub(crate) holder: GrantHolder,
-    pub(crate) held: BTreeMap<PoolId, Vec<RenewedGrant>>,
+    pub(crate) grants_by_pool: BTreeMap<PoolId, Vec<RenewedGrant>>,
 }
 
 impl Handler<Renew> for Owner {
@@ -399,8 +399,8 @@
 
     async fn handle(&mut self, renew: Renew, _: &mut Context<Self>) {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
-            let held = renew.held.get(&pool).map_or(&[][..], Vec::as_slice);
-            self.with_pool(&pool, |scheduler| scheduler.renew(now_ms(), &renew.holder, held));
+            let grants = renew.grants_by_pool.get(&pool).map_or(&[][..], Vec::as_slice);
+            self.with_pool(&pool, |scheduler| scheduler.renew(now_ms(), &renew.holder, grants));
         }
     }
 }
--- a/clayplankd/src/owners/reservations.rs
+++ b/clayplankd/src/owners/reservations.rs
@@ -51,11 +51,11 @@
 }
 
 impl OwnedGrants {
-    fn insert(&self, held: OwnedGrant) {
+    fn insert(&self, owned_grant: OwnedGrant) {
         self.grants
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .insert(held.grant.attempt_id, held);
+            .insert(owned_grant.grant.attempt_id, owned_grant);
     }
 
     fn remove(&self, attempt_id: AttemptId) {
@@ -101,9 +101,9 @@
             return Err(Refusal::new(RefusalReason::OwnerUnreachable, OWNER_UNREACHABLE_RETRY_MS));
         }
         match reserve_in(host, &pool, reservation_request, remaining).await {
-            Ok(ReserveOutcome::Granted(held)) => {
-                host.grants.insert(held.clone());
-                return Ok(held);
+            Ok(ReserveOutcome::Granted(owned_grant)) => {
+                host.grants.insert(owned_grant.clone());
+                return Ok(owned_grant);
             }
             Ok(ReserveOutcome::Refused(refusal)) => match next_pool(pools, &pool, refusal) {
                 Some(next) => pool = next,
@@ -238,13 +238,13 @@
 }
 
 /// Notifies the owner that the first token arrived, which means that the prefill is complete.
-pub(crate) async fn notify_first_token(host: &Host, held: &OwnedGrant) {
+pub(crate) async fn notify_first_token(host: &Host, owned_grant: &OwnedGrant) {
     let request = FirstTokenRequest {
-        pool: held.pool.to_string(),
-        grant_id: held.grant.grant_id.0,
-        owner_incarnation: held.grant.owner.0,
+        pool: owned_grant.pool.to_string(),
+        grant_id: owned_grant.grant.grant_id.0,
+        owner_incarnation: owned_grant.grant.owner.0,
     };
-    if let Some(owner) = host.members.owner_of(&held.pool) {
+    if let Some(owner) = host.members.owner_of(&owned_grant.pool) {
         // If the notification is lost, the end of the grant tells the owner the same.
         host.peers
             .call(&owner, OWNER_CALL_TIMEOUT, |mut client| async move {
@@ -257,26 +257,26 @@
 
 /// Ends a grant and notifies the owner. If the notification is lost, the grant expires at the
 /// owner.
-pub(crate) async fn finish_grant(host: &Host, held: &OwnedGrant, usage: Usage) {
-    host.grants.remove(held.grant.attempt_id);
+pub(crate) async fn finish_grant(host: &Host, owned_grant: &OwnedGrant, usage: Usage) {
+    host.grants.remove(owned_grant.grant.attempt_id);
     let request = FinishRequest {
-        grant_id: held.grant.grant_id.0,
-        owner_incarnation: held.grant.owner.0,
-        pool: held.pool.to_string(),
-        attempt_id: held.grant.attempt_id.to_string(),
+        grant_id: owned_grant.grant.grant_id.0,
+        owner_incarnation: owned_grant.grant.owner.0,
+        pool: owned_grant.pool.to_string(),
+        attempt_id: owned_grant.grant.attempt_id.to_string(),
         engine_ended: usage.engine_ended,
         engine_failed: usage.engine_failed,
         output_tokens: usage.output_tokens,
         decode_ms: usage.decode_ms,
     };
-    let Some(owner) = host.members.owner_of(&held.pool) else {
+    let Some(owner) = host.members.owner_of(&owned_grant.pool) else {
         return;
     };
     let call = host
         .peers
         .call(&owner, OWNER_CALL_TIMEOUT, |mut client| async move { client.finish(request).await });
     if let Err(error) = call.await {
-        log::debug!(target: log_target::CALLERS, "Failed to notify the owner of the end of attempt {}: {error}.", held.grant.attempt_id);
+        log::debug!(target: log_target::CALLERS, "Failed to notify the owner of the end of attempt {}: {error}.", owned_grant.grant.attempt_id);
     }
 }
 
@@ -301,8 +301,8 @@
 
 fn plan_renewals(host: &Host) -> BTreeMap<HostId, RenewRequest> {
     let mut requests: BTreeMap<HostId, RenewRequest> = BTreeMap::new();
-    for held in host.grants.all() {
-        let Some(owner) = host.members.owner_of(&held.pool) else {
+    for owned_grant in host.grants.all() {
+        let Some(owner) = host.members.owner_of(&owned_grant.pool) else {
             continue;
         };
         let request = requests.entry(owner).or_insert_with(|| RenewRequest {
@@ -311,12 +311,12 @@
             grants: Vec::new(),
         });
         request.grants.push(WireGrant {
-            grant_id: held.grant.grant_id.0,
-            owner_incarnation: held.grant.owner.0,
-            pool: held.pool.to_string(),
-            attempt_id: held.grant.attempt_id.to_string(),
-            account: held.account,
-            engines: held.grant.parts.iter().map(part_to_wire).collect(),
+            grant_id: owned_grant.grant.grant_id.0,
+            owner_incarnation: owned_grant.grant.owner.0,
+            pool: owned_grant.pool.to_string(),
+            attempt_id: owned_grant.grant.attempt_id.to_string(),
+            account: owned_grant.account,
+            engines: owned_grant.grant.parts.iter().map(part_to_wire).collect(),
         });
     }
     requests
--- a/clayplankd/src/process/peer_service.rs
+++ b/clayplankd/src/process/peer_service.rs
@@ -404,19 +404,19 @@
 }
 
 fn renew_from_wire(request: RenewRequest) -> Result<Renew, Status> {
-    let mut held: BTreeMap<PoolId, Vec<RenewedGrant>> = BTreeMap::new();
+    let mut grants_by_pool: BTreeMap<PoolId, Vec<RenewedGrant>> = BTreeMap::new();
     for grant in request.grants {
-        let held_grant = RenewedGrant {
+        let renewed_grant = RenewedGrant {
             grant_id: GrantId(grant.grant_id),
             owner: Incarnation(grant.owner_incarnation),
             attempt_id: grant.attempt_id.parse().map_err(invalid_message)?,
             parts: grant.engines.into_iter().map(part_from_wire).collect(),
         };
-        held.entry(PoolId::new(grant.pool)).or_default().push(held_grant);
+        grants_by_pool.entry(PoolId::new(grant.pool)).or_default().push(renewed_grant);
     }
     let holder = GrantHolder {
         host: HostId::new(request.from_host),
         incarnation: Incarnation(request.from_incarnation),
     };
-    Ok(Renew { holder, held })
+    Ok(Renew { holder, grants_by_pool })
 }
--- a/clayplankd/tests/seeded/crashing_upstreams.rs
+++ b/clayplankd/tests/seeded/crashing_upstreams.rs
@@ -130,11 +130,11 @@
             .enable_all()
             .build()
             .unwrap();
-        let (begun, mut ends) = mpsc::unbounded_channel();
+        let (started, mut ends) = mpsc::unbounded_channel();
         let was_terminated_by_request = runtime.block_on(async {
             let listener = clayplank_standin::bind(self.address).await.unwrap();
             let id = format!("fleet-{}-{incarnation}", self.number);
-            let crashing = CrashingRequest { body: CRASHING_BODY.into(), begun };
+            let crashing = CrashingRequest { body: CRASHING_BODY.into(), started };
             tokio::spawn(serve_upstream(
                 listener,
                 id.clone(),
--- a/clayplankd/tests/seeded/failover.rs
+++ b/clayplankd/tests/seeded/failover.rs
@@ -127,8 +127,8 @@
     let mut system =
         System::start_with(Topology { keepers: 5, entries: 10, ..Topology::default() });
     let leading = leader(&system);
-    let others = (0..system.keepers.len()).filter(|keeper| *keeper != leading);
-    let unresponsive: Vec<_> = others.take(2).collect();
+    let peers = (0..system.keepers.len()).filter(|keeper| *keeper != leading);
+    let unresponsive: Vec<_> = peers.take(2).collect();
     unresponsive.iter().for_each(|keeper| system.keepers[*keeper].signal("-STOP"));
     let text = plan(2).to_string();
     let answer = call(system.keepers[leading].control(), "PUT", "/v1/plan", &[], &text);
