--- a/clayplank-schedule/benches/decision.rs
+++ b/clayplank-schedule/benches/decision.rs
@@ -27,7 +27,7 @@
     scheduler
 }
 
-fn new_ask(number: u64, accounts: usize) -> ReservationRequest {
+fn new_reservation_request(number: u64, accounts: usize) -> ReservationRequest {
     let account = AccountId::new(Partner::new("dala"), format!("a{}", number as usize % accounts));
     let attempt_id = AttemptId::from_bits(u128::from(number));
     ReservationRequest::new(RequestId(number), attempt_id, account, "base", 1_500, u64::MAX / 2)
@@ -35,7 +35,7 @@
 
 /// Submits one request and completes every grant that results: first token, then end.
 fn decide(scheduler: &mut Scheduler, number: u64, accounts: usize) {
-    scheduler.submit(number, GrantHolder::default(), new_ask(number, accounts));
+    scheduler.submit(number, GrantHolder::default(), new_reservation_request(number, accounts));
     for decision in scheduler.take_decisions() {
         if let Decision::Granted(grant) = decision {
             scheduler.record_first_token(number, grant.grant_id);
@@ -53,14 +53,22 @@
         // Make every account known and give every engine a prompt to prefill.
         for _ in 0..accounts.max(engines) {
             number += 1;
-            scheduler.submit(number, GrantHolder::default(), new_ask(number, accounts));
+            scheduler.submit(
+                number,
+                GrantHolder::default(),
+                new_reservation_request(number, accounts),
+            );
         }
         scheduler.take_decisions();
         let mut waiting = 0;
         while waiting < WAITING {
             number += 1;
             waiting += 1;
-            scheduler.submit(number, GrantHolder::default(), new_ask(number, accounts));
+            scheduler.submit(
+                number,
+                GrantHolder::default(),
+                new_reservation_request(number, accounts),
+            );
         }
         scheduler.take_decisions();
         let id = BenchmarkId::new(format!("{engines} engines"), format!("{accounts} accounts"));
--- a/clayplank-state/src/plan_edit.rs
+++ b/clayplank-state/src/plan_edit.rs
@@ -12,7 +12,7 @@
 /// plan begins. The first piece is what precedes the first such byte.
 const PIECE_START: u8 = b'{';
 
-/// Why an edit cannot be applied.
+/// Reason for which an edit cannot be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EditError {
     /// The edit applies to another version than the given one.
--- a/clayplankd/src/doors/contract.rs
+++ b/clayplankd/src/doors/contract.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// Why a call is rejected.
+/// Reason for the rejection of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlError {
     /// No call has this method and path.
--- a/clayplankd/src/doors/dispatch.rs
+++ b/clayplankd/src/doors/dispatch.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// Why an attempt failed.
+/// Reason for the failure of an attempt.
 #[derive(Debug)]
 enum AttemptError {
     /// Provably, no engine has started the attempt.
--- a/clayplankd/src/doors/replies.rs
+++ b/clayplankd/src/doors/replies.rs
@@ -24,7 +24,7 @@
 
 pub(crate) type Body = UnsyncBoxBody<Bytes, BodyAborted>;
 
-/// Why a request was not run, or failed.
+/// Reason for which a request was not run, or failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Problem {
     /// The bearer key is missing or unknown.
--- a/clayplankd/src/follow/follow_task.rs
+++ b/clayplankd/src/follow/follow_task.rs
@@ -354,7 +354,7 @@
     Ok(Some(edit.apply(&position.plan)?))
 }
 
-/// Why an edit of the plan could not be applied.
+/// Reason for which an edit of the plan could not be applied.
 #[derive(Debug, thiserror::Error)]
 enum PlanEditError {
     #[error(transparent)]
--- a/clayplankd/src/follow/leader_confirmation.rs
+++ b/clayplankd/src/follow/leader_confirmation.rs
@@ -73,7 +73,7 @@
     limits_cursor: Cursor,
 }
 
-/// Why a round brought no confirmation.
+/// Reason for which a round brought no confirmation.
 #[derive(Debug, thiserror::Error)]
 enum RoundError {
     #[error("no keeper leads")]
--- a/clayplankd/src/keepers/keeper_client.rs
+++ b/clayplankd/src/keepers/keeper_client.rs
@@ -31,7 +31,7 @@
 /// Time-out of a call to one keeper; longer than the time for which a keeper holds a watch.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Why a request to the keepers failed.
+/// Reason for the failure of a request to the keepers.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum KeeperError {
     /// No leader answered in time. A command may have been applied or not.
--- a/clayplankd/src/process/daemon.rs
+++ b/clayplankd/src/process/daemon.rs
@@ -50,7 +50,7 @@
 /// Limit of open connections of operators.
 const MAX_OPERATOR_CONNECTIONS: usize = 64;
 
-/// Why the daemon could not start, or failed while it ran.
+/// Reason for which the daemon could not start, or failed while it ran.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The settings file cannot be read.
--- a/clayplankd/src/process/peers.rs
+++ b/clayplankd/src/process/peers.rs
@@ -24,7 +24,7 @@
 /// Size limit of a message; the largest is a snapshot of the replicated state.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 256 << 20;
 
-/// Why a call to a peer failed.
+/// Reason for the failure of a call to a peer.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerError {
     /// The settings do not name the host.
