--- a/clayplank-forward/src/quarantine.rs
+++ b/clayplank-forward/src/quarantine.rs
@@ -33,7 +33,7 @@
     Trial,
 }
 
-/// What a host observed of a request.
+/// Outcome of a request at an upstream, as observed by this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// Fingerprint of the request.
@@ -85,7 +85,9 @@
 
 impl std::fmt::Debug for RequestQuarantine {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Suspicion").field("held_back", &self.count()).finish_non_exhaustive()
+        f.debug_struct("RequestQuarantine")
+            .field("held_back", &self.count())
+            .finish_non_exhaustive()
     }
 }
 
@@ -129,11 +131,11 @@
 
     /// Replaces the set of quarantined requests. Newly quarantined requests that were recently
     /// answered here are reported: they may have been quarantined because of other requests.
-    pub fn set_quarantined(&self, held_back: Vec<QuarantinedRequest>) {
+    pub fn set_quarantined(&self, requests: Vec<QuarantinedRequest>) {
         let now = Instant::now();
         let former = self.quarantined.load_full();
         let mut next = HashMap::new();
-        for QuarantinedRequest { fingerprint, caller, next_trial_in_ms, .. } in held_back {
+        for QuarantinedRequest { fingerprint, caller, next_trial_in_ms, .. } in requests {
             next.insert(fingerprint, now + millis(next_trial_in_ms));
             if former.contains_key(&fingerprint) {
                 continue;
@@ -162,7 +164,7 @@
     }
 
     /// Records that an upstream answered a request completely.
-    pub fn note_answered(&self, fingerprint: RequestFingerprint, caller: &str) {
+    pub fn record_answered(&self, fingerprint: RequestFingerprint, caller: &str) {
         let at = Instant::now();
         let mut outcomes = self.lock();
         outcomes.answered.push_back((fingerprint, at));
@@ -179,7 +181,7 @@
 
     /// Reports that an upstream terminated under a request, unless the request has been answered
     /// since.
-    pub(crate) fn note_terminated(&self, observation: Observation) {
+    pub(crate) fn record_terminated(&self, observation: Observation) {
         let answered_at = self.answered_at(observation.fingerprint);
         if answered_at.is_some_and(|answered_at| answered_at >= observation.at) {
             return;
